--- a/slipbay/policy/actions.py
+++ b/slipbay/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a routing policy returns; the host carries them out in order. Times in microseconds."""
+"""Actions that a routing policy returns; the host executes them in order. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Dispatch:
-    """Start the query's next attempt; attempts count from 0. ``limit_us`` 0: until the client gives up."""
+    """Start the query's next attempt; numbers start at 0. ``limit_us`` 0: until the client's deadline."""
 
     query: int
     engine: EngineId
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop an attempt; its end still comes as an event."""
+    """Stop an attempt; its end is still reported as an event."""
 
     query: int
     attempt: int
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: rejected, and a new try does no harm. ``retry_after_us`` is advice, 0 for none."""
+    """Final answer: rejected, and the client may safely retry. ``retry_after_us`` is advice, 0 for none."""
 
     query: int
     retry_after_us: int = 0
@@ -35,14 +35,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed, with no promise about the effect."""
+    """Final answer: failed; whether the query took effect is unknown."""
 
     query: int
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Send ``TimerFired`` with the token at a time."""
+    """Send ``TimerFired`` with the token at ``at_us``."""
 
     token: int
     at_us: int
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UpdateAttempt:
-    """Priority from 0 to 3 for what runs and comes; memory for later attempts (0: the engine's choice)."""
+    """Set the priority (0 to 3) of all attempts, and the memory of later ones (0: the engine decides)."""
 
     query: int
     priority: int = 1
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendGossip:
-    """Send a message of at most 256 bytes to a router by its number, or to all where ``to`` is ``None``."""
+    """Send a message of at most 256 bytes to the router with number ``to``, or to all if it is ``None``."""
 
     body: bytes
     to: int | None = None
@@ -88,14 +88,14 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchList:
-    """Ask to be told of changes of the engine list."""
+    """Subscribe to changes of the engine list, or unsubscribe."""
 
     active: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class FetchList:
-    """Ask for the whole engine list."""
+    """Request the full engine list."""
 
 
 Action: TypeAlias = (
--- a/slipbay/policy/affinity.py
+++ b/slipbay/policy/affinity.py
@@ -1,4 +1,4 @@
-"""Which engines a group of tables is sent to, so that they keep it in memory."""
+"""Assigns each table group to a few engines, so that these keep its tables in memory."""
 
 from __future__ import annotations
 
@@ -8,52 +8,55 @@
 
 from slipbay.policy.events import EngineId
 
-WARM_GROUPS = 4  # last sent to an engine that count as in its memory; more would make all alike
-MAXIMUM_GROUPS = 512  # that arcs are kept for; clients may name any number
+# groups of the latest queries on an engine that count as in its memory; with more, engines look alike
+MAX_WARM_GROUPS = 4
+MAX_COUNTED_GROUPS = 512  # groups with counts and arcs; limited because clients may send any number of groups
 
 
 class AffinityRing:
-    """Arcs of groups on a ring of the engines of our zone.
+    """Arcs of groups on a ring of the engines of the local zone.
 
-    A group's arc is as long as its part of the queries seen: all routers of a zone send it to the same few
-    engines, which keep it warm, and each engine gets as much.
+    The length of a group's arc is the group's share of the received queries. All routers of a zone therefore
+    send a group to the same few engines, which keep it in memory, and each engine gets an equal load.
     """
 
     def __init__(self) -> None:
-        self.ring: list[EngineId] = []  # by their checksums, alike at all routers of a zone
-        self.seen: dict[float, int] = {}  # queries that came, by group
-        self.arcs: dict[float, tuple[float, float]] = {}  # by group, start and length of its arc
+        self.ring: list[EngineId] = []  # ordered by checksum, so identical on all routers of a zone
+        self.query_counts: dict[float, int] = {}  # received queries by group
+        self.arcs: dict[
+            float, tuple[float, float]
+        ] = {}  # start and length of the arc, as fractions of the ring, by group
 
-    def count(self, group: float) -> None:
+    def count_query(self, group: float) -> None:
         """Count a query of the group."""
-        self.seen[group] = self.seen.get(group, 0) + 1
+        self.query_counts[group] = self.query_counts.get(group, 0) + 1
 
-    def draw(self, group: float, random: Random) -> EngineId | None:
-        """One of a group's engines; ``None`` where it has none yet."""
+    def draw_engine(self, group: float, random: Random) -> EngineId | None:
+        """A random engine on the group's arc; ``None`` if the group has no arc yet."""
         start, length = self.arcs.get(group, (0.0, 0.0))
-        place = int((start + length * random.random()) * len(self.ring))
-        return self.ring[place % len(self.ring)] if length and self.ring else None
+        position = int((start + length * random.random()) * len(self.ring))
+        return self.ring[position % len(self.ring)] if length and self.ring else None
 
     def prune(self) -> None:
-        """Forget the rarer half of the groups where there are too many."""
-        if len(self.seen) > MAXIMUM_GROUPS:
-            by_count = sorted(self.seen.items(), key=lambda item: -item[1])
-            self.seen = dict(by_count[: MAXIMUM_GROUPS // 2])
+        """Remove the less frequent groups if there are too many."""
+        if len(self.query_counts) > MAX_COUNTED_GROUPS:
+            by_count = sorted(self.query_counts.items(), key=lambda item: -item[1])
+            self.query_counts = dict(by_count[: MAX_COUNTED_GROUPS // 2])
             self.arcs = {}
 
     def rebuild(self, engines: Iterable[EngineId]) -> None:
-        """Lay the arcs anew over the engines of our zone."""
+        """Recompute the arcs over the engines of the local zone."""
         self.ring = sorted(engines, key=crc32)
         start = 0.0
-        total = sum(self.seen.values())
-        for group, count in sorted(self.seen.items()):
+        total = sum(self.query_counts.values())
+        for group, count in sorted(self.query_counts.items()):
             self.arcs[group] = start, count / total
             start += count / total
 
     def most_frequent(self, count: int) -> list[tuple[float, int]]:
-        """The groups seen most with their queries, at most ``count`` of them."""
-        return sorted(self.seen.items(), key=lambda item: (-item[1], item[0]))[:count]
+        """The most frequent groups with their numbers of queries, at most ``count`` groups."""
+        return sorted(self.query_counts.items(), key=lambda item: (-item[1], item[0]))[:count]
 
     def seed(self, group: float, queries: int) -> None:
-        """Begin with what another router saw of a group; our own count comes first."""
-        self.seen.setdefault(group, queries)
+        """Set the initial count of a group from another router; a local count takes precedence."""
+        self.query_counts.setdefault(group, queries)
--- a/slipbay/policy/connection_pacer.py
+++ b/slipbay/policy/connection_pacer.py
@@ -1,15 +1,15 @@
-"""Rate limit on new connections, for a router that restarts beside many others."""
+"""Rate limit on new connections, for a router that restarts at the same time as many others."""
 
 from __future__ import annotations
 
 from slipbay.policy.events import WarmupChanged
 from slipbay.policy.timing import SECOND
 
-BURST = 2.0  # connections that may be opened at once; one would make each wait for the next fill
+MAX_BURST = 2.0  # connections that may be opened at once; with 1, each would wait for the next refill
 
 
 class ConnectionPacer:
-    """Token bucket of new connections to engines, at a rate that the warm-up may change."""
+    """Token bucket for new engine connections; the warm-up changes its rate."""
 
     def __init__(self) -> None:
         self.is_limited = False
@@ -18,7 +18,7 @@
         self.tokens = 1.0
 
     def update(self, now_us: int, event: WarmupChanged) -> None:
-        """Take the limit that the warm-up asks for."""
+        """Apply the limit requested by the warm-up."""
         self._fill(now_us)
         self.is_limited = event.limit_connections
         self.rate_per_s = event.connections_per_s
@@ -26,7 +26,7 @@
     def _fill(self, now_us: int) -> None:
         if self.is_limited and self.rate_per_s < float("inf"):
             earned = self.rate_per_s * (now_us - self.filled_at_us) / SECOND
-            self.tokens = min(BURST, self.tokens + earned)
+            self.tokens = min(MAX_BURST, self.tokens + earned)
         self.filled_at_us = now_us
 
     def may_open(self, now_us: int) -> bool:
@@ -37,5 +37,5 @@
         return self.tokens >= 1.0
 
     def record_send(self, needs_connection: bool) -> None:
-        """Count an attempt sent, which costs a token if it needed a new connection."""
+        """Count a sent attempt, which uses a token if it needs a new connection."""
         self.tokens -= needs_connection and self.is_limited
--- a/slipbay/policy/controller.py
+++ b/slipbay/policy/controller.py
@@ -1,9 +1,10 @@
-"""The routing policy: events in, actions out. Times are in microseconds.
+"""The routing policy: takes events and returns actions. Times are in microseconds.
 
-Ordinary path: a query is admitted if its cost and its class's queued cost fit the bound, else rejected; each
-second the bound becomes the delay prediction plus a PI correction; held queries leave first in, first out to
-the engine that holds fewest. All else is an exception or a guard (docs/design.md). The parts decide, each in
-its own module and with its own state; the controller hands them the events and keeps the periodic work.
+Normal path: the policy admits a query if its cost plus the queued cost of its class fits within the bound of
+the class, and rejects it otherwise. Each second, the bound becomes the predicted delay plus a PI correction.
+Queued queries are sent in first-in, first-out order to the engine with the fewest threads in use. All other
+rules are exceptions or safeguards (docs/design.md). Each decision has its own module and its own state; the
+controller passes the events to these modules and runs the periodic work.
 """
 
 from __future__ import annotations
@@ -51,24 +52,27 @@
 from slipbay.policy.selection import EngineSelector
 from slipbay.policy.settings import Settings
 from slipbay.policy.slow_start import SlowStart
-from slipbay.policy.timing import SECOND, WATCH_PERIOD, Uptime
+from slipbay.policy.timing import CHECK_PERIOD_US, SECOND, Uptime
 
 EVENT_ORDER: dict[type, int] = {EngineList: -1, TimerFired: 1}
-"""The list comes first and timers last: after a stall of ours one batch holds old and new."""
+"""Engine lists come first and timers last, as a batch mixes old and new events after a process pause."""
 
 
-def _order_of(event: Event) -> int:
+def _processing_order(event: Event) -> int:
     return EVENT_ORDER.get(type(event), 0)
 
 
 class Controller:
-    """The decisions of one router. Shares nothing with others; time comes in with the events."""
+    """Makes the decisions of one router.
+
+    It shares no state with other controllers and receives the time with the events.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.classes = [ClassState(spec) for spec in settings.classes]
-        self.next_watch_us = 0
-        self.next_reset_us = 0
+        self.next_check_us = 0
+        self.period_end_us = 0
         self.uptime = Uptime()
         self.outbox = Outbox()
         self.pressure = Pressure()
@@ -95,7 +99,7 @@
         }
 
     def _make_engines(self, random: Random) -> None:
-        """What is known of engines, and of their load at all routers."""
+        """Create the objects that track engines and the load that all routers put on them."""
         settings = self.settings
         self.engines = EngineTable(settings)
         self.affinity = AffinityRing()
@@ -106,7 +110,7 @@
         self.slow_start = SlowStart(settings, self.classes, self.engines, self.gossip, self.uptime)
 
     def _make_queries(self) -> None:
-        """What holds queries and decides whether they are admitted."""
+        """Create the objects that store queries and decide whether to admit them."""
         settings = self.settings
         classes = self.classes
         self.key_queues = KeyQueues(self.outbox)
@@ -127,7 +131,7 @@
         )
 
     def _make_attempts(self, random: Random) -> None:
-        """What sends queries to engines."""
+        """Create the objects that send queries to engines."""
         self.selector = EngineSelector(
             self.settings,
             self.engines,
@@ -157,12 +161,12 @@
         )
 
     def handle(self, now_us: int, events: Sequence[Event]) -> list[Action]:
-        """Take in all that has come since the last call; returns what the host is to do, in order."""
+        """Process all events since the last call; returns the actions for the host to execute in order."""
         actions: list[Action] = []
         self.outbox.actions = actions
         if self.uptime.started_us is None:
             self._start(now_us)
-        for event in sorted(events, key=_order_of) if len(events) > 1 else events:
+        for event in sorted(events, key=_processing_order) if len(events) > 1 else events:
             handler = self._handlers.get(type(event))
             if handler is not None:
                 handler(event, now_us)
@@ -172,47 +176,47 @@
     # Periodic work
 
     def _start(self, now_us: int) -> None:
-        """Begin the periodic work; called with the first events."""
+        """Start the periodic work; called with the first events."""
         self.uptime.started_us = now_us
-        self.next_watch_us = now_us
-        self.next_reset_us = now_us + SECOND
-        self._watch(now_us)
+        self.next_check_us = now_us
+        self.period_end_us = now_us + SECOND
+        self._run_periodic_checks(now_us)
 
-    def _watch(self, now_us: int) -> None:
-        """Look for engines that give no sign, end the sampling period and gossip, as they are due."""
+    def _run_periodic_checks(self, now_us: int) -> None:
+        """Find unresponsive engines, end the sampling period if it is due, and send gossip."""
         engines = self.engines.by_id.values()
-        for attempt in self.outliers.find_silent(engines, now_us, self.next_watch_us):
+        for attempt in self.outliers.find_unresponsive(engines, now_us, self.next_check_us):
             self.retries.migrate(attempt, now_us)
-        if now_us >= self.next_reset_us:
-            self.next_reset_us = max(self.next_reset_us + SECOND, now_us)
-            self.end_period(now_us)
+        if now_us >= self.period_end_us:
+            self.period_end_us = max(self.period_end_us + SECOND, now_us)
+            self.end_sampling_period(now_us)
             if self.settings.list_on_request:
                 self.outbox.add(WatchList())
         if self.settings.may_gossip and self.settings.router_count > 1:
             self.gossip.step(now_us, self.outbox)
-        self.next_watch_us = now_us + WATCH_PERIOD
-        self.outbox.set_timer(self.next_watch_us, self._watch)
+        self.next_check_us = now_us + CHECK_PERIOD_US
+        self.outbox.set_timer(self.next_check_us, self._run_periodic_checks)
 
-    def end_period(self, now_us: int) -> None:
-        """End a sampling period: forget what is old, then set shares and bounds anew."""
-        self.engines.prune(now_us, now_us - self.settings.cold_window_us - WATCH_PERIOD)
+    def end_sampling_period(self, now_us: int) -> None:
+        """End a sampling period: remove expired records, then recompute the thread share and the bounds."""
+        self.engines.prune(now_us, now_us - self.settings.cold_window_us - CHECK_PERIOD_US)
         self.key_queues.prune(now_us)
         self.affinity.prune()
         self.update_share(now_us)
         self.bounds.reset(now_us)
 
     def update_share(self, now_us: int) -> None:
-        """Work out our share of the engines, and the affinity arcs over those of our zone."""
-        near = self.engines.update_share(now_us)
-        self.affinity.rebuild(engine.entry.engine for engine in near)
+        """Recompute the local share of engine threads and the affinity arcs over the local zone's engines."""
+        nearest = self.engines.update_share(now_us)
+        self.affinity.rebuild(engine.entry.engine for engine in nearest)
 
     # Events
 
     def _on_arrival(self, event: QueryArrived, now_us: int) -> None:
         if event.query not in self.queries.by_id and event.service_class < len(self.classes):
             self.retries.record_request(now_us)
-            self.affinity.count(event.group)
-            self.admission.arrive(event, now_us)
+            self.affinity.count_query(event.group)
+            self.admission.process_arrival(event, now_us)
 
     def _on_attempt_end(self, event: AttemptEnded, now_us: int) -> None:
         query = self.queries.by_id.get(event.query)
@@ -258,25 +262,26 @@
         self.outbox.set_timer(event.by_us, self.queries.answer_all)
 
     def _on_fleet_size(self, event: FleetSize, _now_us: int) -> None:
-        self.engines.router_count = event.routers  # shares follow the living; time slots keep to all
+        # thread shares count live routers only; time slots count all configured routers
+        self.engines.router_count = event.routers
 
     def _on_timer(self, event: TimerFired, now_us: int) -> None:
         self.outbox.fire(event.token, now_us)
 
-    # What the host may ask
+    # Queries by the host
 
     def retry_budget(self) -> RetryBudgetRestored:
-        """What a later process of this router must get, so that its retry budget does not begin anew."""
+        """State of the retry budget, for the next process of this router to continue with."""
         return self.retries.budget()
 
     def estimates(self, now_us: int, groups: int) -> EstimatesRestored:
-        """What another router may begin with, ``groups`` groups at the most. Changes nothing."""
+        """Learned estimates for a starting router, at most ``groups`` groups. Does not change any state."""
         return estimates.collect(self.engines, self.classes, self.affinity, now_us, groups)
 
     def engine_condition(self, engine: EngineId, now_us: int) -> EngineHealth:
-        """What is known of an engine's capacity, health and pace; changes nothing."""
+        """Known capacity, health and pace of an engine. Does not change any state."""
         return self.engines.condition(engine, now_us)
 
     def queued_count(self) -> int:
-        """Queries that wait for an engine."""
+        """Number of queries that wait for an engine."""
         return sum(len(class_state.queue) for class_state in self.classes)
--- a/slipbay/policy/events.py
+++ b/slipbay/policy/events.py
@@ -1,4 +1,4 @@
-"""Events that a host hands to a routing policy. Times in microseconds of one clock that never goes back."""
+"""Events that a host passes to a routing policy. Times are in microseconds of one monotonic clock."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from typing import TypeAlias
 
 EngineId: TypeAlias = bytes
-"""Opaque name of an engine, the same at every router."""
+"""Opaque id of an engine, identical on all routers."""
 
 
 class EngineState(IntEnum):
-    """What the engine list says of an engine."""
+    """State of an engine in the engine list."""
 
     GONE = 0
     DRAINING = 1
@@ -19,7 +19,7 @@
 
 
 class ListKind(IntEnum):
-    """How an engine list event is to be read."""
+    """Type of an engine list event."""
 
     DELTA = 0
     FULL = 1
@@ -41,12 +41,12 @@
 
     @property
     def proves_not_run(self) -> bool:
-        """Whether it shows that nothing of the attempt ran, so that a repeat does no harm."""
+        """Whether the outcome proves that the attempt did not run, so that a retry is safe."""
         return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
 class NoteKind(IntEnum):
-    """What a progress note reports."""
+    """Type of a progress note."""
 
     SHARE_DONE = 1
     SPILLS = 2
@@ -54,12 +54,12 @@
 
 
 WAITS_FOR_LOAD = 2.0
-"""Value of a ``WAITS`` note when a load holds the group (1: it waits for memory)."""
+"""Value of a ``WAITS`` note when a load locks the group (1: the attempt waits for memory)."""
 
 
 @dataclass(slots=True, frozen=True)
 class EngineEntry:
-    """One line of the engine list."""
+    """One entry of the engine list."""
 
     engine: EngineId
     zone: int = 0
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineList:
-    """A change of the engine list, or the whole list; a ``FAILED`` one has no entries and changes nothing."""
+    """A change of the engine list, or the full list; a ``FAILED`` event is empty and changes nothing."""
 
     kind: ListKind
     entries: tuple[EngineEntry, ...] = ()
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QueryArrived:
-    """A client's query; the router owes it one final answer within ``expires_in_us``."""
+    """A query from a client; the router must give one final answer within ``expires_in_us``."""
 
     query: int
     service_class: int
@@ -96,14 +96,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """What an engine reports of its load, in the order of ``Settings.report_fields``."""
+    """Load values that an engine reports, in the order of ``Settings.report_fields``."""
 
     values: tuple[float, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class StreamBegun:
-    """The answer has begun to stream: the attempt belongs to the client now."""
+    """The answer has started to stream to the client; the policy no longer controls the attempt."""
 
     query: int
     attempt: int
@@ -123,7 +123,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """The one outcome of an attempt. ``complete``: the query needs no answer from us any more."""
+    """The single outcome of an attempt. ``complete``: the query needs no answer from the policy any more."""
 
     query: int
     attempt: int
@@ -138,21 +138,21 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client has left; nothing is owed any more."""
+    """The client has disconnected; the query needs no answer any more."""
 
     query: int
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer that was asked for has fired."""
+    """A timer set by the policy has fired."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeEnded:
-    """The one outcome of a health check."""
+    """The single outcome of a health check."""
 
     engine: EngineId
     outcome: Outcome
@@ -170,39 +170,40 @@
 
 @dataclass(slots=True, frozen=True)
 class RetryBudgetRestored:
-    """What an earlier process of this router took and sent, as amounts by time, oldest first."""
+    """Queries and retries of an earlier process of this router, as (time in us, amount), oldest first."""
 
-    requests: tuple[tuple[int, float], ...] = ()  # queries
-    retries: tuple[tuple[int, float], ...] = ()  # further attempts
+    requests: tuple[tuple[int, float], ...] = ()  # queries received
+    retries: tuple[tuple[int, float], ...] = ()  # retries sent
 
 
 @dataclass(slots=True, frozen=True)
 class FleetSize:
-    """How many routers share what belongs to all, where a host knows better than the settings."""
+    """Number of live routers that share the engines, if the host has a newer count than the settings."""
 
     routers: int
 
 
 @dataclass(slots=True, frozen=True)
 class EstimatesRestored:
-    """What a controller learned that holds for another one too; 0 and what is absent: not known.
+    """Learned estimates that are also valid for another controller; 0 or absent means unknown.
 
-    An event to one that is new, and what ``Controller.estimates`` returns.
+    A new controller receives them as an event; ``Controller.estimates`` returns them.
     """
 
-    pace: float = 0.0  # time of answers against their work
+    pace: float = 0.0  # thread time of answers divided by their work
     best_pace: float = 0.0
     classes: tuple[tuple[float, float, float], ...] = ()  # estimated cost, work (us), correction of estimates
-    unhealthy: tuple[tuple[int, int], ...] = ()  # engines by their digests; us since the last sign behind it
-    groups: tuple[tuple[float, float], ...] = ()  # queries by group, the most frequent ones first
+    unhealthy: tuple[tuple[int, int], ...] = ()  # engine digest, us since the engine's latest activity
+    groups: tuple[tuple[float, float], ...] = ()  # group, number of its queries; most frequent first
 
 
 @dataclass(slots=True, frozen=True)
 class WarmupChanged:
-    """How connections to engines are limited while the router warms up beside many others.
+    """Limit on new engine connections while this router warms up at the same time as many others.
 
-    With ``limit_connections`` queries go where a connection is idle; others are held until one is, or may be
-    opened: ``connections_per_s`` a second, beside one at once.
+    With ``limit_connections``, a query goes to an engine with an idle connection. Otherwise it waits until a
+    connection becomes idle or a new one may be opened, at a rate of ``connections_per_s`` plus a first one
+    immediately.
     """
 
     limit_connections: bool
@@ -211,7 +212,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ShutdownDeadline:
-    """The process may be killed soon after ``by_us``: until then all that is open gets its final answer."""
+    """The process may be killed soon after ``by_us``; all open queries must be answered by then."""
 
     by_us: int
 
--- a/slipbay/policy/gossip.py
+++ b/slipbay/policy/gossip.py
@@ -1,7 +1,8 @@
-"""Threads that routers hold on each engine, as they report them to each other.
+"""Exchanges reports between routers about the threads that they use on each engine.
 
-Each period another router collects: all send it the threads they hold, and it sends the sums to all if it
-heard from at least half of them. Times in microseconds.
+The role of collector moves to another router in each period. All routers send the collector the threads that
+they use, and it sends the sums to all routers if at least half of them have reported. Times are in
+microseconds.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 from slipbay.policy.records import Engine
 from slipbay.policy.timing import SECOND
 
-GOSSIP_PERIOD = SECOND // 4  # us between reports of threads held; half of it to collect
-RECENT = 2 * GOSSIP_PERIOD  # us that reported sums are steered by; one may be lost
+GOSSIP_PERIOD = SECOND // 4  # us between reports; the collector waits for half of it
+MAX_REPORT_AGE_US = 2 * GOSSIP_PERIOD  # us for which thread sums are valid; tolerates the loss of one report
 
 
 class PeerLoads:
-    """Threads that routers hold on each engine, by its digest, in one period."""
+    """Threads that routers use on each engine in one period, by the digest of the engine."""
 
     def __init__(self) -> None:
         self.period = -1
@@ -32,7 +33,7 @@
         self.sums: dict[int, int] = {}
 
     def begin(self, period: int, engines: Iterable[Engine]) -> bytes:
-        """Start a period; returns the message with what this router holds."""
+        """Start a period; returns the message with the threads that this router uses."""
         self.period = period
         self.reports = 1
         self.own = {e.digest: e.threads for e in engines if e.threads}
@@ -40,12 +41,12 @@
         return gossip_codec.encode(LoadMessage(period, False, self.own))
 
     def close(self) -> bytes:
-        """The message with the sums, once a period."""
+        """End the collection of the period; returns the message with the sums."""
         self.reports = 0
         return gossip_codec.encode(LoadMessage(self.period, True, self.sums))
 
     def receive(self, body: bytes, engines: Iterable[Engine]) -> bool:
-        """Take a message in; true if it had the sums. Malformed or old ones do nothing."""
+        """Process a message; returns true if it has the sums. Malformed or old messages are ignored."""
         message = gossip_codec.decode(body)
         if message is None or message.period != self.period % PERIOD_RANGE:
             return False
@@ -61,26 +62,26 @@
 
 
 class LoadGossip:
-    """Sends and receives reports of threads held; remembers when sums last came."""
+    """Sends and receives reports of threads in use, and records when the latest sums arrived."""
 
     def __init__(
         self, router_number: int, ring_size: int, engines: EngineTable, random: Random, pressure: Pressure
     ) -> None:
-        """``ring_size``: routers that collect in turn, alive or not."""
+        """``ring_size``: number of routers that take turns as collector, live or not."""
         self.router_number = router_number
         self.ring_size = ring_size
         self.engines = engines
         self.random = random
         self.pressure = pressure
         self.loads = PeerLoads()
-        self.sums_at_us = -RECENT
+        self.sums_at_us = -MAX_REPORT_AGE_US
 
     def is_recent(self, now_us: int) -> bool:
-        """Whether the peers' threads are recent enough to steer by."""
-        return now_us - self.sums_at_us < RECENT
+        """Whether the threads reported by peers are recent enough to use."""
+        return now_us - self.sums_at_us < MAX_REPORT_AGE_US
 
     def step(self, now_us: int, outbox: Outbox, body: bytes = b"") -> None:
-        """Send what is due in this period and take in a message, if there is one."""
+        """Send the messages that are due in this period and process ``body``, if it is not empty."""
         engines = self.engines.by_id.values()
         period = now_us // GOSSIP_PERIOD
         collector = period % self.ring_size
@@ -95,15 +96,16 @@
             self._apply_sums(now_us)
 
     def _may_close(self, period: int, now_us: int) -> bool:
-        heard_most = 2 * self.loads.reports >= self.engines.router_count
-        return heard_most and 2 * (now_us - period * GOSSIP_PERIOD) >= GOSSIP_PERIOD
+        has_majority = 2 * self.loads.reports >= self.engines.router_count
+        return has_majority and 2 * (now_us - period * GOSSIP_PERIOD) >= GOSSIP_PERIOD
 
     def _apply_sums(self, now_us: int) -> None:
-        """Note what we hold beside the sums; as many threads as cores bear is a sign of pressure."""
+        """Record the local threads at the time of the sums; report pressure if all thread shares are used."""
         self.sums_at_us = now_us
         for engine in self.engines.by_id.values():
             engine.threads_at_report = engine.threads
-            engine.lottery = self.random.random()
+            engine.lottery_draw = self.random.random()
         threads = sum(e.threads + e.peer_threads for e in self.engines.by_id.values() if not e.is_unhealthy)
-        if threads >= self.engines.thread_share * self.engines.router_count:  # long before answers show it
+        # shows pressure long before answers slow down
+        if threads >= self.engines.thread_share * self.engines.router_count:
             self.pressure.report(now_us)
--- a/slipbay/policy/key_queues.py
+++ b/slipbay/policy/key_queues.py
@@ -1,4 +1,4 @@
-"""Order of queries that carry an order key: one at a time, in order of arrival."""
+"""Serializes queries with the same order key: one at a time, in order of arrival."""
 
 from __future__ import annotations
 
@@ -10,44 +10,44 @@
 
 
 class KeyQueues:
-    """Queries of each order key in order of arrival, and until when (us) a key must rest."""
+    """Queries of each order key in order of arrival, and the times (us) until which keys are blocked."""
 
     def __init__(self, outbox: Outbox) -> None:
         self.outbox = outbox
         self.queues: dict[int, deque[Query]] = {}
         self.rests: dict[int, int] = {}
 
-    def join(self, query: Query, now_us: int) -> None:
-        """Take a query in; it is sent once all before it have ended."""
+    def enqueue(self, query: Query, now_us: int) -> None:
+        """Append a query; it becomes ready when all queries before it have ended."""
         self.queues.setdefault(query.key, deque()).append(query)
-        self.release_first(query.key, now_us)
+        self.release_next(query.key, now_us)
 
-    def leave(self, query: Query, now_us: int) -> None:
-        """Take an ended query out, if it is in a queue, and let the next one of its key follow."""
+    def finish(self, query: Query, now_us: int) -> None:
+        """Remove an ended query, if it is in a queue, and release the next one of its key."""
         queue = self.queues.get(query.key)
         if queue is None or query not in queue:
             return
         queue.remove(query)
         if not queue:
             del self.queues[query.key]
-        self.release_first(query.key, now_us)
+        self.release_next(query.key, now_us)
 
-    def rest(self, key: int, until_us: int) -> None:
-        """Send nothing of a key until a time, as the outcome of an attempt is unknown."""
+    def block(self, key: int, until_us: int) -> None:
+        """Block a key until ``until_us``, because the outcome of an attempt is unknown."""
         self.rests[key] = until_us
 
-    def release_first(self, key: int, now_us: int) -> None:
-        """Let the first query of a key join its class's queue, after the key's rest."""
+    def release_next(self, key: int, now_us: int) -> None:
+        """Move the first query of a key to the queue of its class, once the key is not blocked."""
         queue = self.queues.get(key)
         if not queue:
             return
         first = queue[0]
-        rest_us = self.rests.get(key, 0)
-        if rest_us > now_us:
-            self.outbox.set_timer(rest_us, partial(self.release_first, key))
+        unblock_us = self.rests.get(key, 0)
+        if unblock_us > now_us:
+            self.outbox.set_timer(unblock_us, partial(self.release_next, key))
         elif first.is_queued and not first.attempts_sent and first not in first.class_state.queue:
             first.class_state.queue.append(first)
 
     def prune(self, now_us: int) -> None:
-        """Forget rests that have passed."""
+        """Remove expired blocks."""
         self.rests = {key: until_us for key, until_us in self.rests.items() if until_us > now_us}
--- a/slipbay/policy/open_queries.py
+++ b/slipbay/policy/open_queries.py
@@ -1,4 +1,4 @@
-"""Queries from their arrival until they are answered and all their attempts have ended; times in us."""
+"""Tracks queries from arrival until they are answered and all their attempts have ended. Times are in us."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class OpenQueries:
-    """The queries that are open; gives each its one final answer."""
+    """The open queries; gives each query exactly one final answer."""
 
     def __init__(
         self,
@@ -30,10 +30,11 @@
         self.retries = retries
         self.outbox = outbox
         self.by_id: dict[int, Query] = {}
-        self.shutdown_us: int | None = None  # when all must be answered, as the process ends
+        # time by which all queries must be answered because the process ends
+        self.shutdown_us: int | None = None
 
     def register(self, event: QueryArrived, now_us: int) -> Query:
-        """The record of a query that has come; its cost is estimated where the client has not done so."""
+        """Create the record of a new query; estimates its cost if the client has not."""
         class_state = self.classes[event.service_class]
         spec = class_state.spec
         estimated_cost = float(
@@ -53,38 +54,38 @@
             key=event.order_key if spec.in_order else 0,
         )
         if event.estimated_cost_us:
-            query.least_run_us = class_state.run_time(query.cost)
+            query.min_run_us = class_state.run_time(query.cost)
         self.by_id[query.id] = query
         class_state.open_queries[query.id] = query
         class_state.largest_cost = max(class_state.largest_cost, query.cost)
         return query
 
     def hold(self, query: Query, now_us: int) -> None:
-        """Queue an admitted query for an engine, behind those of its key where it has one."""
+        """Queue an admitted query for an engine, after the other queries of its order key if it has one."""
         query.class_state.hold(query)
         if query.key:
-            self.key_queues.join(query, now_us)
+            self.key_queues.enqueue(query, now_us)
         else:
             query.class_state.queue.append(query)
 
     def limit_deadlines(self, by_us: int) -> None:
-        """The process ends then: no query, open or new, has longer than that."""
+        """Limit the deadlines of open and new queries to ``by_us``, as the process ends then."""
         self.shutdown_us = by_us
         for query in self.by_id.values():
             query.deadline_us = min(query.deadline_us, by_us)
 
     def answer(self, query: Query, now_us: int) -> None:
-        """Give the final answer: rejected where a new try does no harm, failed otherwise."""
+        """Give the final answer: rejected if the client may safely retry, failed otherwise."""
         if query.is_answered:
             return
-        if self._is_harmless(query):
+        if self._may_client_retry(query):
             self.outbox.add(Reject(query.id, self.settings.max_retry_after_us // 2))
         else:
             self.outbox.add(Fail(query.id))
         self.close(query, now_us)
 
-    def _is_harmless(self, query: Query) -> bool:
-        """Whether the client may ask again without any effect being doubled."""
+    def _may_client_retry(self, query: Query) -> bool:
+        """Whether the client may retry without the risk that the query takes effect twice."""
         spec = query.class_state.spec
         if query.may_have_run_since_us is None and not query.in_flight:
             return True
@@ -98,7 +99,7 @@
             self.answer(query, now_us)
 
     def close(self, query: Query, now_us: int, keep_attempt: int = -1) -> None:
-        """Nothing more is due for the query: cancel its attempts but ``keep_attempt``."""
+        """Mark the query as answered and cancel its attempts except ``keep_attempt``."""
         query.is_answered = True
         query.class_state.open_queries.pop(query.id, None)
         query.class_state.release(query)
@@ -106,10 +107,10 @@
             for attempt in list(query.in_flight.values()):
                 if attempt.number != keep_attempt:
                     self.retries.cancel(attempt)
-        self.forget_if_ended(query, now_us)
+        self.remove_if_ended(query, now_us)
 
-    def forget_if_ended(self, query: Query, now_us: int) -> None:
-        """Drop the record once the query is answered and none of its attempts is in flight."""
+    def remove_if_ended(self, query: Query, now_us: int) -> None:
+        """Remove the record if the query is answered and no attempt is in flight."""
         if query.is_answered and not query.in_flight:
             self.by_id.pop(query.id, None)
-            self.key_queues.leave(query, now_us)
+            self.key_queues.finish(query, now_us)
--- a/slipbay/policy/outbox.py
+++ b/slipbay/policy/outbox.py
@@ -1,4 +1,4 @@
-"""What a controller asks of its host: the actions of one call, and timers with what they start."""
+"""Output of a controller to its host: the actions of one call, and timers with their callbacks."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from slipbay.policy.actions import Action, SetTimer
 
-TOKEN_RANGE = 2**32  # timer tokens are 32 bits on the simulator's wire
+TOKEN_RANGE = 2**32  # timer tokens have 32 bits in the simulator's protocol
 
 
 class Outbox:
-    """Collects actions in order and keeps the callback of each timer that is still to fire."""
+    """Collects actions in order, and stores the callbacks of pending timers."""
 
     def __init__(self) -> None:
         self.actions: list[Action] = []
@@ -22,13 +22,13 @@
         self.actions.append(action)
 
     def set_timer(self, at_us: int, callback: Callable[[int], None]) -> None:
-        """Ask the host for a wake-up; ``callback`` is called with the time it fires at."""
+        """Set a timer at the host; ``callback`` is called with the time at which it fires."""
         self.last_token = (self.last_token + 1) % TOKEN_RANGE
         self.timers[self.last_token] = callback
         self.actions.append(SetTimer(self.last_token, max(at_us, 0)))
 
     def fire(self, token: int, now_us: int) -> None:
-        """Run the callback of a timer, once; tokens that are not known do nothing."""
+        """Run the callback of a timer, once; unknown tokens are ignored."""
         callback = self.timers.pop(token, None)
         if callback is not None:
             callback(now_us)
--- a/slipbay/policy/outlier_detection.py
+++ b/slipbay/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Which engines are unhealthy, judged by symptoms whatever their cause; times in microseconds."""
+"""Detects unhealthy engines from their symptoms, whatever the cause. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -9,22 +9,25 @@
 from slipbay.policy.records import Attempt, ClassErrors, ClassState, Engine, Query
 from slipbay.policy.settings import Effect, Settings
 from slipbay.policy.statistics import SAMPLE_WEIGHT
-from slipbay.policy.timing import SECOND, WATCH_PERIOD
-
-SILENCE = 2.5  # progress periods (objectives, where no notes are sent) without a sign while one is due
-STALL = 3 * WATCH_PERIOD  # us that our own timer is late when it was we who stood still
-ERROR_SHARE = 0.19  # running share of broken connections that keeps an engine out after a good answer
-CLASS_ERROR_SHARE = 0.45  # running share of errors that ejects an engine for a class; three one after another
-CLASS_EJECTION = 5 * SECOND  # us that an engine gets no queries of a class that it errs on
-# part of our sends that may probe unhealthy engines; each may cost its query the objective
-PROBE_SHARE = 0.05
+from slipbay.policy.timing import CHECK_PERIOD_US, SECOND
+
+# progress periods without a note or reply after which an engine with attempts counts as unresponsive; if the
+# engines send no notes, latency objectives take the place of progress periods
+UNRESPONSIVE_PERIODS = 2.5
+MIN_STALL_US = 3 * CHECK_PERIOD_US  # us of timer delay that show a pause of this process
+MAX_CONNECTION_ERROR_SHARE = 0.19  # running share of connection errors from which an engine stays unhealthy
+# running share of errors above which an engine is ejected for a class; three consecutive errors exceed it
+MAX_CLASS_ERROR_SHARE = 0.45
+CLASS_EJECTION_US = 5 * SECOND  # us that an engine gets no queries of a class after errors on it
+# fraction of sends that may probe unhealthy engines; a probe may make its query miss the latency objective
+PROBE_FRACTION = 0.05
 
 NO_ERRORS = ClassErrors()
-BROKEN = (Outcome.CONNECT_FAILED, Outcome.RESET)
+CONNECTION_ERRORS = (Outcome.CONNECT_FAILED, Outcome.RESET)
 
 
 class OutlierDetector:
-    """Judges engines by the ends of attempts, by notes and by silence, and rations probe requests."""
+    """Detects unhealthy engines by outcomes, notes and missing replies, and limits probe requests."""
 
     def __init__(self, settings: Settings, pressure: Pressure) -> None:
         self.settings = settings
@@ -32,25 +35,28 @@
         self.probe_tokens = 1.0
 
     def may_probe(self, engine: Engine, class_state: ClassState) -> bool:
-        """Whether a query of the class may go to an unhealthy engine to see whether it has recovered."""
+        """Whether a query of the class may be sent to an unhealthy engine as a probe request."""
         return engine.is_unhealthy and self.probe_tokens >= 1 and class_state.spec.effect is Effect.SAFE
 
     def record_send(self, engine: Engine) -> None:
-        """Each send earns a part of a probe request; one to an unhealthy engine is a probe request."""
-        self.probe_tokens = min(1.0, self.probe_tokens + PROBE_SHARE) - engine.is_unhealthy
+        """Count a send: it adds a fraction of a probe token; to an unhealthy engine, it uses one token."""
+        self.probe_tokens = min(1.0, self.probe_tokens + PROBE_FRACTION) - engine.is_unhealthy
 
     def record_note(self, engine: Engine, now_us: int) -> None:
-        """A note on a running attempt is a sign of life."""
-        engine.last_sign_us = now_us
-        engine.is_unhealthy = engine.is_unhealthy and engine.connection_error_share >= ERROR_SHARE
+        """Record a progress note, which shows that the engine responds."""
+        engine.last_activity_us = now_us
+        engine.is_unhealthy = (
+            engine.is_unhealthy and engine.connection_error_share >= MAX_CONNECTION_ERROR_SHARE
+        )
 
     def record_end(
         self, query: Query, engine: Engine, outcome: Outcome, may_retry: bool, now_us: int
     ) -> bool:
-        """Judge the engine by an attempt's end; true if a further attempt is not worth a try.
+        """Update the engine's health after an attempt; returns true if a retry would be futile.
 
-        An error counts against the engine only once another has answered the query well: what none can run
-        errs everywhere. If two have erred that run its class, a third is not worth a try.
+        An error counts against the engine only after another engine has answered the query, because a query
+        that no engine can run fails on all of them. After errors on two engines that can run the class, a
+        third attempt is futile.
         """
         if outcome is Outcome.ERROR:
             return self._record_error(query, engine, may_retry, now_us)
@@ -63,7 +69,7 @@
 
     def _record_error(self, query: Query, engine: Engine, may_retry: bool, now_us: int) -> bool:
         is_ejected = engine.is_ejected_for(query.class_state, now_us)
-        engine.last_sign_us = now_us
+        engine.last_activity_us = now_us
         if query.failed_on not in (None, engine) and not is_ejected:
             return True
         if may_retry and not is_ejected and query.failed_on is None:
@@ -75,40 +81,41 @@
     def _record_class_error(
         self, engine: Engine, class_state: ClassState, is_error: bool, now_us: int
     ) -> None:
-        """An engine may err on one class and run others well, so that they say nothing of it."""
+        """Update the errors of the class only, as an engine may fail on one class and run others well."""
         errors = engine.class_errors.get(class_state, NO_ERRORS)
         share = errors.share
         share += SAMPLE_WEIGHT * (is_error - share)
         until_us = errors.ejected_until_us
-        if is_error and share > CLASS_ERROR_SHARE:
-            until_us = now_us + CLASS_EJECTION
+        if is_error and share > MAX_CLASS_ERROR_SHARE:
+            until_us = now_us + CLASS_EJECTION_US
         engine.class_errors[class_state] = ClassErrors(share, until_us)
 
     def _record_symptoms(self, engine: Engine, outcome: Outcome, now_us: int) -> None:
-        is_broken = outcome in BROKEN
-        if outcome is Outcome.FULL:  # far past any useful load; a hung engine fills up and rejects all
+        is_broken = outcome in CONNECTION_ERRORS
+        # far above any useful load; a hung engine fills up and rejects all queries
+        if outcome is Outcome.FULL:
             self.pressure.report(now_us)
             engine.is_unhealthy = True
         if is_broken or outcome is Outcome.OK:
-            engine.last_sign_us = now_us
+            engine.last_activity_us = now_us
             engine.connection_error_share += SAMPLE_WEIGHT * (is_broken - engine.connection_error_share)
         if outcome is Outcome.CONNECT_FAILED:
-            engine.down_since_us = now_us  # it may be back, and cold, before the list says so
+            engine.down_since_us = now_us  # it may have restarted, and be cold, before the list reports it
         if is_broken:
             engine.is_unhealthy = True
         if outcome is Outcome.OK and engine.is_unhealthy:
-            engine.is_unhealthy = engine.connection_error_share >= ERROR_SHARE
-            if engine.is_unhealthy:  # a probe request went well: the next may follow
+            engine.is_unhealthy = engine.connection_error_share >= MAX_CONNECTION_ERROR_SHARE
+            if engine.is_unhealthy:  # the probe request succeeded: permit the next one
                 self.probe_tokens = 1.0
 
-    def find_silent(self, engines: Iterable[Engine], now_us: int, due_us: int) -> list[Attempt]:
-        """Mark engines that give no sign as unhealthy; returns their attempts, which may be lost.
+    def find_unresponsive(self, engines: Iterable[Engine], now_us: int, scheduled_us: int) -> list[Attempt]:
+        """Mark unresponsive engines as unhealthy; returns their attempts, which may be lost.
 
-        ``due_us``: when this look was to take place; where it comes far too late, it is we who stood still,
-        nothing is held against the engines, and queries are released by the bounds. An engine that works on
-        unheard is hurt by this.
+        ``scheduled_us`` is the planned time of this check. If the check runs far too late, this process was
+        paused: the engines are not blamed, and pressure is reported so that the bounds limit the release of
+        queries. An engine that still works but cannot be reached is marked as well.
         """
-        stalled = now_us - due_us > STALL
+        stalled = now_us - scheduled_us > MIN_STALL_US
         if stalled:
             self.pressure.report(now_us)
         attempts: list[Attempt] = []
@@ -116,14 +123,14 @@
             if not engine.attempts:
                 continue
             if stalled:
-                engine.last_sign_us = now_us
-            if self._is_silent(engine, now_us):
+                engine.last_activity_us = now_us
+            if self._is_unresponsive(engine, now_us):
                 engine.is_unhealthy = True
                 attempts += engine.attempts.values()
         return attempts
 
-    def _is_silent(self, engine: Engine, now_us: int) -> bool:
+    def _is_unresponsive(self, engine: Engine, now_us: int) -> bool:
         oldest = next(iter(engine.attempts.values()))
         query = oldest.query
         period = self.settings.progress_us or query.class_state.latency_objective(query.cost)
-        return now_us - max(oldest.sent_us, engine.last_sign_us) > SILENCE * period
+        return now_us - max(oldest.sent_us, engine.last_activity_us) > UNRESPONSIVE_PERIODS * period
--- a/slipbay/policy/pressure.py
+++ b/slipbay/policy/pressure.py
@@ -1,14 +1,14 @@
-"""Whether there is more work than the engines can do in time, judged by signs that expire."""
+"""Tracks whether there is more work than the engines can do in time, by signals that expire."""
 
 from __future__ import annotations
 
 from slipbay.policy.timing import SECOND
 
-PRESSURE_HOLD = 2 * SECOND  # us that a sign of pressure lasts; two resets of the bound
+PRESSURE_HOLD_US = 2 * SECOND  # us for which a signal of pressure counts; two sampling periods
 
 
 class Pressure:
-    """Signs of overload: a full engine, answers far slower than the best, peers' threads, a stall of ours."""
+    """Signals of overload: a full engine, slow answers, reports of peers, and pauses of this process."""
 
     __slots__ = ("until_us",)
 
@@ -16,13 +16,13 @@
         self.until_us = 0
 
     def is_on(self, now_us: int) -> bool:
-        """Whether a sign is recent enough to count."""
+        """Whether the latest signal is still valid."""
         return now_us < self.until_us
 
     def report(self, now_us: int) -> None:
-        """Record a sign seen now."""
-        self.until_us = now_us + PRESSURE_HOLD
+        """Record a signal at ``now_us``."""
+        self.until_us = now_us + PRESSURE_HOLD_US
 
     def extend(self, until_us: int) -> None:
-        """Keep the pressure on until a time at least."""
+        """Keep the pressure on at least until ``until_us``."""
         self.until_us = max(self.until_us, until_us)
--- a/slipbay/policy/priority.py
+++ b/slipbay/policy/priority.py
@@ -1,4 +1,4 @@
-"""Which service class goes first, and what that gives its queries."""
+"""Selects the service class with the highest priority, and the priority of its queries."""
 
 from __future__ import annotations
 
@@ -8,22 +8,26 @@
 from slipbay.policy.settings import Settings
 from slipbay.policy.timing import SECOND
 
-HIGH_PRIORITY = 3  # of the class with most utility for its work
-USUAL_PRIORITY = 1  # of all others
-HIGH_PRIORITY_ROOM = 2.0  # times their bound that threads may grow for it; far beyond it engines reject it
+HIGH_PRIORITY = 3  # of the class with the highest utility per us of work
+USUAL_PRIORITY = 1  # of all other classes
+# times the thread bound that it may use; engines reject queries far above the bound
+HIGH_PRIORITY_THREAD_FACTOR = 2.0
 
 
 class Priorities:
-    """Picks the class with the highest utility for its work."""
+    """Selects the class with the highest utility per us of work."""
 
     def __init__(self, settings: Settings, classes: Sequence[ClassState]) -> None:
         self.classes = classes
-        self.may_exceed_room = settings.supports_priority and not settings.may_gossip
+        self.may_exceed_bound = settings.supports_priority and not settings.may_gossip
 
-    def highest(self) -> ClassState:
-        """The class with most utility for its work: it has priority and is not held for others' threads."""
+    def highest_class(self) -> ClassState:
+        """The class with the highest utility per us of work.
+
+        It has priority, and the threads that other classes use do not hold it back.
+        """
         return max(self.classes, key=lambda c: c.spec.utility / (c.charged_work or SECOND))
 
     def of(self, class_state: ClassState) -> int:
-        """Priority that engines are to run queries of the class with."""
-        return HIGH_PRIORITY if class_state is self.highest() else USUAL_PRIORITY
+        """Priority at which engines must run queries of the class."""
+        return HIGH_PRIORITY if class_state is self.highest_class() else USUAL_PRIORITY
--- a/slipbay/policy/protocol.py
+++ b/slipbay/policy/protocol.py
@@ -1,8 +1,8 @@
-"""The contract between a routing policy and its host.
+"""The interface between a routing policy and its host.
 
-A host builds one policy for each router and calls ``handle(now_us, events)`` with everything that has come in
-since the last call; the actions returned are carried out in order, at that time. All times are whole
-microseconds of one clock that only goes forward.
+A host creates one policy for each router and calls ``handle(now_us, events)`` with all events since the last
+call. It executes the returned actions in order, immediately. All times are integer microseconds of one
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 
 class Policy(Protocol):
-    """What hosts drive; ``slipbay.policy.controller.Controller`` is one."""
+    """The policy that a host calls; ``slipbay.policy.controller.Controller`` implements it."""
 
     def handle(self, now_us: int, events: Sequence[Event]) -> list[Action]:
-        """Take in what has come since the last call; returns what the host is to do, in order."""
+        """Process the events since the last call; returns the actions for the host to execute in order."""
         ...
--- a/slipbay/policy/release.py
+++ b/slipbay/policy/release.py
@@ -1,4 +1,4 @@
-"""Held queries leave for engines, most urgent class first; times in microseconds."""
+"""Sends queued queries to engines, most urgent class first. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class QueueRelease:
-    """Sends held queries while engines have room, and answers those that cannot be served in time."""
+    """Sends queued queries while engines have room, and answers those that cannot be served in time."""
 
     def __init__(
         self,
@@ -33,9 +33,9 @@
         self.pressure = pressure
 
     def release(self, now_us: int) -> None:
-        """Empty the queues as far as engines have room, in the order of arrival within a class."""
+        """Send queued queries while engines have room, in order of arrival within a class."""
         held = [class_state for class_state in self.classes if class_state.queue]
-        if len(held) > 1:  # first the class whose first has waited the largest share of its objective
+        if len(held) > 1:  # first the class whose oldest query has waited the largest share of its objective
             held.sort(key=lambda c: (c.queue[0].arrived_us - now_us) / c.latency_objective(c.queue[0].cost))
         for class_state in held:
             self._release_class(class_state, now_us)
@@ -44,23 +44,23 @@
         queue = class_state.queue
         while queue:
             query = queue[0]
-            if self._is_hopeless(query, now_us):
+            if self._is_unservable(query, now_us):
                 self.queries.answer(query, now_us)
                 continue
             engine = self.selector.choose(query, now_us)
             if engine is None:
                 if self.pressure.is_on(now_us):
-                    # until what is held has left, or all routers would release it at once
+                    # extend while queries are queued; otherwise all routers would release them at once
                     self.pressure.extend(now_us + GOSSIP_PERIOD)
                 return
             class_state.release(query)
             self.attempts.send(query, engine, now_us)
 
-    def _is_hopeless(self, query: Query, now_us: int) -> bool:
-        """Whether it cannot be in time, or what allowed it a further attempt has passed."""
+    def _is_unservable(self, query: Query, now_us: int) -> bool:
+        """Whether a query can no longer be answered in time, or its retry is no longer permitted."""
         if query.attempts_sent:
             return not self.retries.may_retry(query, now_us, query.may_have_run_since_us, reserved=0)
-        if now_us + query.least_run_us > query.deadline_us:
+        if now_us + query.min_run_us > query.deadline_us:
             return True
         class_state = query.class_state
         if class_state.spec.late_utility and not self.pressure.is_on(now_us):
--- a/slipbay/policy/selection.py
+++ b/slipbay/policy/selection.py
@@ -1,4 +1,4 @@
-"""Which engine a query is sent to; times in microseconds."""
+"""Selects the engine for a query. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -13,39 +13,42 @@
 from slipbay.policy.gossip import LoadGossip
 from slipbay.policy.outlier_detection import OutlierDetector
 from slipbay.policy.pressure import Pressure
-from slipbay.policy.priority import HIGH_PRIORITY_ROOM, Priorities
+from slipbay.policy.priority import HIGH_PRIORITY_THREAD_FACTOR, Priorities
 from slipbay.policy.records import Engine, Query
 from slipbay.policy.settings import Effect, Scope, Settings
 from slipbay.policy.slow_start import SlowStart
 
-WARM_BONUS = 4.0  # threads that a warm group may outweigh; reading is a part of the work only
-# threads that an engine of the group's arc may hold more, where it is not warm yet
-HOME_BONUS = WARM_BONUS / 2
-CROSSING = 1.5  # threads that an engine in our own zone may hold more; a query that crosses has its price
-# engines that a router draws from without pressure; more would each want a connection of their own
-NEAREST = 8
-SAMPLE = 2  # engines drawn for a choice by reported loads, besides that of the group's arc
+# Threads subtracted from the load of an engine that has the group in memory. Reading data is only part of a
+# query's work, so a warm group must not outweigh a much higher load.
+WARM_GROUP_BONUS = 4.0
+# threads subtracted for an engine on the group's arc that does not have the group in memory yet
+GROUP_ARC_BONUS = WARM_GROUP_BONUS / 2
+# threads added to the load of an engine in another zone; cross-zone queries cost more
+CROSS_ZONE_PENALTY = 1.5
+# engines that a router samples from without pressure; each additional engine needs a connection of its own
+MAX_NEAREST_ENGINES = 8
+SAMPLE_SIZE = 2  # engines sampled when peers report their loads, in addition to the engine on the group's arc
 
 Rank: TypeAlias = tuple[int, bool, int, float, float]
-"""Order of engines for a query, least first: loads in its way, had it last, health, threads held, chance."""
+"""Sort key of an engine for a query, lowest first: load conflicts, last used, health, threads, random."""
 
 
 @dataclass(slots=True)
-class _View:
-    """What holds as one choice is made."""
+class _ChoiceContext:
+    """Conditions that apply to one selection."""
 
     now_us: int
-    knows_peers: bool  # whether the threads that other routers hold were reported lately
-    is_pressed: bool
-    home: EngineId | None = None  # an engine of the arc of the query's group
+    has_peer_loads: bool  # whether peers have recently reported the threads that they use
+    is_under_pressure: bool
+    arc_engine: EngineId | None = None  # an engine on the arc of the query's group
 
     def threads_on(self, engine: Engine) -> int:
-        """Threads held on an engine, as far as known."""
-        return engine.threads + engine.peer_threads if self.knows_peers else engine.threads
+        """Known number of threads in use on an engine."""
+        return engine.threads + engine.peer_threads if self.has_peer_loads else engine.threads
 
 
 class EngineSelector:
-    """Chooses engines by placement rules, health, threads held, warm groups and zone."""
+    """Selects engines by placement rules, health, threads in use, warm groups and zone."""
 
     def __init__(
         self,
@@ -72,90 +75,97 @@
         self.random = random
 
     def choose(self, query: Query, now_us: int) -> Engine | None:
-        """The best engine for a query's next attempt; ``None`` where it must wait."""
-        view = _View(now_us, self.gossip.is_recent(now_us), self.pressure.is_on(now_us))
-        if view.is_pressed and not view.knows_peers and self._holds_whole_share(query):
+        """Select the best engine for a query's next attempt; ``None`` if the query must wait."""
+        context = _ChoiceContext(now_us, self.gossip.is_recent(now_us), self.pressure.is_on(now_us))
+        if context.is_under_pressure and not context.has_peer_loads and self._has_used_thread_share(query):
             return None
         allowed = [e for e in self.engines.by_id.values() if self.is_allowed(query, e, now_us)]
         unhealthy = {e for e in allowed if e.is_unhealthy or e.is_ejected_for(query.class_state, now_us)}
-        all_unhealthy = len(unhealthy) == len(allowed)  # rather our own view is at fault than they
+        are_all_unhealthy = len(unhealthy) == len(allowed)  # then the local health data is probably wrong
         if not query.class_state.spec.is_load:
-            view.home = self.affinity.draw(query.group, self.random)
-        may_open = self.pacer.may_open(now_us)  # a connection, as all come back at once
+            context.arc_engine = self.affinity.draw_engine(query.group, self.random)
+        # new connections are paced while many routers warm up together
+        may_open = self.pacer.may_open(now_us)
         connected: list[Engine] = []
         if self.pacer.is_limited:
-            connected = self._connected([e for e in allowed if e not in unhealthy], may_open, view)
+            connected = self._find_connected([e for e in allowed if e not in unhealthy], may_open, context)
         if not (connected or may_open):
             return None
         candidates = connected or allowed
-        if view.knows_peers and not connected:
-            candidates = self._spread(query, allowed, unhealthy, view)
-        return self._best(query, candidates, unhealthy, all_unhealthy, view)
+        if context.has_peer_loads and not connected:
+            candidates = self._limit_candidates(query, allowed, unhealthy, context)
+        return self._select_best(query, candidates, unhealthy, are_all_unhealthy, context)
 
-    def _best(
-        self, query: Query, candidates: list[Engine], unhealthy: set[Engine], all_unhealthy: bool, view: _View
+    def _select_best(
+        self,
+        query: Query,
+        candidates: list[Engine],
+        unhealthy: set[Engine],
+        are_all_unhealthy: bool,
+        context: _ChoiceContext,
     ) -> Engine | None:
-        """The first by rank of those that have room; unhealthy ones only to probe them or if all are."""
+        """The best-ranked engine with room; an unhealthy one only as a probe or if all are unhealthy."""
         best_rank: Rank | None = None
         best: Engine | None = None
         for engine in candidates:
             is_unhealthy = engine in unhealthy
             is_probe = is_unhealthy and self.outliers.may_probe(engine, query.class_state)
-            if is_unhealthy and not (is_probe or all_unhealthy):
+            if is_unhealthy and not (is_probe or are_all_unhealthy):
                 continue
-            if view.is_pressed and self._is_full(query, engine, view):
+            if context.is_under_pressure and self._is_at_capacity(query, engine, context):
                 continue
-            rank = self._rank(query, engine, is_unhealthy - 2 * is_probe, view)
+            rank = self._rank(query, engine, is_unhealthy - 2 * is_probe, context)
             if best_rank is None or rank < best_rank:
                 best_rank = rank
                 best = engine
         return best
 
-    def _holds_whole_share(self, query: Query) -> bool:
-        """Whether we hold our share of the threads, so that only the highest class may grow beyond it."""
+    def _has_used_thread_share(self, query: Query) -> bool:
+        """Whether the local share of threads is used up; only the highest-priority class may exceed it."""
         engines = self.engines
         if engines.threads_in_flight < engines.thread_share:
             return False
-        return query.class_state is not self.priorities.highest()
+        return query.class_state is not self.priorities.highest_class()
 
-    def _connected(self, healthy: list[Engine], may_open: bool, view: _View) -> list[Engine]:
-        """Engines with an idle connection of ours; where one may be opened only those that have room."""
+    def _find_connected(self, healthy: list[Engine], may_open: bool, context: _ChoiceContext) -> list[Engine]:
+        """Engines with an idle connection; if a new one may be opened, only those that also have room."""
         connected = [e for e in healthy if e.has_idle_connection]
         if not may_open:
             return connected
-        if view.is_pressed:  # the best of all
+        if context.is_under_pressure:  # the caller then selects among all allowed engines
             return []
         return [
             e
             for e in connected
-            if view.threads_on(e) < THREADS_PER_CORE * e.cores * e.capacity(view.now_us, self.settings)
+            if context.threads_on(e) < THREADS_PER_CORE * e.cores * e.capacity(context.now_us, self.settings)
         ]
 
-    def _spread(
-        self, query: Query, allowed: list[Engine], unhealthy: set[Engine], view: _View
+    def _limit_candidates(
+        self, query: Query, allowed: list[Engine], unhealthy: set[Engine], context: _ChoiceContext
     ) -> list[Engine]:
-        """Some of the engines, as what all routers know would send them all to the same one."""
-        drawn = self._draw(query, allowed, view.is_pressed)
+        """A subset of engines: all routers see the same load reports and would all select the same engine."""
+        sampled = self._sample_engines(query, allowed, context.is_under_pressure)
         return [
             e
             for e in allowed
             if e in unhealthy
-            or e.entry.engine == view.home
-            or e in drawn
-            or e.capacity(view.now_us, self.settings) < 1  # cold: few may send it anything, so those do
+            or e.entry.engine == context.arc_engine
+            or e in sampled
+            or e.capacity(context.now_us, self.settings)
+            < 1  # cold: only a few routers may use it, so keep it
         ]
 
-    def _draw(self, query: Query, allowed: list[Engine], is_pressed: bool) -> list[Engine]:
-        """Some engines at random: of the near ones without pressure, else of all."""
-        near = allowed
-        if not is_pressed:
-            near = sorted(allowed, key=lambda e: e.distance(self.settings.zone))[:NEAREST]
-        elif query.class_state is not self.priorities.highest():
-            return near  # these are held back by their lottery
-        return self.random.sample(near, min(SAMPLE, len(near)))
+    def _sample_engines(self, query: Query, allowed: list[Engine], is_under_pressure: bool) -> list[Engine]:
+        """Random engines: from the nearest ones without pressure, otherwise from all."""
+        nearest = allowed
+        if not is_under_pressure:
+            nearest = sorted(allowed, key=lambda e: e.distance(self.settings.zone))[:MAX_NEAREST_ENGINES]
+        elif query.class_state is not self.priorities.highest_class():
+            return nearest  # the lottery limits these classes
+        return self.random.sample(nearest, min(SAMPLE_SIZE, len(nearest)))
 
     def is_allowed(self, query: Query, engine: Engine, now_us: int) -> bool:
-        """The rules alone: list state, placement, duplicates of keyed queries, the cold budget."""
+        """Whether the rules permit the engine: list state, placement, deduplication and cold budget."""
         spec = query.class_state.spec
         entry = engine.entry
         if (
@@ -170,7 +180,7 @@
         return self.slow_start.has_room(query.class_state, engine, now_us)
 
     def _is_deduplicated(self, query: Query, ran_on: Engine, engine: Engine) -> bool:
-        """Whether a query that may have run on one engine does no harm on another."""
+        """Whether a query that may have run on one engine can safely run on another."""
         spec = query.class_state.spec
         if spec.effect is not Effect.KEYED or spec.dedup_scope is Scope.ALL:
             return True
@@ -178,46 +188,51 @@
             return False
         return spec.dedup_scope is not Scope.CELL or ran_on.entry.cell == engine.entry.cell
 
-    def _speed(self, engine: Engine, capacity: float) -> float:
-        """Part of its cores' full speed that an engine has: less while it is cold or slower than most."""
-        return capacity / max(1.0, engine.paces.value() / (self.engines.paces.value() or 1.0))
+    def _relative_speed(self, engine: Engine, capacity: float) -> float:
+        """Fraction of full speed of an engine: below 1 while it is cold or slower than the average engine."""
+        return capacity / max(1.0, engine.pace_ratio.value() / (self.engines.pace_ratio.value() or 1.0))
 
-    def _is_full(self, query: Query, engine: Engine, view: _View) -> bool:
+    def _is_at_capacity(self, query: Query, engine: Engine, context: _ChoiceContext) -> bool:
         """Whether an engine has no room for a query under pressure.
 
-        All routers hear of the same free threads at once: each takes its share, by lottery if that is too
-        little for a query.
+        All routers learn of the same free threads at the same time. Each router takes its share of them, by
+        lottery if the share is too small for a query.
         """
         spec = query.class_state.spec
         router_count = self.engines.router_count
-        capacity = engine.capacity(view.now_us, self.settings)  # under 1: cold with room for us now
-        threads = view.threads_on(engine)
-        room = THREADS_PER_CORE * engine.cores * self._speed(engine, capacity)
-        if not view.knows_peers:
+        # below 1: cold, and the slow start has room
+        capacity = engine.capacity(context.now_us, self.settings)
+        threads = context.threads_on(engine)
+        room = THREADS_PER_CORE * engine.cores * self._relative_speed(engine, capacity)
+        if not context.has_peer_loads:
             room /= router_count
-        is_full = threads >= room
-        if not is_full and view.knows_peers and capacity == 1:  # cold ones are chosen already
-            more = engine.threads - engine.threads_at_report + spec.threads
+        is_at_capacity = threads >= room
+        # slow start limits cold engines already
+        if not is_at_capacity and context.has_peer_loads and capacity == 1:
+            added_threads = engine.threads - engine.threads_at_report + spec.threads
             free = (room - engine.peer_threads - engine.threads_at_report) / router_count
-            is_full = more > free + engine.lottery * spec.threads
-        if not is_full:
+            is_at_capacity = added_threads > free + engine.lottery_draw * spec.threads
+        if not is_at_capacity:
             return False
-        may_exceed = self.priorities.may_exceed_room and threads < HIGH_PRIORITY_ROOM * room
-        return not ((view.knows_peers or may_exceed) and query.class_state is self.priorities.highest())
+        may_exceed = self.priorities.may_exceed_bound and threads < HIGH_PRIORITY_THREAD_FACTOR * room
+        return not (
+            (context.has_peer_loads or may_exceed) and query.class_state is self.priorities.highest_class()
+        )
 
-    def _rank(self, query: Query, engine: Engine, health: int, view: _View) -> Rank:
-        """How well an engine suits a query, least first."""
+    def _rank(self, query: Query, engine: Engine, health: int, context: _ChoiceContext) -> Rank:
+        """Sort key of the engine for the query, best engine first."""
         spec = query.class_state.spec
-        capacity = engine.capacity(view.now_us, self.settings)
-        clash = 0
-        if (spec.is_load or spec.waits_for_loads) and engine.is_locked(query.group, view.now_us):
-            clash = max(1, engine.loads_of(query.group))  # the shortest queue where all have one
+        capacity = engine.capacity(context.now_us, self.settings)
+        load_conflicts = 0
+        if (spec.is_load or spec.waits_for_loads) and engine.is_locked(query.group, context.now_us):
+            # prefer the shortest queue if all engines have one
+            load_conflicts = max(1, engine.loads_of(query.group))
         bonus = 0.0
         if capacity < 1 or query.group in engine.recent_groups:
-            bonus = WARM_BONUS
-        elif engine.entry.engine == view.home:
-            bonus = HOME_BONUS
-        crossing = CROSSING if engine.entry.zone != self.settings.zone else 0.0
-        threads = view.threads_on(engine) + spec.threads
-        holding = (threads - bonus + crossing) / self._speed(engine, capacity)
-        return (clash, engine is query.last_engine, health, holding, self.random.random())
+            bonus = WARM_GROUP_BONUS
+        elif engine.entry.engine == context.arc_engine:
+            bonus = GROUP_ARC_BONUS
+        zone_penalty = CROSS_ZONE_PENALTY if engine.entry.zone != self.settings.zone else 0.0
+        threads = context.threads_on(engine) + spec.threads
+        effective_threads = (threads - bonus + zone_penalty) / self._relative_speed(engine, capacity)
+        return (load_conflicts, engine is query.last_engine, health, effective_threads, self.random.random())
--- a/slipbay/policy/settings.py
+++ b/slipbay/policy/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a routing policy: the classes of queries and limits of the deployment. Times in us."""
+"""Settings of a routing policy: the service classes and the limits of the deployment. Times are in us."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class InvalidSettingsError(ValueError):
-    """A rule that the settings break; ``rule`` says what is wanted."""
+    """Settings that violate a rule; ``rule`` is the text of the rule."""
 
     def __init__(self, rule: str) -> None:
         super().__init__(f"invalid settings: want {rule}")
@@ -15,7 +15,7 @@
 
 
 class Effect(Enum):
-    """What a repeat of a query may do."""
+    """Whether a query may be executed more than once."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -23,7 +23,7 @@
 
 
 class Scope(Enum):
-    """Which engines drop repeats of a keyed query."""
+    """Engines that deduplicate a keyed query."""
 
     ALL = "all"
     ZONE = "zone"
@@ -34,54 +34,55 @@
 class ServiceClass:
     """One class of queries."""
 
-    latency_objective_us: int  # within which an answer has its full utility
-    deadline_us: int  # after which clients have given up
-    effect: Effect  # what a repeat may do
-    utility: float = 1.0  # of an answer within the objective
-    late_utility: float = 0.0  # share of it that an answer after the objective keeps
-    latency_objective_stretch: float = 0.0  # times the query's run time that its objective is longer
-    threads: int = 1  # of an engine that a query runs on
-    is_load: bool = False  # it holds its group of tables while it runs
-    waits_for_loads: bool = False  # it waits for loads that hold its group
-    dedup_scope: Scope = Scope.ALL  # engines that drop repeats
-    dedup_window_us: int = 0  # for how long they do
-    in_order: bool = False  # queries of one key run one at a time, as they came
-    zones: tuple[int, ...] | None = None  # that may run it; None for all
+    latency_objective_us: int  # an answer within it has its full utility
+    deadline_us: int  # clients stop waiting after it
+    effect: Effect  # whether a repeat is safe
+    utility: float = 1.0  # utility of an answer within the objective
+    late_utility: float = 0.0  # share of the utility of an answer after the objective
+    latency_objective_stretch: float = 0.0  # the objective is longer by this many times the query's run time
+    threads: int = 1  # threads of an engine that a query uses
+    is_load: bool = False  # a query locks its table group while it runs
+    waits_for_loads: bool = False  # a query waits for loads that lock its group
+    dedup_scope: Scope = Scope.ALL  # engines that deduplicate repeats
+    dedup_window_us: int = 0  # how long engines deduplicate repeats
+    in_order: bool = False  # queries of one key run one at a time, in order of arrival
+    zones: tuple[int, ...] | None = None  # zones of engines that may run it; None for all
     kinds: tuple[int, ...] | None = None  # kinds of engines that may run it; None for all
-    stream: bool = False  # its answers stream
+    stream: bool = False  # its answers are streamed
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Handed over once, at the start of a router. Values out of range raise ``InvalidSettingsError``."""
+    """Passed once, at the start of a router. Values out of range raise ``InvalidSettingsError``."""
 
     classes: tuple[ServiceClass, ...]
     router_count: int = 1  # routers of the fleet
-    router_number: int = 0  # of this one, from 0
-    zone: int = 0  # of this one
-    kind_cores: tuple[float, ...] = ()  # cores of an engine, by kind
+    router_number: int = 0  # number of this router, from 0
+    zone: int = 0  # zone of this router
+    kind_cores: tuple[float, ...] = ()  # cores of an engine, by its kind
     tick_us: int = 1000  # resolution of the host's timers
-    answer_slack_us: int = 0  # by which an answer may pass its deadline
-    max_attempts: int = 1  # of a query, the first one included
+    answer_slack_us: int = 0  # time after its deadline at which an answer still counts
+    max_attempts: int = 1  # attempts of a query, including the first
     may_cancel: bool = False  # attempts can be stopped
     may_duplicate: bool = False  # two attempts of a query may run at once
     may_probe: bool = False  # health checks may be sent
     may_gossip: bool = False  # routers may send each other messages
     supports_priority: bool = False  # engines take a priority with an attempt
     max_retry_after_us: int = 0  # longest advice with a rejection; 0 for none
-    list_on_request: bool = False  # the engine list comes only when asked for
-    ask_within_us: int = 0  # since the last look at the list, after which the router counts as told of it
-    progress_us: int = 0  # between notes of a running attempt; 0 for none
-    report_fields: tuple[str, ...] = ()  # names of what load reports have
-    drain_grace_us: int = 0  # after news that an engine drains or is gone, in which sends to it must cease
-    cold_share: float = 1.0  # of its capacity that an engine has at its start
-    cold_multiple: float = 1.0  # its present capacity that a cold engine bears
-    cold_window_us: int = 0  # over which that is counted
-    ramp_us: int = 0  # until an engine has its full capacity
-    key_rest_us: int = 0  # that a key rests after an unknown outcome
-    free_retries: float | None = None  # in the window, beside the share; None: retries are not limited
-    retry_share: float = 0.0  # retries to queries in the window
-    retry_window_us: int = 0  # over which both are counted
+    list_on_request: bool = False  # the engine list is sent only on request
+    ask_within_us: int = 0  # after a change of the list, the router counts as informed after this time
+    progress_us: int = 0  # interval between notes of a running attempt; 0 for none
+    report_fields: tuple[str, ...] = ()  # names of the values in load reports
+    # sends to an engine must stop within this time after the list reports it draining or gone
+    drain_grace_us: int = 0
+    cold_share: float = 1.0  # fraction of its capacity that an engine has at its start
+    cold_multiple: float = 1.0  # a cold engine takes work up to this many times its present capacity
+    cold_window_us: int = 0  # window over which this work is counted
+    ramp_us: int = 0  # time after its start until an engine has its full capacity
+    key_rest_us: int = 0  # time for which an order key is blocked after an unknown outcome
+    free_retries: float | None = None  # retries per window in addition to retry_share; None: no limit
+    retry_share: float = 0.0  # permitted retries per query in the window
+    retry_window_us: int = 0  # window over which both are counted
 
     def __post_init__(self) -> None:
         checks = {
--- a/slipbay/policy/slow_start.py
+++ b/slipbay/policy/slow_start.py
@@ -1,7 +1,8 @@
-"""What an engine that started a short while ago may be sent, over all routers.
+"""Limits the queries that all routers together send to an engine that has just started.
 
-The settings bound the work of all routers together in a window of ``cold_window_us``. As a share for each of
-hundreds of routers is less than a query, it is shared by the few whose time slot it is. Times are in us.
+The settings limit the total work of all routers in a window of ``cold_window_us``. With hundreds of routers,
+an equal share for each would be less than one query, so only a few routers, those with a time slot in this
+window, share the budget. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -13,17 +14,17 @@
 from slipbay.policy.gossip import GOSSIP_PERIOD, LoadGossip
 from slipbay.policy.records import ClassState, Engine
 from slipbay.policy.settings import Settings
-from slipbay.policy.timing import WATCH_PERIOD, Uptime
+from slipbay.policy.timing import CHECK_PERIOD_US, Uptime
 
-COLD_MARGIN = 0.5  # part of the cold budget that is used; slots that follow each other may share a window
-# part for the slots where there is a lottery too: two slots and it share a window
-COLD_LOTTERY_MARGIN = 1 / 3
-COLD_SLOTS = 8  # routers that may use a cold engine in a window, if a share each takes any query
-COLD_QUERIES = 1.5  # heaviest queries that such a share must take; light ones have spent some of it
+COLD_BUDGET_SHARE = 0.5  # of the cold budget is used; two consecutive slots may overlap one window
+# share of the budget if there is also a lottery: two slots and the lottery may overlap one window
+COLD_LOTTERY_BUDGET_SHARE = 1 / 3
+MAX_COLD_SLOTS = 8  # routers that may use a cold engine in a window, if each share has room for any query
+MIN_SLOT_QUERIES = 1.5  # heaviest queries that a slot's share must have room for; light ones use some of it
 
 
 class SlowStart:
-    """Budgets of cold engines: time slots, and a lottery where peers report their threads."""
+    """Budgets of cold engines: time slots, and a lottery if peers report their threads."""
 
     def __init__(
         self,
@@ -37,42 +38,43 @@
         self.classes = classes
         self.engines = engines
         self.gossip = gossip
-        self.router_count = settings.router_count  # that take slots, alive or not
+        self.router_count = settings.router_count  # routers that take time slots, live or not
         self.uptime = uptime
 
     def has_room(self, class_state: ClassState, engine: Engine, now_us: int) -> bool:
-        """Whether a cold engine may get one more query of the class from this router.
+        """Whether this router may send one more query of the class to a cold engine.
 
-        The heavier queries are, the fewer routers have the slot, and always the first of those in order: so
-        they need not agree. Our first window was spent before we began. Thin traffic leaves slots idle: where
-        sums are reported, each router without the slot takes its share of the threads that are free there, by
-        lottery if that is less than a query; all such shares weigh no more than a slot on the mean.
+        The heavier the queries are, the fewer routers get a slot, and always the first ones in the order for
+        the engine, so routers need no agreement. A router does not use its first window, because its earlier
+        process may have spent that budget. Low traffic leaves slots idle: if thread sums are reported, each
+        router without a slot takes its share of the engine's free threads, by lottery if the share is less
+        than a query. On average, these shares together use no more than one slot.
         """
         settings = self.settings
         window_us = settings.cold_window_us
         capacity = engine.capacity(now_us, settings)
         budget = settings.cold_multiple * capacity * engine.cores * CORE_WORK * window_us
-        most_slots = min(self.router_count, COLD_SLOTS)
-        slots = self._slots(most_slots, budget)
+        max_slots = min(self.router_count, MAX_COLD_SLOTS)
+        slots = self._slot_count(max_slots, budget)
         by_lottery = slots < self.router_count and self.gossip.is_recent(now_us)
-        budget *= COLD_LOTTERY_MARGIN if by_lottery else COLD_MARGIN
-        if self._place(engine, most_slots, now_us) < slots and self.uptime.age_us(now_us) >= window_us:
-            spent = engine.charges.since(now_us - window_us - WATCH_PERIOD)
+        budget *= COLD_LOTTERY_BUDGET_SHARE if by_lottery else COLD_BUDGET_SHARE
+        if self._slot_position(engine, max_slots, now_us) < slots and self.uptime.age_us(now_us) >= window_us:
+            spent = engine.charges.since(now_us - window_us - CHECK_PERIOD_US)
             return spent + class_state.charged_work <= budget / slots
         return by_lottery and self._wins_lottery(class_state, engine, capacity, budget)
 
-    def _slots(self, slots: int, budget: float) -> int:
-        """Routers that share the budget: fewer, the heavier the queries are."""
-        while slots > 1 and COLD_MARGIN * budget < slots * COLD_QUERIES * max(
+    def _slot_count(self, slots: int, budget: float) -> int:
+        """Number of routers that share the budget; lower for heavier queries."""
+        while slots > 1 and COLD_BUDGET_SHARE * budget < slots * MIN_SLOT_QUERIES * max(
             c.charged_work for c in self.classes
         ):
             slots //= 2
         return slots
 
-    def _place(self, engine: Engine, most_slots: int, now_us: int) -> int:
-        """Place of this router in the order for the engine, which moves on with each window."""
+    def _slot_position(self, engine: Engine, max_slots: int, now_us: int) -> int:
+        """Position of this router in the order for the engine; the order rotates with each window."""
         window = now_us // max(self.settings.cold_window_us, 1)
-        step = most_slots % self.router_count or 1
+        step = max_slots % self.router_count or 1
         return (crc32(engine.entry.engine) + self.settings.router_number + window * step) % self.router_count
 
     def _wins_lottery(self, class_state: ClassState, engine: Engine, capacity: float, budget: float) -> bool:
@@ -82,4 +84,4 @@
         fair_work = threads / class_state.spec.threads * work
         share = min(fair_work, budget * GOSSIP_PERIOD / window_us) / self.engines.router_count
         sent = sum(charge for at_us, charge in engine.charges.items if at_us >= self.gossip.sums_at_us)
-        return sent + work <= share + engine.lottery * work
+        return sent + work <= share + engine.lottery_draw * work
--- a/slipbay/policy/statistics.py
+++ b/slipbay/policy/statistics.py
@@ -1,17 +1,17 @@
-"""Small running statistics that the decisions learn from."""
+"""Running statistics that the decisions learn from."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Iterable
 
-# weight of a new sample in running means of errors and rates; about five samples of memory
+# weight of a new sample in running means of errors and rates; a memory of about five samples
 SAMPLE_WEIGHT = 0.2
-FADE = 0.03  # loss of old samples at each new one in ratios of cost, work and time; some thirty samples
+SAMPLE_DECAY = 0.03  # fraction that old samples lose at each new sample; a memory of about thirty samples
 
 
 class DecayingRatio:
-    """Running ratio of two sums, so that heavy queries count by their weight; old samples fade."""
+    """Running ratio of two sums, so that heavy queries have a higher weight; old samples decay."""
 
     __slots__ = ("above", "below")
 
@@ -20,7 +20,7 @@
         self.below = 0.0
 
     def add(self, above: float, below: float, fade: float) -> None:
-        """Count a sample; all older ones lose the share ``fade`` of their weight."""
+        """Add a sample; all older samples lose the fraction ``fade`` of their weight."""
         self.above += above - fade * self.above
         self.below += below - fade * self.below
 
@@ -29,14 +29,14 @@
         return self.above / self.below if self.below else default
 
     def seed(self, value: float, weight: float) -> None:
-        """Begin with what another router learned; nothing where there are samples of our own."""
+        """Set the initial ratio from another router; ignored if there are local samples."""
         if not self.below and value > 0:
             self.above = value * weight
             self.below = weight
 
 
 class SlidingWindow:
-    """Amounts by time (us), with their running sum over a span that ends now."""
+    """Amounts by time (us), with their sum over a window that ends now."""
 
     __slots__ = ("items", "total")
 
@@ -45,7 +45,7 @@
         self.total = 0.0
 
     def add(self, at_us: int, amount: float = 1.0) -> None:
-        """Count an amount; times never go back."""
+        """Add an amount; times must not decrease."""
         self.items.append((at_us, amount))
         self.total += amount
 
@@ -55,7 +55,7 @@
         self.total = sum(amount for _, amount in self.items)
 
     def since(self, start_us: int) -> float:
-        """Sum of what came after ``start_us``; what is older is forgotten."""
+        """Sum of the amounts after ``start_us``; removes older amounts."""
         while self.items and self.items[0][0] <= start_us:
             self.total -= self.items.popleft()[1]
         return self.total if self.items else 0.0
--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -157,7 +157,7 @@
     router = driver.controller
     cold = driver.controller.engines.by_id[engine(1)]
     router.gossip.sums_at_us = driver.now
-    cold.lottery = lottery
+    cold.lottery_draw = lottery
     driver.handle(TimerFired(0))
     assert len(dispatches(action for _, action in driver.actions)) == (lottery > 0.9)
 
@@ -198,7 +198,7 @@
         driver.submit(query, cost=SECOND)
     work = len(dispatches(action for _, action in driver.actions))  # seconds, sent within one window
     share = 0.4 + 0.6 * (driver.now - SECOND) / rules.ramp_us
-    assert work <= rules.cold_multiple * share * 8 * engine_table.CORE_WORK * 3 * slow_start.COLD_MARGIN
+    assert work <= rules.cold_multiple * share * 8 * engine_table.CORE_WORK * 3 * slow_start.COLD_BUDGET_SHARE
 
 
 # The checker finds faults
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -78,7 +78,7 @@
         driver.submit(n, cost=100_000)
     class_state = driver.controller.classes[0]
     class_state.drain_rate = 1.0
-    driver.controller.end_period(driver.now)
+    driver.controller.end_sampling_period(driver.now)
     assert class_state.drain_rate == pytest.approx(0.2 * 20 * SECOND, rel=1e-3)
 
 
@@ -90,7 +90,7 @@
     class_state.last_error_s = 0.1
     class_state.answers = 1
     class_state.waiting_us = 1_900_000.0  # err = 0.7 x 2 - 1.9 = -0.5 s
-    driver.controller.end_period(driver.now)
+    driver.controller.end_sampling_period(driver.now)
     rate = 1_000_000 + 0.2 * (4 * 8 * 0.85 * 1_000_000 - 1_000_000)  # nothing held: towards what could drain
     step = 4.93 * (6.36 * -0.5 - 0.1) * 0.0142 * rate
     assert class_state.correction == pytest.approx(step)
@@ -103,10 +103,10 @@
     class_state = driver.controller.classes[0]
     class_state.correction = -50_000.0
     class_state.queue.append(next(iter(class_state.open_queries.values())))
-    driver.controller.end_period(driver.now)
+    driver.controller.end_sampling_period(driver.now)
     assert class_state.correction == -50_000.0
     class_state.queue.clear()
-    driver.controller.end_period(driver.now)
+    driver.controller.end_sampling_period(driver.now)
     assert class_state.correction == 0.0
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -143,7 +143,7 @@
             budget = full * (0.31 + 0.69 * (start - SECOND) / RULES["ramp_us"])
             assert sum(work for at, work in got if start <= at < start + window) <= budget
         first = sum(work for at, work in got if at < got[0][0] + window)
-        assert first > 0.3 * slow_start.COLD_MARGIN * 0.31 * full  # and a fair part of it is used
+        assert first > 0.3 * slow_start.COLD_BUDGET_SHARE * 0.31 * full  # and a fair part of it is used
 
 
 @pytest.mark.parametrize("routers", SIZES[1:])
@@ -226,7 +226,7 @@
     for e in router.engines.by_id.values():
         is_free = e.entry.engine == engine(79)
         e.peer_threads = 2 if is_free else 12
-        e.lottery = 0.99 if is_free else 0.0
+        e.lottery_draw = 0.99 if is_free else 0.0
     router.gossip.sums_at_us = driver.now
     router.pressure.until_us = driver.now + SECOND
     assert [sent.engine for sent in dispatches(driver.submit(1, service_class=1))] == [engine(79)]
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -212,7 +212,7 @@
     driver.submit(1, cost=100_000)
     driver.controller.classes[0].bound = 1e9
     for number, pace in ((0, 1.0), (1, 1.0), (2, 6.0)):
-        driver.controller.engines.by_id[engine(number)].paces.add(pace, 1.0, 0.03)
+        driver.controller.engines.by_id[engine(number)].pace_ratio.add(pace, 1.0, 0.03)
     targets = [dispatches(driver.submit(n, cost=1_000, group=float(n)))[0].engine for n in range(2, 32)]
     assert targets.count(engine(2)) < targets.count(engine(0)) / 2
 
@@ -319,7 +319,7 @@
         driver.run_until(driver.now + SECOND)
     controller = driver.controller
     assert len(controller.engines.by_id) < 10
-    assert len(controller.affinity.seen) <= 513
+    assert len(controller.affinity.query_counts) <= 513
     assert len(controller.affinity.arcs) <= 513
     assert not controller.queries.by_id
     assert len(controller.outbox.timers) < 50
@@ -376,9 +376,9 @@
     class_state.bound = 1e9
     driver.controller.engines.threads_in_flight = 99
     driver.controller.pressure.until_us = 1000 * SECOND
-    driver.controller.end_period(driver.now)
+    driver.controller.end_sampling_period(driver.now)
     class_state.rejected_light = 3  # queries of any cost found the bound full in this second
-    driver.controller.end_period(driver.now)
+    driver.controller.end_sampling_period(driver.now)
     assert class_state.cost_limit == 0.6 * class_state.largest_cost
     class_state.bound = 1e9
     assert [type(action) for action in final_answers(driver.submit(50, cost=2 * SECOND))] == [Reject]
@@ -386,7 +386,7 @@
     driver.controller.engines.threads_in_flight = 0  # free threads: cost is no reason
     assert not final_answers(driver.submit(52, cost=2 * SECOND))
     for _ in range(4):
-        driver.controller.end_period(driver.now)
+        driver.controller.end_sampling_period(driver.now)
     assert class_state.cost_limit == class_state.largest_cost
 
 
--- a/tests/test_policy_parts.py
+++ b/tests/test_policy_parts.py
@@ -90,12 +90,12 @@
     second = replace(first, id=2)
     for query in (first, second):
         query.class_state.hold(query)
-        queues.join(query, 0)
+        queues.enqueue(query, 0)
     held = first.class_state.queue
     assert [query.id for query in held] == [1]
     held.clear()
-    queues.rest(7, SECOND)
-    queues.leave(first, 0)
+    queues.block(7, SECOND)
+    queues.finish(first, 0)
     assert not held
     outbox.fire(outbox.last_token, SECOND)
     assert [query.id for query in held] == [2]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -101,7 +101,7 @@
     assert not dispatches(driver.submit(1))  # no time slot, and nothing reported
     for query in (2, 3, 4):
         router.gossip.sums_at_us = 3 * SECOND
-        cold.lottery = lottery
+        cold.lottery_draw = lottery
         cold.peer_threads = others
         driver.submit(query)
     assert len(dispatches(action for _, action in driver.actions)) == sent
@@ -177,7 +177,7 @@
     driver.submit(1, cost=1_000)
     for e in driver.controller.engines.by_id.values():
         e.is_unhealthy = True
-    driver.controller.engines.by_id[engine(0)].paces.add(9.0, 1.0, 0.03)
+    driver.controller.engines.by_id[engine(0)].pace_ratio.add(9.0, 1.0, 0.03)
     assert len(dispatches(driver.submit(2, cost=1_000))) == 1
 
 
