--- a/slipbay/policy/attempts.py
+++ b/slipbay/policy/attempts.py
@@ -22,8 +22,9 @@
 from slipbay.policy.settings import Effect, Settings
 from slipbay.policy.statistics import SAMPLE_DECAY
 
-OVERDUE_FACTOR = 2.0  # migrate an attempt if its remaining time is longer than this many times a restart
-MIN_MIGRATION_SAVING_US = 500_000  # us that a migration must save
+# an attempt is overdue if its remaining time exceeds this many times the time of a restart ...
+OVERDUE_FACTOR = 2.0
+MIN_MIGRATION_SAVING_US = 500_000  # ... plus this, us, so that a migration saves enough
 STUCK_FACTOR = 4.0  # times the usual run time after which an attempt without any note is migrated
 STUCK_MARGIN_US = 75_000  # us added to that, for network delay and random variation
 
--- a/slipbay/policy/selection.py
+++ b/slipbay/policy/selection.py
@@ -145,14 +145,14 @@
     ) -> list[Engine]:
         """A subset of engines: all routers see the same load reports and would all select the same engine."""
         sampled = self._sample_engines(query, allowed, context.is_under_pressure)
+        # capacity below 1: only a few routers may use a cold engine, so it stays a candidate
         return [
             e
             for e in allowed
             if e in unhealthy
             or e.entry.engine == context.arc_engine
             or e in sampled
-            or e.capacity(context.now_us, self.settings)
-            < 1  # cold: only a few routers may use it, so keep it
+            or e.capacity(context.now_us, self.settings) < 1
         ]
 
     def _sample_engines(self, query: Query, allowed: list[Engine], is_under_pressure: bool) -> list[Engine]:
--- a/slipbay/policy/slow_start.py
+++ b/slipbay/policy/slow_start.py
@@ -16,8 +16,8 @@
 from slipbay.policy.settings import Settings
 from slipbay.policy.timing import CHECK_PERIOD_US, Uptime
 
-COLD_BUDGET_SHARE = 0.5  # of the cold budget is used; two consecutive slots may overlap one window
-# share of the budget if there is also a lottery: two slots and the lottery may overlap one window
+COLD_BUDGET_SHARE = 0.5  # share of the cold budget that is used; two consecutive slots may overlap a window
+# share that is used if there is also a lottery; two slots and the lottery may overlap a window
 COLD_LOTTERY_BUDGET_SHARE = 1 / 3
 MAX_COLD_SLOTS = 8  # routers that may use a cold engine in a window, if each share has room for any query
 MIN_SLOT_QUERIES = 1.5  # heaviest queries that a slot's share must have room for; light ones use some of it
--- a/slipbay/simhost/event_reader.py
+++ b/slipbay/simhost/event_reader.py
@@ -1,4 +1,4 @@
-"""Reads batches of the simulator's wire into events for the instances."""
+"""Decodes batches of the simulator's protocol into events for router instances."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     598: Outcome.RESET,
 }
 
-# the note with an end: 20 bits of work in ms, 12 bits of memory in steps of 4 MB
+# note field of an attempt's end: 20 bits of work in ms, 12 bits of memory in steps of 4 MB
 WORK_SHIFT = 12
 WORK_STEP_US = 1000
 MEMORY_MASK = 0xFFF
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Started:
-    """An instance begins."""
+    """An instance has started."""
 
     instance: int
     seed: int
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Stopped:
-    """An instance is dead."""
+    """An instance has stopped."""
 
     instance: int
 
@@ -76,7 +76,7 @@
 
 
 class EventReader:
-    """Reads batch after batch; engine lists are numbered and stay for later batches."""
+    """Decodes batches; keeps the numbered engine lists, as later batches refer to them."""
 
     def __init__(self) -> None:
         self._lists: dict[int, tuple[EngineEntry, ...]] = {}
@@ -96,7 +96,7 @@
         }
 
     def read(self, count: int, payload: bytes) -> Iterator[Item]:
-        """Yield the items of a batch of ``count`` records in order.
+        """Yield the items of a batch of ``count`` records, in order.
 
         Raises ``MalformedInputError``.
         """
@@ -120,42 +120,42 @@
             raise MalformedInputError(f"unknown record code {code}")
         return self._readers[code]
 
-    def _in_tail(self, offset: int, size: int) -> memoryview:
-        """A part of the batch's tail."""
+    def _read_tail(self, offset: int, size: int) -> memoryview:
+        """Bytes of the batch's tail at an offset."""
         tail = self._tail
         if offset + size > len(tail):
             raise MalformedInputError(
-                f"a field points to bytes {offset} to {offset + size} of a tail of {len(tail)}"
+                f"a field points to bytes {offset} to {offset + size}, but the tail has {len(tail)} bytes"
             )
         return tail[offset : offset + size]
 
     def _register(self, record: memoryview) -> None:
         _, slot, offset, count = frames.REGISTER.unpack(record)
-        entries = self._in_tail(offset, count * frames.ENTRY.size)
+        entries = self._read_tail(offset, count * frames.ENTRY.size)
         self._lists[slot] = tuple(
             EngineEntry(engine, zone, kind, cell, EngineState(state), size, ready_at_us)
             for engine, zone, kind, cell, state, size, ready_at_us in frames.ENTRY.iter_unpack(entries)
         )
 
     def _start(self, record: memoryview) -> Item:
-        _, who, seed, offset, size = frames.START.unpack(record)
-        return Started(who, seed, read_settings(bytes(self._in_tail(offset, size))))
+        _, instance, seed, offset, size = frames.START.unpack(record)
+        return Started(instance, seed, read_settings(bytes(self._read_tail(offset, size))))
 
     def _teardown(self, record: memoryview) -> Item:
         return Stopped(frames.TEARDOWN.unpack(record)[1])
 
     def _peers_known(self, record: memoryview) -> Item:
-        _, who, mode, _, slot = frames.PEERS_KNOWN.unpack(record)
+        _, instance, mode, _, slot = frames.PEERS_KNOWN.unpack(record)
         kind = ListKind(mode)
         if kind is ListKind.FAILED:
-            return Arrived(who, EngineList(kind))
+            return Arrived(instance, EngineList(kind))
         if slot not in self._lists:
-            raise MalformedInputError(f"list {slot} was never registered")
-        return Arrived(who, EngineList(kind, self._lists[slot]))
+            raise MalformedInputError(f"engine list {slot} is not registered")
+        return Arrived(instance, EngineList(kind, self._lists[slot]))
 
     def _submit(self, record: memoryview) -> Item:
         fields = frames.SUBMIT.unpack(record)
-        _, who, query, service_class, tenant, key, expires_us, cost_us, memory_mb, group, flags = fields
+        _, instance, query, service_class, tenant, key, expires_us, cost_us, memory_mb, group, flags = fields
         event = QueryArrived(
             query=query,
             service_class=service_class,
@@ -168,19 +168,19 @@
             is_repeat=bool(flags & frames.CLIENT_REPEAT),
             is_write=bool(flags & frames.WRITE),
         )
-        return Arrived(who, event)
+        return Arrived(instance, event)
 
     def _begun(self, record: memoryview) -> Item:
-        _, who, query, attempt, engine, _ = frames.BEGUN.unpack(record)
-        return Arrived(who, StreamBegun(query, attempt, engine))
+        _, instance, query, attempt, engine, _ = frames.BEGUN.unpack(record)
+        return Arrived(instance, StreamBegun(query, attempt, engine))
 
     def _update_of(self, record: memoryview) -> Item:
-        _, who, query, engine, value, attempt, kind = frames.UPDATE_OF.unpack(record)
-        return Arrived(who, AttemptNote(query, attempt, engine, NoteKind(kind), value))
+        _, instance, query, engine, value, attempt, kind = frames.UPDATE_OF.unpack(record)
+        return Arrived(instance, AttemptNote(query, attempt, engine, NoteKind(kind), value))
 
     def _report_back(self, record: memoryview) -> Item:
         fields = frames.REPORT_BACK.unpack(record)
-        _, who, query, attempt, engine, code, duration_us, complete, note, count, *values = fields
+        _, instance, query, attempt, engine, code, duration_us, complete, note, count, *values = fields
         outcome = _outcome(code)
         has_work = note and outcome is Outcome.OK
         event = AttemptEnded(
@@ -194,23 +194,23 @@
             memory_mb=(note & MEMORY_MASK) * MEMORY_STEP_MB,
             report=_report(count, values),
         )
-        return Arrived(who, event)
+        return Arrived(instance, event)
 
     def _dropped(self, record: memoryview) -> Item:
-        _, who, query = frames.DROPPED.unpack(record)
-        return Arrived(who, ClientDisconnected(query))
+        _, instance, query = frames.DROPPED.unpack(record)
+        return Arrived(instance, ClientDisconnected(query))
 
     def _timeout_fired(self, record: memoryview) -> Item:
-        _, who, token = frames.TIMEOUT_FIRED.unpack(record)
-        return Arrived(who, TimerFired(token))
+        _, instance, token = frames.TIMEOUT_FIRED.unpack(record)
+        return Arrived(instance, TimerFired(token))
 
     def _probed(self, record: memoryview) -> Item:
-        _, who, duration_us, engine, code, count, *values = frames.PROBED.unpack(record)
-        return Arrived(who, ProbeEnded(engine, _outcome(code), duration_us, _report(count, values)))
+        _, instance, duration_us, engine, code, count, *values = frames.PROBED.unpack(record)
+        return Arrived(instance, ProbeEnded(engine, _outcome(code), duration_us, _report(count, values)))
 
     def _whisper(self, record: memoryview) -> Item:
-        _, who, sender, offset, size = frames.WHISPER.unpack(record)
-        return Arrived(who, PeerMessage(sender, bytes(self._in_tail(offset, size))))
+        _, instance, sender, offset, size = frames.WHISPER.unpack(record)
+        return Arrived(instance, PeerMessage(sender, bytes(self._read_tail(offset, size))))
 
 
 def _report(count: int, values: list[float]) -> LoadReport | None:
@@ -219,5 +219,5 @@
 
 def _outcome(code: int) -> Outcome:
     if code not in OUTCOMES:
-        raise MalformedInputError(f"unknown outcome {code}")
+        raise MalformedInputError(f"unknown outcome code {code}")
     return OUTCOMES[code]
--- a/slipbay/simhost/frames.py
+++ b/slipbay/simhost/frames.py
@@ -1,6 +1,7 @@
-"""Layout of the simulator's wire: little-endian frames of fixed records and a tail; one ``Struct`` a record.
+"""Layout of the simulator's protocol.
 
-Names of records are those of the wire's page.
+Frames are little-endian and have fixed-size records and a tail. Each record has one ``Struct``. The names of
+the records are those of the protocol's specification.
 """
 
 from __future__ import annotations
@@ -10,13 +11,13 @@
 
 from slipbay.errors import SlipbayError
 
-BATCH_HEADER = Struct("<IIQI")  # bytes, records, time in us, turn
-REPLY_HEADER = Struct("<III")  # bytes, records, turn
-EVENT_SIZE = 48  # bytes of a record in a batch
+BATCH_HEADER = Struct("<IIQI")  # bytes, number of records, time in us, turn
+REPLY_HEADER = Struct("<III")  # bytes, number of records, turn
+EVENT_SIZE = 48  # size of a record in a batch, bytes
 
 
 class EventCode(IntEnum):
-    """Records of a batch, by their first byte."""
+    """Types of the records in a batch; the first byte of a record."""
 
     PROBED = 1
     PEERS_KNOWN = 2
@@ -44,11 +45,11 @@
 TIMEOUT_FIRED = Struct("<BII39x")
 PROBED = Struct("<BII6sHB4f14x")
 WHISPER = Struct("<BIHII33x")
-ENTRY = Struct("<6sBHHBfQ")  # of an engine list, in the tail
+ENTRY = Struct("<6sBHHBfQ")  # entry of an engine list, in the tail
 
 
 class ActionCode(IntEnum):
-    """Records of a reply, by their first byte."""
+    """Types of the records in a reply; the first byte of a record."""
 
     DISPATCH = 65
     OVERLOAD_REPLY = 66
@@ -78,7 +79,7 @@
 QUERY_ALL = Struct("<BI19x")
 ASSIGN_TERMS = Struct("<BIIfB10x")
 
-ALL_PEERS = 0xFFFF  # receiver of a signal to all other instances
+ALL_PEERS = 0xFFFF  # receiver number that addresses all other instances
 
 # flags of a submitted query
 COST_VALID = 1
@@ -87,12 +88,12 @@
 
 
 class MalformedInputError(SlipbayError):
-    """The input is not what the wire allows; the text is a plain sentence.
+    """The input violates the protocol; the message is a plain sentence.
 
-    ``code`` is the first byte of the record at fault, where there is one.
+    ``code`` is the first byte of the malformed record, if there is one.
     """
 
     def __init__(self, reason: str, code: int | None = None) -> None:
-        super().__init__(reason if code is None else f"record of code {code}: {reason}")
+        super().__init__(reason if code is None else f"record with code {code}: {reason}")
         self.reason = reason
         self.code = code
--- a/slipbay/simhost/host.py
+++ b/slipbay/simhost/host.py
@@ -1,4 +1,4 @@
-"""Runs many instances on the simulator's wire: batches on standard input, replies on standard output."""
+"""Runs many router instances for the simulator; reads batches on stdin and writes replies on stdout."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from slipbay.simhost.frames import BATCH_HEADER, MalformedInputError
 from slipbay.simhost.reply_writer import ReplyWriter
 
-EXIT_MALFORMED = 2  # status of the process after input that the wire does not allow
-EXIT_NO_READER = 1  # status of the process when nobody reads its replies any more
+EXIT_MALFORMED = 2  # exit status after input that violates the protocol
+EXIT_NO_READER = 1  # exit status when the simulator has closed standard output
 
 
 class SimulatorHost:
-    """The instances that run, and the engine lists that the simulator has registered."""
+    """The running instances, and the engine lists that the simulator has registered."""
 
     def __init__(self) -> None:
         self._controllers: dict[int, Controller] = {}
         self._reader = EventReader()
 
     def answer(self, now_us: int, count: int, payload: bytes) -> ReplyWriter:
-        """Hand the events of a batch to their instances; returns what these do.
+        """Pass the events of a batch to their instances; returns the reply with their actions.
 
         Raises ``MalformedInputError``.
         """
@@ -50,25 +50,25 @@
 def run_instance(
     instance: int, controller: Controller, now_us: int, events: list[Event], reply: ReplyWriter
 ) -> None:
-    """Let one instance act; what goes wrong inside the decisions is reported as its internal error."""
+    """Run one instance; an exception in its policy is reported as an internal error of the instance."""
     try:
         actions = controller.handle(now_us, events)
-    except Exception as problem:  # the wire wants the text of whatever failed
+    except Exception as problem:  # the protocol requires the text of any failure
         reply.add_error(instance, f"{type(problem).__name__}: {problem}")
     else:
         reply.add(instance, actions)
 
 
 def read_exactly(source: BinaryIO, size: int, what: str) -> bytes:
-    """Read ``size`` bytes of ``what``; raises ``MalformedInputError`` where the input ends before."""
+    """Read ``size`` bytes of ``what``; raises ``MalformedInputError`` if the input ends earlier."""
     data = source.read(size)
     if len(data) != size:
-        raise MalformedInputError(f"the input ends inside {what}: {len(data)} of {size} bytes")
+        raise MalformedInputError(f"the input ends inside {what}: got {len(data)} of {size} bytes")
     return data
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Reply to batches until the input ends."""
     host = SimulatorHost()
     while first := source.read(1):
         header = first + read_exactly(source, BATCH_HEADER.size - 1, "the header of a batch")
@@ -79,7 +79,7 @@
 
 
 def main() -> int:
-    """Serve on standard input and output; returns the exit status."""
+    """Serve standard input and output; returns the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except MalformedInputError as problem:
--- a/slipbay/simhost/reply_writer.py
+++ b/slipbay/simhost/reply_writer.py
@@ -1,4 +1,4 @@
-"""Writes the actions of instances as one reply on the simulator's wire."""
+"""Encodes the actions of instances as one reply of the simulator's protocol."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ReplyWriter:
-    """Collects the records of one reply, and the tail that they point to."""
+    """Collects the records of one reply and its tail."""
 
     def __init__(self) -> None:
         self._records: list[bytes] = []
@@ -41,36 +41,36 @@
             self._records.append(record)
 
     def add_error(self, instance: int, text: str) -> None:
-        """Append the text of an internal error of an instance."""
+        """Append an internal error of an instance."""
         self._records.append(self._text(ActionCode.INTERNAL_ERROR, instance, text))
 
     def frame(self, turn: int) -> bytes:
-        """The whole reply to the batch of a turn."""
+        """The encoded reply to the batch of a turn."""
         body = b"".join(self._records) + bytes(self._tail)
         return frames.REPLY_HEADER.pack(len(body), len(self._records), turn) + body
 
-    def _put(self, body: bytes) -> tuple[int, int]:
-        """Append to the tail; returns where and how long."""
+    def _append_tail(self, body: bytes) -> tuple[int, int]:
+        """Append to the tail; returns the offset and the length."""
         offset = len(self._tail)
         self._tail += body
         return offset, len(body)
 
     def _text(self, code: ActionCode, instance: int, text: str) -> bytes:
-        return frames.TEXT.pack(code, instance, *self._put(text.encode()))
+        return frames.TEXT.pack(code, instance, *self._append_tail(text.encode()))
 
     def _text_record(self, instance: int, action: Action) -> bytes:
-        """An action whose text or message goes to the tail."""
+        """Record of an action with a text or message in the tail."""
         match action:
             case SendGossip(body, to):
                 receiver = frames.ALL_PEERS if to is None else to
-                return frames.SIGNAL.pack(ActionCode.SIGNAL, instance, receiver, *self._put(body))
+                return frames.SIGNAL.pack(ActionCode.SIGNAL, instance, receiver, *self._append_tail(body))
             case Log(text):
                 return self._text(ActionCode.NOTE_DOWN, instance, text)
-        raise TypeError(f"no record for {type(action).__name__}")
+        raise TypeError(f"no record type for {type(action).__name__}")
 
 
 def _query_record(instance: int, action: Action) -> bytes | None:
-    """An action about a query; ``None`` for others."""
+    """Record of an action on a query; ``None`` for other actions."""
     match action:
         case Dispatch(query, engine, limit_us):
             return frames.DISPATCH.pack(ActionCode.DISPATCH, instance, query, engine, limit_us)
@@ -86,7 +86,7 @@
 
 
 def _host_record(instance: int, action: Action) -> bytes | None:
-    """An action about timers, engines or the engine list; ``None`` for others."""
+    """Record of an action on timers, engines or the engine list; ``None`` for other actions."""
     match action:
         case SetTimer(token, at_us):
             return frames.REMIND.pack(ActionCode.REMIND, instance, token, at_us)
--- a/slipbay/simhost/settings_reader.py
+++ b/slipbay/simhost/settings_reader.py
@@ -1,4 +1,4 @@
-"""Reads settings of the policy from the JSON object that the simulator and the platform hand over."""
+"""Reads settings of the policy from the JSON object that the simulator and the platform provide."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from slipbay.simhost.frames import MalformedInputError
 
 EFFECTS = {"retryable": Effect.SAFE, "dedup": Effect.KEYED, "fragile": Effect.UNSAFE}
-UNREADABLE = (ValueError, TypeError, OverflowError, KeyError, AttributeError)
-"""What conversions raise for values of another kind."""
+CONVERSION_ERRORS = (ValueError, TypeError, OverflowError, KeyError, AttributeError)
+"""Exceptions that conversions raise for values of a wrong type."""
 
 T = TypeVar("T")
 D = TypeVar("D")
 
 
 class SettingsError(MalformedInputError):
-    """Settings that cannot be read: which key, and why."""
+    """Settings that cannot be read; has the key and the reason."""
 
     def __init__(self, key: str, reason: str) -> None:
         super().__init__(f"{key}: {reason}")
         self.key = key
 
 
-class _Fields:
-    """One object of the settings; a value that can't be read is reported with its key."""
+class _JsonObject:
+    """One JSON object of the settings; errors in a value are reported with its key."""
 
     def __init__(self, data: object, path: str = "settings") -> None:
         if not isinstance(data, dict):
@@ -34,22 +34,22 @@
         self.data = data
         self.path = path
 
-    def part(self, key: str) -> _Fields:
-        """An object within; empty where it is absent or null."""
-        return _Fields(self.data.get(key) or {}, f"{self.path}.{key}")
+    def part(self, key: str) -> _JsonObject:
+        """A nested object; empty if it is absent or null."""
+        return _JsonObject(self.data.get(key) or {}, f"{self.path}.{key}")
 
     def read(self, key: str, kind: Callable[[Any], T], default: D) -> T | D:
-        """A value, or the default where it is absent or null."""
-        return default if self.data.get(key) is None else self.need(key, kind)
+        """An optional value; the default if it is absent or null."""
+        return default if self.data.get(key) is None else self.read_required(key, kind)
 
-    def need(self, key: str, kind: Callable[[Any], T]) -> T:
-        """A value that must be there."""
+    def read_required(self, key: str, kind: Callable[[Any], T]) -> T:
+        """A required value."""
         if key not in self.data:
             raise SettingsError(f"{self.path}.{key}", "missing")
         value = self.data[key]
         try:
             return kind(value)
-        except UNREADABLE as problem:
+        except CONVERSION_ERRORS as problem:
             reason = f"cannot be read: {type(problem).__name__}: {problem}; got {value!r}"
             raise SettingsError(f"{self.path}.{key}", reason) from None
 
@@ -72,17 +72,17 @@
     return tuple(str(item) for item in _list(value))
 
 
-def _classes(info: _Fields) -> Iterator[ServiceClass]:
+def _classes(info: _JsonObject) -> Iterator[ServiceClass]:
     family = info.part("familyInfo")
     threads = family.read("threadsByClass", _integers, ())
     loads = family.read("isLoad", _list, [])
     blocked = family.read("blockedByLoads", _list, [])
-    for number, data in enumerate(info.need("profiles", _list)):
-        profile = _Fields(data, f"settings.profiles[{number}]")
+    for number, data in enumerate(info.read_required("profiles", _list)):
+        profile = _JsonObject(data, f"settings.profiles[{number}]")
         yield ServiceClass(
-            latency_objective_us=profile.need("promiseUs", int),
-            deadline_us=profile.need("giveUpUs", int),
-            effect=profile.need("effect", lambda name: EFFECTS[name]),
+            latency_objective_us=profile.read_required("promiseUs", int),
+            deadline_us=profile.read_required("giveUpUs", int),
+            effect=profile.read_required("effect", lambda name: EFFECTS[name]),
             utility=profile.read("gain", float, 1.0),
             late_utility=profile.read("lateWorth", float, 0.0),
             latency_objective_stretch=profile.read("aimStretch", float, 0.0),
@@ -98,22 +98,22 @@
         )
 
 
-def _limits(info: _Fields) -> dict[str, Any]:
-    """What the policy may do."""
+def _limits(info: _JsonObject) -> dict[str, Any]:
+    """Actions that the policy is permitted to take, and their limits."""
     limits = info.part("policyLimits")
-    longest_us = limits.read("maxRetryAfterUs", int, 0)
+    max_retry_after_us = limits.read("maxRetryAfterUs", int, 0)
     return {
         "max_attempts": limits.read("attemptsCap", int, 1),
         "may_cancel": limits.read("mayCancel", bool, False),
         "may_duplicate": limits.read("mayDuplicate", bool, False),
         "may_probe": limits.read("probes", bool, False),
         "may_gossip": limits.read("mayTell", bool, False),
-        "max_retry_after_us": longest_us if limits.read("retryAfter", bool, False) else 0,
+        "max_retry_after_us": max_retry_after_us if limits.read("retryAfter", bool, False) else 0,
     }
 
 
-def _rules(info: _Fields) -> dict[str, Any]:
-    """The rules that all routers keep."""
+def _rules(info: _JsonObject) -> dict[str, Any]:
+    """Rules that all routers follow."""
     rules = info.part("rules")
     return {
         "answer_slack_us": rules.read("answerSlackUs", int, 0),
@@ -131,12 +131,12 @@
 
 
 def read_settings(text: bytes) -> Settings:
-    """Read the settings; keys that are not known are skipped, optional ones may be absent.
+    """Read the settings; unknown keys are ignored, optional keys may be absent.
 
     Raises ``SettingsError``.
     """
     try:
-        info = _Fields(json.loads(text))
+        info = _JsonObject(json.loads(text))
     except (ValueError, RecursionError) as problem:
         raise SettingsError("settings", f"cannot be read: {type(problem).__name__}: {problem}") from None
     family = info.part("familyInfo")
