--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -1,4 +1,4 @@
-"""Cold engines before twenty and thirty routers: the ramp holds for the sum of what all of them send."""
+"""Cold engines with twenty and thirty routers: the work of all routers together stays within the ramp."""
 
 from __future__ import annotations
 
@@ -33,48 +33,51 @@
     Traffic(REPORT, 0.13, 2_400_000, 1.3),
     Traffic(LOAD, 0.02, 6_000_000, 1.0),
 )
-HEAVY = (Traffic(replace(REPORT, threads=1), 1.0, 4_000_000, 0.6),)  # a window bears five at first
-HEAVIER = (Traffic(REPORT, 0.7, 1_500_000), Traffic(LOAD, 0.3, 7_000_000, 0.6))  # six of the mean
+HEAVY = (Traffic(replace(REPORT, threads=1), 1.0, 4_000_000, 0.6),)  # at first, a window has room for five
+HEAVIER = (
+    Traffic(REPORT, 0.7, 1_500_000),
+    Traffic(LOAD, 0.3, 7_000_000, 0.6),
+)  # a window has room for six of mean work
 RULE = ColdRule()
 
 
 class Peers(Enum):
-    """What routers may say to each other, and whether it arrives."""
+    """Whether routers send messages to each other, and whether these arrive."""
 
     HEARD = "heard"
     ALONE = "alone"
     DEAF = "deaf"
 
 
-# Days: how engines start cold
+# Scenarios: how engines start cold
 
 
-def joins(tier: ColdTier, level: float) -> None:
-    """Two engines join as a burst begins."""
+def engines_join(tier: ColdTier, level: float) -> None:
+    """Two engines join at the start of a burst."""
     tier.load(5, level / 2)
     for _ in range(2):
         tier.add_engine(tier.now)
     tier.load(14, level)
 
 
-def comes_back(tier: ColdTier, level: float) -> None:
-    """Four of six engines vanish and come back cold under their names, into a burst."""
+def engines_restart(tier: ColdTier, level: float) -> None:
+    """Four of six engines fail and restart cold with the same ids, at the start of a burst."""
     tier.load(5, level * 0.7)
     names = list(tier.engines)[:4]
     for name in names:
-        tier.vanish(name)
+        tier.stop_engine(name)
     tier.load(4, level * 0.7)
     for name in names:
-        tier.come_back(name)
+        tier.restart_engine(name)
     tier.load(14, level)
 
 
-def restarts(tier: ColdTier, level: float) -> None:
-    """Engines come back cold while the routers are restarted, a twelfth at a time, and whole lists come."""
+def routers_and_engines_restart(tier: ColdTier, level: float) -> None:
+    """Engines restart cold while the routers are restarted, a twelfth at a time, and full lists are sent."""
     tier.load(5, level * 0.7)
     for name in list(tier.engines)[:3]:
-        tier.vanish(name)
-        tier.come_back(name)
+        tier.stop_engine(name)
+        tier.restart_engine(name)
     routers = len(tier.routers)
     for step in range(12):
         group = range(step * routers // 12, (step + 1) * routers // 12)
@@ -83,61 +86,70 @@
         tier.load(0.4, level)
         for me in group:
             tier.start(me)
-        tier.whole_lists()
+        tier.send_full_lists()
         tier.load(0.7, level)
 
 
-Day = Callable[[ColdTier, float], None]
+Scenario = Callable[[ColdTier, float], None]
 
 
-def play(
-    day: Day, mix: tuple[Traffic, ...], peers: Peers, routers: int, seed: int, level: float, islands: int = 1
+def run_scenario(
+    scenario: Scenario,
+    mix: tuple[Traffic, ...],
+    peers: Peers,
+    routers: int,
+    seed: int,
+    level: float,
+    partitions: int = 1,
 ) -> ColdTier:
-    """A day before six engines, with traffic spread unevenly and lists up to 4 s late."""
-    tier = ColdTier(routers, 6, mix, seed=seed, skew=0.7, islands=islands)
+    """Run a scenario with six engines, unevenly distributed traffic and lists that arrive up to 4 s late."""
+    tier = ColdTier(routers, 6, mix, seed=seed, skew=0.7, partitions=partitions)
     if peers is Peers.ALONE:
         tier.settings = replace(tier.settings, may_gossip=False)
         for me in range(routers):
             tier.start(me)
-    if islands > 1:
+    if partitions > 1:
         for me in range(routers):
-            tier._tell(me, FleetSize(routers // islands))
+            tier._tell(me, FleetSize(routers // partitions))
     tier.deaf = peers is Peers.DEAF
-    late = Random(seed)
+    lag_random = Random(seed)
     for me in range(routers):
-        tier.lag_us[me] = late.randrange(4 * SECOND) if day is not joins else 0
-    day(tier, level)
+        tier.lag_us[me] = lag_random.randrange(4 * SECOND) if scenario is not engines_join else 0
+    scenario(tier, level)
     return tier
 
 
 @pytest.mark.parametrize(
-    ("day", "mix", "peers", "routers", "seed", "level"),
+    ("scenario", "mix", "peers", "routers", "seed", "level"),
     [
-        (comes_back, SKEWED, Peers.HEARD, 20, 5, 1.7),
-        (comes_back, MIX, Peers.DEAF, 30, 1, 1.5),
-        (comes_back, HEAVY, Peers.ALONE, 30, 1, 2.0),
-        (comes_back, HEAVIER, Peers.HEARD, 20, 1, 2.0),
-        (joins, SKEWED, Peers.HEARD, 30, 1, 1.5),
-        (joins, MIX, Peers.ALONE, 20, 2, 1.5),
-        (joins, HEAVIER, Peers.HEARD, 20, 1, 2.0),
-        (restarts, SKEWED, Peers.HEARD, 30, 1, 2.0),
-        (restarts, SKEWED, Peers.ALONE, 20, 2, 1.5),
-        (restarts, HEAVIER, Peers.HEARD, 20, 1, 2.0),
-        (restarts, HEAVIER, Peers.ALONE, 30, 1, 1.5),
+        (engines_restart, SKEWED, Peers.HEARD, 20, 5, 1.7),
+        (engines_restart, MIX, Peers.DEAF, 30, 1, 1.5),
+        (engines_restart, HEAVY, Peers.ALONE, 30, 1, 2.0),
+        (engines_restart, HEAVIER, Peers.HEARD, 20, 1, 2.0),
+        (engines_join, SKEWED, Peers.HEARD, 30, 1, 1.5),
+        (engines_join, MIX, Peers.ALONE, 20, 2, 1.5),
+        (engines_join, HEAVIER, Peers.HEARD, 20, 1, 2.0),
+        (routers_and_engines_restart, SKEWED, Peers.HEARD, 30, 1, 2.0),
+        (routers_and_engines_restart, SKEWED, Peers.ALONE, 20, 2, 1.5),
+        (routers_and_engines_restart, HEAVIER, Peers.HEARD, 20, 1, 2.0),
+        (routers_and_engines_restart, HEAVIER, Peers.ALONE, 30, 1, 1.5),
     ],
 )
-def test_no_cold_engine_gets_more_than_it_bears_from_all_routers(
-    day: Day, mix: tuple[Traffic, ...], peers: Peers, routers: int, seed: int, level: float
+def test_no_cold_engine_gets_more_than_its_limit_from_all_routers(
+    scenario: Scenario, mix: tuple[Traffic, ...], peers: Peers, routers: int, seed: int, level: float
 ) -> None:
-    """The first broke with 1.22: one router sent three of the heaviest by one lottery as the sum came."""
-    worst = play(day, mix, peers, routers, seed, level).worst()
-    print(f"{worst.share:.2f} of what it bears: {worst.units:.1f} requests, N {worst.allowed:.1f}")
+    """Guards against a router that sends several heavy queries after one won lottery.
+
+    The first case then reached 1.22 of the limit: one router sent three of the heaviest queries.
+    """
+    worst = run_scenario(scenario, mix, peers, routers, seed, level).worst()
+    print(f"{worst.share:.2f} of the limit: {worst.units:.1f} requests, N {worst.allowed:.1f}")
     assert 0 < worst.share <= 1, worst
 
 
-def test_islands_that_count_themselves_alone_do_not_share_more_than_there_is() -> None:
-    """Routers cut apart each take their share of a smaller fleet; sums reach but one island at a time."""
-    worst = play(comes_back, SKEWED, Peers.HEARD, 30, 1, 1.7, islands=3).worst()
+def test_partitioned_routers_together_stay_within_the_limit_of_a_cold_engine() -> None:
+    """Partitioned routers take shares of a smaller fleet; sums reach only one partition at a time."""
+    worst = run_scenario(engines_restart, SKEWED, Peers.HEARD, 30, 1, 1.7, partitions=3).worst()
     assert 0 < worst.share <= 1, worst
 
 
@@ -145,14 +157,16 @@
 
 
 @pytest.mark.parametrize("lottery", [0.999, 0.5])
-def test_a_won_lottery_takes_one_of_the_queries_held_as_the_sum_comes(lottery: float) -> None:
-    """What was sent in the moment of the sum did not count against the lottery, so that all held left by
-    it."""
+def test_a_won_lottery_sends_one_of_the_queued_queries(lottery: float) -> None:
+    """Guards against sending all queued queries by one lottery.
+
+    Queries sent at the time of the sum must count against the lottery.
+    """
     rules = settings(router_count=200, cold_multiple=4.0, ramp_us=30 * SECOND, may_gossip=True)
     driver = ControllerDriver(rules, [EngineEntry(engine(1), ready_at_us=SECOND)])
     driver.now = 3 * SECOND + 1
     for query in range(1, 6):
-        assert not dispatches(driver.submit(query))  # no time slot, and nothing reported
+        assert not dispatches(driver.submit(query))  # no time slot, and no reported threads
         driver.controller.classes[0].bound = 1e9
     router = driver.controller
     cold = driver.controller.engines.by_id[engine(1)]
@@ -162,11 +176,11 @@
     assert len(dispatches(action for _, action in driver.actions)) == (lottery > 0.9)
 
 
-# What must not reset the charges
+# Changes of the list that must not reset the charges
 
 
 @pytest.mark.parametrize(
-    "news",
+    "lists",
     [
         [EngineList(ListKind.FULL, (EngineEntry(engine(0), ready_at_us=SECOND),))],
         [
@@ -178,9 +192,9 @@
             EngineList(ListKind.DELTA, (EngineEntry(engine(0), ready_at_us=4 * SECOND),)),
         ],
     ],
-    ids=["whole list", "off the list and back", "gone and new"],
+    ids=["full list", "removed and listed again", "removed and new"],
 )
-def test_list_changes_of_a_cold_engine_leave_its_charges_in_the_window(news: list[EngineList]) -> None:
+def test_list_changes_of_a_cold_engine_keep_its_charges_in_the_window(lists: list[EngineList]) -> None:
     rules = settings(cold_window_us=3 * SECOND)
     driver = ControllerDriver(rules, [EngineEntry(engine(0), ready_at_us=SECOND)])
     driver.run_until(4 * SECOND)
@@ -191,17 +205,17 @@
     assert 8 <= spent < 29
     for query in range(1, spent + 1):
         driver.end_attempt(Dispatch(query, engine(0)), Outcome.OK, work=SECOND)
-    for event in news:
+    for event in lists:
         driver.handle(event)
-        driver.run_until(driver.now + SECOND)  # a reset passes, which forgets what is gone
+        driver.run_until(driver.now + SECOND)  # a sampling period ends, which removes old records
     for query in range(30, 50):
         driver.submit(query, cost=SECOND)
-    work = len(dispatches(action for _, action in driver.actions))  # seconds, sent within one window
+    work = len(dispatches(action for _, action in driver.actions))  # seconds of work, sent within one window
     share = 0.4 + 0.6 * (driver.now - SECOND) / rules.ramp_us
     assert work <= rules.cold_multiple * share * 8 * engine_table.CORE_WORK * 3 * slow_start.COLD_BUDGET_SHARE
 
 
-# The checker finds faults
+# Tests of the checker
 
 
 def requests(count: int, notified: int, at: int = SECOND) -> list[Arrival]:
@@ -209,37 +223,39 @@
 
 
 @pytest.mark.parametrize(
-    ("arrivals", "over"),
+    ("arrivals", "is_over"),
     [
         (requests(65, 65), False),
         (requests(66, 66), True),
-        (requests(66, 44), False),  # a third came from routers that could not know
+        (requests(66, 44), False),  # a third is from routers that were not notified
         (requests(66, 45), True),
-        (requests(40, 40) + requests(26, 26, 4 * SECOND + 40), False),  # the first have left the window
+        (requests(40, 40) + requests(26, 26, 4 * SECOND + 40), False),  # the first ones have left the window
         (requests(40, 40, SECOND + 40) + requests(26, 26, 4 * SECOND), True),
     ],
 )
-def test_checker_counts_requests_in_any_window_against_the_least_it_bears(
-    arrivals: list[Arrival], over: bool
+def test_checker_compares_any_window_with_the_lowest_limit_in_it(
+    arrivals: list[Arrival], is_over: bool
 ) -> None:
-    """N is 49 at the start, so that 49 + 14 + 2 are borne."""
+    """N is 49 at the start, so the limit is 49 + 14 + 2 requests."""
     mean = RULE.multiple * RULE.share * 8 * CAPACITY * RULE.window_us / 49
     worst = ColdChecker(RULE, mean).worst([Start(engine(0), SECOND, 8, arrivals)])
-    assert (worst.share > 1.001) is over
+    assert (worst.share > 1.001) is is_over
 
 
-def room_for_each(self: SlowStart, class_state: ClassState, e: Engine, now: int) -> bool:
-    """A budget that each router counts for itself."""
+def has_room_in_own_budget(self: SlowStart, class_state: ClassState, e: Engine, now: int) -> bool:
+    """A budget for each router, without regard to the others."""
     rules = self.settings
-    most = (
+    budget = (
         rules.cold_multiple * e.capacity(now, rules) * e.cores * engine_table.CORE_WORK * rules.cold_window_us
     )
-    return e.charges.since(now - rules.cold_window_us) + class_state.charged_work <= most
+    return e.charges.since(now - rules.cold_window_us) + class_state.charged_work <= budget
 
 
-@pytest.mark.parametrize("fault", [lambda *_: True, room_for_each], ids=["no budget", "one for each router"])
+@pytest.mark.parametrize(
+    "fault", [lambda *_: True, has_room_in_own_budget], ids=["no budget", "a budget for each router"]
+)
 def test_checker_finds_routers_that_overload_cold_engines(
     fault: Callable[..., bool], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(SlowStart, "has_room", fault)
-    assert play(joins, MIX, Peers.ALONE, 20, 1, 1.5).worst().share > 1
+    assert run_scenario(engines_join, MIX, Peers.ALONE, 20, 1, 1.5).worst().share > 1
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -71,9 +71,8 @@
 
 def test_rate_is_not_below_what_the_threads_in_use_drain() -> None:
     """When three of eight routers are left, a rate of an eighth is too low for the threads that they use."""
-    driver = ControllerDriver(
-        settings(router_count=8), engines=4
-    )  # local share: 1.6 x 4 x 8 / 8 = 6.4 threads
+    # local share: 1.6 x 4 x 8 / 8 = 6.4 threads
+    driver = ControllerDriver(settings(router_count=8), engines=4)
     driver.submit(1, cost=100_000)
     driver.controller.classes[0].bound = 1e9
     for n in range(2, 21):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Properties of all routers together: many controllers, one simulated time, reports between them."""
+"""Properties of all routers together: many controllers with one simulated clock exchange load reports."""
 
 from __future__ import annotations
 
@@ -43,45 +43,48 @@
 
 
 class Fleet:
-    """Routers that hear each other at once, before engines that run each query in a time of its own, longer
-    where more threads run than there are cores. Time passes only here."""
+    """Routers that receive each other's messages without delay, and engines that run their queries.
+
+    A query runs longer if more threads run on its engine than there are cores. Only this class advances the
+    time.
+    """
 
     def __init__(self, routers: int, engines: list[EngineEntry], *classes: ServiceClass) -> None:
         rules = settings(*classes, router_count=routers, **RULES)
         self.now = SECOND
-        self.count = 0
+        self.timer_count = 0
         self.random = Random(5)
         self.due: list[tuple[int, int, Callable[[], None]]] = []
         self.entries = {entry.engine: entry for entry in engines}
         self.threads: defaultdict[bytes, int] = defaultdict(int)
-        self.costs: dict[tuple[int, int], tuple[int, int]] = {}  # of each query, by router: class and work
+        self.costs: dict[tuple[int, int], tuple[int, int]] = {}  # class and work by router and query
         self.attempts: defaultdict[tuple[int, int], int] = defaultdict(int)
-        self.sent: list[tuple[int, int, bytes, int]] = []  # when, from, to, work
-        self.refused: list[int] = []
+        self.sent: list[tuple[int, int, bytes, int]] = []  # time, router, engine, work
+        self.rejected_at: list[int] = []
         self.routers = [Controller(replace(rules, router_number=me), me) for me in range(routers)]
-        # engines that end all at once
+        # engines that end all queries immediately
         self.classes = rules.classes
         self.failing = set[bytes]()
         for me in range(routers):
-            self.tell(me, EngineList(ListKind.CACHED, tuple(engines)))
+            self.send_event(me, EngineList(ListKind.CACHED, tuple(engines)))
 
     def at(self, when: int, action: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.due, (when, self.count, action))
+        self.timer_count += 1
+        heapq.heappush(self.due, (when, self.timer_count, action))
 
-    def tell(self, me: int, event: Event) -> None:
+    def send_event(self, me: int, event: Event) -> None:
         for action in self.routers[me].handle(self.now, [event]):
             match action:
                 case SetTimer(token, at):
-                    self.at(at, lambda token=token: self.tell(me, TimerFired(token)))  # type: ignore[misc]
+                    self.at(at, lambda token=token: self.send_event(me, TimerFired(token)))  # type: ignore[misc]
                 case SendGossip(body, to):
                     for other in range(len(self.routers)) if to is None else [to]:
                         if other != me:
-                            self.tell(other, PeerMessage(me, body))
+                            self.send_event(other, PeerMessage(me, body))
                 case Dispatch(query, name):
                     self.run(me, query, name)
                 case Reject():
-                    self.refused.append(self.now)
+                    self.rejected_at.append(self.now)
 
     def run(self, me: int, query: int, name: bytes) -> None:
         service_class, work = self.costs[me, query]
@@ -90,21 +93,21 @@
         self.attempts[me, query] += 1
         self.sent.append((self.now, me, name, work))
         self.threads[name] += threads
-        slowed = max(1.0, self.threads[name] / CORES)
-        took = int(work / threads * slowed) if name not in self.failing else 1_000
+        slowdown = max(1.0, self.threads[name] / CORES)
+        run_us = int(work / threads * slowdown) if name not in self.failing else 1_000
 
         def end() -> None:
             self.threads[name] -= threads
-            self.tell(me, AttemptEnded(query, number, name, Outcome.OK, took, True, work))
+            self.send_event(me, AttemptEnded(query, number, name, Outcome.OK, run_us, True, work))
 
-        self.at(self.now + took, end)
+        self.at(self.now + run_us, end)
 
-    def ask(self, service_class: int, work: int) -> None:
-        """A client asks one of the routers, by chance."""
+    def submit(self, service_class: int, work: int) -> None:
+        """Submit a query to a random router."""
         me = self.random.randrange(len(self.routers))
         query = len(self.costs)
         self.costs[me, query] = service_class, work
-        self.tell(me, QueryArrived(query, service_class, 30 * SECOND, work, group=float(query % 7)))
+        self.send_event(me, QueryArrived(query, service_class, 30 * SECOND, work, group=float(query % 7)))
 
     def until(self, when: int) -> None:
         while self.due and self.due[0][0] <= when:
@@ -114,23 +117,25 @@
         self.now = when
 
     def load(self, seconds: int, rate: int, service_class: int, work: int) -> None:
-        """Clients ask evenly."""
+        """Submit queries at a constant rate."""
         start = self.now
         for number in range(seconds * rate):
             self.until(start + number * SECOND // rate)
-            self.ask(service_class, work)
+            self.submit(service_class, work)
         self.until(start + seconds * SECOND)
 
 
 @pytest.mark.parametrize("failing", [False, True])
 @pytest.mark.parametrize("routers", SIZES)
-def test_cold_engines_are_used_by_all_together_and_not_overloaded_by_heavy_queries(
+def test_all_routers_together_use_cold_engines_and_do_not_overload_them_with_heavy_queries(
     routers: int, failing: bool
 ) -> None:
-    """Guards against engines left idle where a share for each of several routers is less than a query, seen
-    where six in ten were replaced: the rest got four times what they can run; and against lotteries without
-    end
-    for one that ends all it gets at once, so that its threads are free by every sum."""
+    """Guards against cold engines left idle because the share of each router is less than a query.
+
+    This happened when six in ten engines were replaced: the others got four times the work that they can
+    run. Also guards against endless lotteries for an engine that ends all queries immediately, so that each
+    sum shows its threads as free.
+    """
     cold = [EngineEntry(engine(n), ready_at_us=SECOND) for n in range(4)]
     fleet = Fleet(routers, cold + [EngineEntry(engine(n)) for n in range(4, 8)], replace(SAFE, threads=2))
     fleet.failing = {entry.engine for entry in cold} if failing else set()
@@ -138,25 +143,27 @@
     window = RULES["cold_window_us"]
     full = 3.0 * CORES * engine_table.CORE_WORK * RULES["cold_window_us"]
     for entry in cold:
-        got = [(at, work) for at, _, name, work in fleet.sent if name == entry.engine]
-        for start, _ in got:  # by what the engine has at the least when the window begins
+        received = [(at, work) for at, _, name, work in fleet.sent if name == entry.engine]
+        for start, _ in received:  # the budget is lowest at the start of the window
             budget = full * (0.31 + 0.69 * (start - SECOND) / RULES["ramp_us"])
-            assert sum(work for at, work in got if start <= at < start + window) <= budget
-        first = sum(work for at, work in got if at < got[0][0] + window)
-        assert first > 0.3 * slow_start.COLD_BUDGET_SHARE * 0.31 * full  # and a fair part of it is used
+            assert sum(work for at, work in received if start <= at < start + window) <= budget
+        first_window_work = sum(work for at, work in received if at < received[0][0] + window)
+        # and a fair share of the budget is used
+        assert first_window_work > 0.3 * slow_start.COLD_BUDGET_SHARE * 0.31 * full
 
 
 @pytest.mark.parametrize("routers", SIZES[1:])
-def test_under_pressure_all_together_neither_rush_to_free_threads_nor_leave_them(routers: int) -> None:
-    """Guards against a rush of all routers on the same free threads, which are reported to all at once:
-    engines
-    held up to 128 threads, and then got nothing until these had ended."""
+def test_under_pressure_all_routers_together_use_free_threads_without_a_rush(routers: int) -> None:
+    """Guards against all routers using the same free threads, which are reported to all at the same time.
+
+    Engines then had up to 128 threads in use, and got no queries until these had ended.
+    """
     fleet = Fleet(routers, [EngineEntry(engine(n)) for n in range(8)], replace(SAFE, threads=2), SAFE)
     held: list[int] = []
     for second in range(14):
         for _ in range(20):
-            fleet.ask(0, 2 * SECOND)
-            fleet.ask(0, 2 * SECOND)
+            fleet.submit(0, 2 * SECOND)
+            fleet.submit(0, 2 * SECOND)
             fleet.until(fleet.now + SECOND // 20)
             if second >= 6:
                 held += [fleet.threads[engine(n)] for n in range(8)]
@@ -166,8 +173,8 @@
 
 
 @pytest.mark.parametrize("routers", SIZES[1:])
-def test_reported_threads_are_never_older_than_they_take_to_change(routers: int) -> None:
-    """Guards against sums half a second old, in which a fleet fills the same free threads twice."""
+def test_reported_threads_are_never_older_than_the_time_in_which_they_change(routers: int) -> None:
+    """Guards against sums that are half a second old: a fleet then fills the same free threads twice."""
     fleet = Fleet(routers, [EngineEntry(engine(0))])
     for _ in range(40):
         fleet.until(fleet.now + SECOND // 20)
@@ -175,50 +182,53 @@
         assert oldest <= 0.4 * SECOND or fleet.now < 2 * SECOND
 
 
-def test_without_pressure_each_router_stays_with_few_engines_and_all_are_used() -> None:
-    """Guards against a connection of each of 40 routers to each engine, for a request now and then."""
+def test_without_pressure_each_router_uses_few_engines_and_all_engines_are_used() -> None:
+    """Guards against connections from each of 40 routers to each engine for only a few requests."""
     engines = [EngineEntry(engine(n)) for n in range(30)]
     fleet = Fleet(40, engines, SAFE)
     fleet.load(seconds=8, rate=400, service_class=0, work=SECOND // 10)
-    most = 0  # of what each router dispatches, what goes to the eight that it asks most
+    most_used = 0  # dispatches of each router to the eight engines that it uses most
     for router in range(40):
-        asked = Counter(name for _, me, name, _ in fleet.sent if me == router)
-        most += sum(count for _, count in asked.most_common(8))
-    assert most > 0.6 * len(fleet.sent)
+        engine_counts = Counter(name for _, me, name, _ in fleet.sent if me == router)
+        most_used += sum(count for _, count in engine_counts.most_common(8))
+    assert most_used > 0.6 * len(fleet.sent)
     shares = [sum(name == entry.engine for _, _, name, _ in fleet.sent) for entry in engines]
     assert max(shares) < 4 * sum(shares) / len(shares)
     assert min(shares) > 0
 
 
 @pytest.mark.parametrize("routers", [3, 8, 40])
-def test_many_routers_serve_what_one_serves_before_the_same_engines(routers: int) -> None:
-    """Guards against shares of the capacity that reject while threads are free: of the utility asked for at
-    0.9
-    of it, eight routers served 0.94, three 0.95 and one 1.00; they refused reports without any pressure."""
+def test_many_routers_serve_as_much_as_one_router_with_the_same_engines(routers: int) -> None:
+    """Guards against shares of the capacity that cause rejections while threads are free.
+
+    At 0.9 of the capacity, eight routers served 0.94 of the requested utility, three routers 0.95 and one
+    router 1.00; they rejected reports without any pressure.
+    """
     tier = FleetModel(routers, engines=8, seed=2, skew=0.5)
     tier.load(20, level=0.9)
     tier.until(tier.now + 20 * SECOND)
     assert tier.account.service >= 0.99
-    assert not any(
-        e.charges.items for r in tier.routers if r for e in r.engines.by_id.values()
-    )  # all is bounded
+    # old charges are removed
+    assert not any(e.charges.items for r in tier.routers if r for e in r.engines.by_id.values())
+
 
+def test_joining_engines_cause_no_waves_of_queued_queries_and_are_used_while_cold() -> None:
+    """Guards against waves of queries and against idle cold engines.
 
-def test_joins_leave_neither_waves_of_held_queries_nor_cold_engines_idle() -> None:
-    """Guards against waves: 200 routers whose pressure ended together sent 1,700 s of work in one second and
-    200 in the next two; engines of 8 cores held up to 67 threads. Without this: 37 in one look of 100. And
-    against cold engines left idle: 0.911 served where the router with the time slot needed the lottery for
-    free threads too,
-    0.934 where only those with a slot sent any."""
+    Waves: when the pressure ended on 200 routers at the same time, they sent 1,700 s of work in one second
+    and 200 s in the next two; engines of 8 cores had up to 67 threads in use. Without waves, one sample in
+    100 shows 37. Idle cold engines: 0.911 of the utility was served if the router with the time slot also
+    needed to win the lottery for free threads, and 0.934 if only routers with a slot used cold engines.
+    """
     tier = joins(100, 15, 0.9, 1, 25)
     tier.until(tier.now + 25 * SECOND)
     assert tier.account.quantile(0.99) <= 2 * engine_table.THREADS_PER_CORE * CORES
     assert tier.account.service >= 0.94
-    assert max(e.worst_push for e in tier.engines.values()) < 0.8  # of the budget of any cold one
+    assert max(e.worst_push for e in tier.engines.values()) < 0.8  # of the budget of any cold engine
 
 
-def test_under_pressure_a_router_finds_the_one_engine_with_threads_free_for_it() -> None:
-    """Guards against two engines drawn in eighty, so that most shares of the free threads passed unused."""
+def test_under_pressure_a_router_finds_the_only_engine_with_free_threads() -> None:
+    """Guards against sampling two of eighty engines, which leaves most shares of free threads unused."""
     driver = ControllerDriver(
         settings(replace(SAFE, utility=90), SAFE, may_gossip=True, router_count=200), engines=80
     )
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Many routers that each see little, engines that restart together, and routers that stood still."""
+"""Many routers with little traffic each, engines that restart at the same time, and paused routers."""
 
 from __future__ import annotations
 
@@ -34,53 +34,58 @@
 ROUTERS = 200
 RULES = settings(router_count=ROUTERS, cold_multiple=4.0, ramp_us=30 * SECOND)
 COLD = EngineEntry(engine(1), ready_at_us=SECOND)
-LIMIT = 4.0 * 0.4 * 8 * engine_table.CORE_WORK * SECOND  # work that the cold engine may be sent in a window
+LIMIT = 4.0 * 0.4 * 8 * engine_table.CORE_WORK * SECOND  # work that the cold engine may get in a window
 
 
 def work_sent(restart_every: int, seconds: int = 12) -> list[tuple[int, float]]:
-    """Many routers ask with a skewed spread; some restart all the time. Returns dispatches to the cold
-    engine."""
+    """Send queries through many routers with a skewed distribution; some routers restart repeatedly.
+
+    Returns the time and work of each dispatch to the cold engine.
+    """
     random = Random(3)
     work = 200_000
     fleet = [Controller(replace(RULES, router_number=me), me) for me in range(ROUTERS)]
-    lists = EngineList(ListKind.CACHED, (COLD,))
+    engine_list = EngineList(ListKind.CACHED, (COLD,))
     for driver in fleet:
-        driver.handle(SECOND, [lists])
+        driver.handle(SECOND, [engine_list])
     sent = []
     query = 0
     for now in range(SECOND, (seconds + 1) * SECOND, 2_000):
-        me = int(ROUTERS * random.random() ** 2)  # the first routers see most
+        me = int(ROUTERS * random.random() ** 2)  # the first routers get the most traffic
         query += 1
         if restart_every and query % restart_every == 0:
             fleet[me] = Controller(replace(RULES, router_number=me), query)
-            fleet[me].handle(now, [lists])
+            fleet[me].handle(now, [engine_list])
         actions = fleet[me].handle(now, [QueryArrived(query, 0, 10 * SECOND, work)])
         sent += [(now, float(work)) for _ in dispatches(actions)]
     return sent
 
 
-def fullest(sent: list[tuple[int, float]]) -> float:
+def max_window_work(sent: list[tuple[int, float]]) -> float:
     return max(sum(work for at, work in sent if start <= at < start + SECOND) for start, _ in sent)
 
 
 @pytest.mark.parametrize("restart_every", [0, 7])
 def test_hundreds_of_routers_use_a_cold_engine_and_do_not_overload_it(restart_every: int) -> None:
     sent = work_sent(restart_every)
-    assert fullest(sent) <= LIMIT
-    assert sum(work for _, work in sent) > 0.1 * LIMIT * 12  # and yet it is used while it warms up
+    assert max_window_work(sent) <= LIMIT
+    assert sum(work for _, work in sent) > 0.1 * LIMIT * 12  # the engine is still used while it warms up
+
 
+@pytest.mark.parametrize("under_pressure", [False, True])
+def test_router_with_the_time_slot_prefers_the_cold_engine(under_pressure: bool) -> None:
+    """Guards against cold engines that get only a few hundredths of their budget.
 
-@pytest.mark.parametrize("pressed", [False, True])
-def test_router_with_the_time_slot_prefers_the_cold_engine(pressed: bool) -> None:
-    """Hunts saw cold engines get a few hundredths of what they may: the others looked better to all, and
-    under pressure a slot was of use only to who also won the lottery for free threads, as 1 of 200 does."""
+    Warm engines ranked higher on all routers. Under pressure, a router with a time slot could use it only if
+    it also won the lottery for free threads, as 1 of 200 does.
+    """
     cold = EngineEntry(engine(1), ready_at_us=SECOND)
     rules = settings(
-        replace(SAFE, utility=90), SAFE, cold_multiple=4.0, ramp_us=30 * SECOND, may_gossip=pressed
+        replace(SAFE, utility=90), SAFE, cold_multiple=4.0, ramp_us=30 * SECOND, may_gossip=under_pressure
     )
     driver = ControllerDriver(rules, [EngineEntry(engine(0)), cold])
     driver.run_until(3 * SECOND)
-    if pressed:
+    if under_pressure:
         router = driver.controller
         router.engines.router_count = 200
         router.gossip.sums_at_us = driver.now
@@ -88,44 +93,45 @@
     assert dispatches(driver.submit(1, service_class=1, cost=100_000))[0].engine == cold.engine
 
 
-@pytest.mark.parametrize(("lottery", "others", "sent"), [(0.999, 0, 1), (0.5, 0, 0), (0.999, 40, 0)])
+@pytest.mark.parametrize(
+    ("lottery", "peer_threads_held", "sent"), [(0.999, 0, 1), (0.5, 0, 0), (0.999, 40, 0)]
+)
 def test_router_without_the_time_slot_sends_a_cold_engine_one_query_by_lottery_until_the_next_sum(
-    lottery: float, others: int, sent: int
+    lottery: float, peer_threads_held: int, sent: int
 ) -> None:
-    """Guards against time slots left idle by routers that see little, and bursts by who won the lottery
-    once."""
+    """Guards against idle time slots of routers with little traffic, and bursts after one won lottery."""
     driver = ControllerDriver(replace(RULES, may_gossip=True), [COLD])
     driver.now = 3 * SECOND + 1
     router = driver.controller
     cold = driver.controller.engines.by_id[COLD.engine]
-    assert not dispatches(driver.submit(1))  # no time slot, and nothing reported
+    assert not dispatches(driver.submit(1))  # no time slot, and no reported threads
     for query in (2, 3, 4):
         router.gossip.sums_at_us = 3 * SECOND
         cold.lottery_draw = lottery
-        cold.peer_threads = others
+        cold.peer_threads = peer_threads_held
         driver.submit(query)
     assert len(dispatches(action for _, action in driver.actions)) == sent
 
 
-def test_that_many_would_overload_it_without_the_guard(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_these_routers_overload_the_engine_without_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SlowStart, "has_room", lambda *_: True)
-    assert fullest(work_sent(0, seconds=2)) > LIMIT
+    assert max_window_work(work_sent(0, seconds=2)) > LIMIT
 
 
-def test_engine_that_refused_a_connection_counts_as_cold_before_the_list_says_so() -> None:
-    """Verbund's mass restarts: engines were back, cold, seconds before the list said so, and fell over."""
+def test_engine_that_refused_a_connection_counts_as_cold_before_the_list_reports_it() -> None:
+    """Engines may restart cold seconds before the list reports it; full load then makes them fail."""
     driver = ControllerDriver(settings(router_count=50), engines=2)
     first = dispatches(driver.submit(1))[0]
     driver.end_attempt(first, Outcome.CONNECT_FAILED)
-    broken = driver.controller.engines.by_id[first.engine]
-    assert broken.capacity(driver.now, driver.controller.settings) == pytest.approx(0.4)
-    news = EngineEntry(first.engine, ready_at_us=driver.now)
+    refusing_engine = driver.controller.engines.by_id[first.engine]
+    assert refusing_engine.capacity(driver.now, driver.controller.settings) == pytest.approx(0.4)
+    new_entry = EngineEntry(first.engine, ready_at_us=driver.now)
     driver.now += 20 * SECOND
-    driver.handle(EngineList(ListKind.DELTA, (news,)))
-    assert broken.capacity(driver.now, driver.controller.settings) == 1.0
+    driver.handle(EngineList(ListKind.DELTA, (new_entry,)))
+    assert refusing_engine.capacity(driver.now, driver.controller.settings) == 1.0
 
 
-def test_new_process_has_neither_the_old_ones_groups_nor_locks_nor_symptoms() -> None:
+def test_new_process_starts_without_the_groups_locks_and_symptoms_of_the_old_one() -> None:
     driver = ControllerDriver(settings(replace(UNSAFE, is_load=True)), engines=1)
     driver.submit(1, group=3.0)
     old = driver.controller.engines.by_id[engine(0)]
@@ -139,40 +145,40 @@
     assert old.threads == 1
 
 
-def test_engine_off_the_list_keeps_its_attempts_and_charges() -> None:
+def test_removed_engine_keeps_its_attempts_and_charges() -> None:
     driver = ControllerDriver(settings(), engines=2)
-    gone = dispatches(driver.submit(1))[0].engine
-    left = tuple(EngineEntry(engine(n)) for n in range(2) if engine(n) != gone)
-    driver.handle(EngineList(ListKind.FULL, left))
+    removed = dispatches(driver.submit(1))[0].engine
+    listed = tuple(EngineEntry(engine(n)) for n in range(2) if engine(n) != removed)
+    driver.handle(EngineList(ListKind.FULL, listed))
     driver.run_until(driver.now + 4 * SECOND)
-    assert any(action == Cancel(1, 0) for _, action in driver.actions)  # still watched for silence
-    driver.handle(EngineList(ListKind.FULL, (*left, EngineEntry(gone))))
-    assert driver.controller.engines.by_id[gone].threads == 1
+    assert any(action == Cancel(1, 0) for _, action in driver.actions)  # still checked for missing notes
+    driver.handle(EngineList(ListKind.FULL, (*listed, EngineEntry(removed))))
+    assert driver.controller.engines.by_id[removed].threads == 1
 
 
 def test_lock_stays_until_the_last_load_of_the_group_has_ended() -> None:
     driver = ControllerDriver(settings(replace(UNSAFE, is_load=True)), engines=1)
-    both = dispatches(driver.submit(1, group=3.0) + driver.submit(2, cost=1_000, group=3.0))
-    assert len(both) == 2
-    driver.end_attempt(both[0], Outcome.OK)
+    loads = dispatches(driver.submit(1, group=3.0) + driver.submit(2, cost=1_000, group=3.0))
+    assert len(loads) == 2
+    driver.end_attempt(loads[0], Outcome.OK)
     assert 3.0 in driver.controller.engines.by_id[engine(0)].locked_groups
-    driver.end_attempt(both[1], Outcome.OK)
+    driver.end_attempt(loads[1], Outcome.OK)
     assert 3.0 not in driver.controller.engines.by_id[engine(0)].locked_groups
 
 
-def test_full_engine_is_left_alone_for_a_while() -> None:
-    """Dakar's hangs: a hung engine filled up, turned all away at once, and so looked the least busy."""
+def test_full_engine_gets_almost_no_queries_for_a_while() -> None:
+    """Guards against a hung engine that is full and rejects all queries, and so looks the least loaded."""
     driver = ControllerDriver(settings(), engines=3)
     first = dispatches(driver.submit(1))[0]
     driver.end_attempt(first, Outcome.FULL)
     driver.controller.classes[0].bound = 1e9
     driver.controller.pressure.until_us = 0
-    others = [dispatches(driver.submit(n, cost=1_000, group=float(n)))[0].engine for n in range(2, 12)]
-    assert others.count(first.engine) <= 1
+    other_engines = [dispatches(driver.submit(n, cost=1_000, group=float(n)))[0].engine for n in range(2, 12)]
+    assert other_engines.count(first.engine) <= 1
 
 
-def test_slow_unhealthy_engine_among_engines_without_answers_is_no_fault() -> None:
-    """Shah Alam's big-1: a share of 0 was divided by."""
+def test_slow_unhealthy_engine_among_engines_without_answers_is_handled() -> None:
+    """Guards against a division by a thread share of 0."""
     driver = ControllerDriver(settings(), engines=2)
     driver.submit(1, cost=1_000)
     for e in driver.controller.engines.by_id.values():
@@ -181,7 +187,7 @@
     assert len(dispatches(driver.submit(2, cost=1_000))) == 1
 
 
-def test_query_that_waits_for_a_load_starts_anew_elsewhere() -> None:
+def test_query_that_waits_for_a_load_restarts_on_another_engine() -> None:
     driver = ControllerDriver(settings(replace(SAFE, waits_for_loads=True)), engines=2)
     first = dispatches(driver.submit(1))[0]
     done = driver.handle(AttemptNote(1, 0, first.engine, NoteKind.WAITS, WAITS_FOR_LOAD))
@@ -192,12 +198,12 @@
 
 def test_list_in_the_same_batch_is_applied_before_a_timer_or_a_query() -> None:
     driver = ControllerDriver(settings(), engines=2)
-    drains = EngineList(ListKind.DELTA, (EngineEntry(engine(0), state=EngineState.DRAINING),))
-    asks = [QueryArrived(n, 0, 10 * SECOND, 1_000) for n in range(1, 7)]
-    assert {sent.engine for sent in dispatches(driver.handle(*asks, drains))} == {engine(1)}
+    draining_list = EngineList(ListKind.DELTA, (EngineEntry(engine(0), state=EngineState.DRAINING),))
+    queries = [QueryArrived(n, 0, 10 * SECOND, 1_000) for n in range(1, 7)]
+    assert {sent.engine for sent in dispatches(driver.handle(*queries, draining_list))} == {engine(1)}
 
 
-def test_own_stall_makes_no_engine_unhealthy_and_bounds_what_piled_up() -> None:
+def test_pause_of_the_router_makes_no_engine_unhealthy_and_bounds_the_accumulated_queries() -> None:
     driver = ControllerDriver(settings(kind_cores=(1.0,)), engines=4)
     driver.submit(1, cost=100_000)
     driver.controller.classes[0].bound = 1e9
@@ -205,15 +211,15 @@
         driver.submit(n, cost=100_000, group=float(n))
     driver.run_until(2 * SECOND)
     driver.now += 4 * SECOND
-    due = [TimerFired(token) for at, token in driver.timers if at <= driver.now]
-    piled = [QueryArrived(n, 0, 10 * SECOND, 50_000, group=float(n)) for n in range(10, 40)]
-    actions = driver.handle(*due, *piled)
+    due_timers = [TimerFired(token) for at, token in driver.timers if at <= driver.now]
+    accumulated = [QueryArrived(n, 0, 10 * SECOND, 50_000, group=float(n)) for n in range(10, 40)]
+    actions = driver.handle(*due_timers, *accumulated)
     assert not any(e.is_unhealthy for e in driver.controller.engines.by_id.values())
     assert not any(isinstance(action, Cancel) for action in actions)
     assert len(dispatches(actions)) <= 4 * 1.6 + 1
 
 
-def test_total_of_threads_is_bounded_where_a_share_of_an_engine_is_less_than_one() -> None:
+def test_total_of_threads_is_bounded_if_the_share_of_an_engine_is_less_than_one_thread() -> None:
     heavy = replace(SAFE, threads=2, latency_objective_us=8 * SECOND)
     driver = ControllerDriver(settings(SAFE, heavy, router_count=100, kind_cores=(8.0,)), engines=40)
     driver.submit(1, cost=1_000)
@@ -223,9 +229,8 @@
     driver.controller.pressure.until_us = 100 * SECOND
     more = [dispatches(driver.submit(n, cost=1_000_000, service_class=1)) for n in range(3, 9)]
     assert sum(map(len, more)) == 2  # 1.6 x 40 x 8 / 100 = 5.1 threads, 3 held before
-    assert (
-        len(dispatches(driver.submit(9, cost=1_000))) == 1
-    )  # the class with most utility for its work is not held
+    # the class with the highest utility per work is not held back
+    assert len(dispatches(driver.submit(9, cost=1_000))) == 1
 
 
 def test_heavy_query_alone_in_its_class_is_not_starved_and_under_pressure_the_bound_decides() -> None:
@@ -255,44 +260,45 @@
                 driver.end_attempt(sent, Outcome.OK, work=1_000)
                 if n > 200:
                     targets.setdefault(group, set()).add(sent.engine)
-    assert sum(map(len, targets.values())) / len(targets) < 8  # of 20; by chance it would be all but a few
+    assert sum(map(len, targets.values())) / len(targets) < 8  # of 20; random selection would use nearly all
 
 
-def test_engines_looked_at_for_an_event_do_not_grow_with_engines_times_classes(
+def test_engine_checks_per_event_do_not_grow_with_engines_times_classes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     classes = [SAFE] * 6
-    looked = 0
-    real = EngineSelector.is_allowed
+    checked_engines = 0
+    original = EngineSelector.is_allowed
 
-    def counted(self: EngineSelector, *args: Any) -> bool:
-        nonlocal looked
-        looked += 1
-        return real(self, *args)
+    def counting_is_allowed(self: EngineSelector, *args: Any) -> bool:
+        nonlocal checked_engines
+        checked_engines += 1
+        return original(self, *args)
 
-    monkeypatch.setattr(EngineSelector, "is_allowed", counted)
+    monkeypatch.setattr(EngineSelector, "is_allowed", counting_is_allowed)
     driver = ControllerDriver(settings(*classes, router_count=100), engines=200)
     for n, _ in enumerate(classes):
         driver.submit(n, service_class=n, cost=1_000)
-    assert looked <= 200 * len(classes)  # one look at each engine for each query that is sent
+    assert checked_engines <= 200 * len(classes)  # one check of each engine for each query that is sent
     driver.controller.pressure.until_us = 100 * SECOND
     for n, _ in enumerate(classes):
         driver.controller.classes[n].bound = 1e9
         for query in range(20):
             driver.submit(100 * n + 100 + query, service_class=n, cost=1_000)
-    looked = 0
-    driver.handle(TimerFired(10**9))  # held queries of many classes: those with no room cost nothing
-    assert looked <= 200
-    looked = 0
+    checked_engines = 0
+    # queued queries of many classes: no check of engines for classes without room
+    driver.handle(TimerFired(10**9))
+    assert checked_engines <= 200
+    checked_engines = 0
     driver.run_until(driver.now + 90_000)
-    assert looked <= 200
+    assert checked_engines <= 200
     idle = ControllerDriver(settings(*classes, router_count=100), engines=200)
-    looked = 0
+    checked_engines = 0
     idle.run_until(idle.now + 5 * SECOND)
-    assert looked == 0
+    assert checked_engines == 0
 
 
-def test_list_with_empty_ring_and_held_queries_is_no_fault() -> None:
+def test_empty_list_with_queued_queries_is_handled() -> None:
     driver = ControllerDriver(settings(), engines=1)
     driver.submit(1)
     driver.run_until(driver.now + 2 * SECOND)
@@ -308,13 +314,16 @@
     assert len(dispatches(driver.submit(1))) == 1
 
 
-@pytest.mark.parametrize(("engines", "most"), [(8, 200), (80, 650), (400, 2700)])
-def test_what_a_query_costs_grows_no_faster_than_the_engines(engines: int, most: int) -> None:
-    """Guards against work for each pair of engines, or for each engine at each event. Counted are calls of
-    the decisions' functions for a query and all that follows from it: 147, 530 and 2,224 at first."""
+@pytest.mark.parametrize(("engines", "max_calls"), [(8, 200), (80, 650), (400, 2700)])
+def test_calls_per_query_grow_no_faster_than_the_number_of_engines(engines: int, max_calls: int) -> None:
+    """Guards against work for each pair of engines, or for each engine at each event.
+
+    The test counts calls of the policy's functions for a query and its later events. The first counts were
+    147, 530 and 2,224.
+    """
     tier = FleetModel(3, engines)
     tier.load(2, 0.7 * 8 / engines)
-    asked = tier.account.came.total()
+    queries_before = tier.account.came.total()
     with cProfile.Profile() as profile:
         tier.load(4, 0.7 * 8 / engines)
     calls = sum(
@@ -322,12 +331,14 @@
         for entry in profile.getstats()
         if isinstance(entry.code, CodeType) and "slipbay/policy" in entry.code.co_filename
     )
-    assert calls < most * (tier.account.came.total() - asked)
+    assert calls < max_calls * (tier.account.came.total() - queries_before)
+
 
+def test_capacity_of_a_cold_engine_grows_linearly_over_its_ramp() -> None:
+    """Guards against cold engines that are limited to their initial share for half of their ramp.
 
-def test_a_cold_engine_is_taken_to_grow_evenly_over_its_ramp() -> None:
-    """Guards against cold engines that are held to their first share for half of their ramp: 18 of them
-    held 2 to 3 threads each while 12 warm ones held 12 to 18."""
+    In that case, 18 cold engines had 2 to 3 threads in use each while 12 warm ones had 12 to 18.
+    """
     entry = EngineEntry(engine(0), ready_at_us=SECOND)
     driver = ControllerDriver(settings(cold_share=0.4, ramp_us=10 * SECOND), [entry])
     cold = driver.controller.engines.by_id[engine(0)]
@@ -336,9 +347,12 @@
 
 
 @pytest.mark.parametrize("routers", [1, 8])
-def test_no_report_is_rejected_because_long_ones_run_while_threads_are_free(routers: int) -> None:
-    """At 0.9 load one router served 0.92, as did the three that were left of eight: each report that ran
-    counted with all of its work against the next, and a share of an eighth was taken as the rate."""
+def test_running_long_reports_cause_no_rejections_while_threads_are_free(routers: int) -> None:
+    """Guards against rejections of reports while threads are free.
+
+    At 0.9 load, one router served 0.92, and so did three routers left of eight: the bound counted the full
+    work of each running report, and the drain rate was that of an eighth of the engines.
+    """
     tier = FleetModel(routers, 8, seed=3)
     for me in range(routers * 5 // 8):
         tier.kill(me)
