--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,5 +1,7 @@
-"""With all new parts off, today's decisions and core do what those of commit b8aa84e did, bit for bit, but
-for the bound of admission, which was mended after it (docs/fleet.md)."""
+"""Without the optional modules, the policy and the core do exactly what they did at commit b8aa84e.
+
+The only exception is the bound of admission, which was fixed after that commit (docs/fleet.md).
+"""
 
 from __future__ import annotations
 
@@ -10,36 +12,36 @@
 
 from slipbay.policy import controller
 
-KEPT = json.loads(traces.KEPT.read_text())
-HOW = (
-    "; where that is meant, say why in the commit, with the measurement that asks for it, and record anew:"
+RECORDED = json.loads(traces.RECORDED.read_text())
+HINT = (
+    "; if the change is intended, give the reason and the measurement in the commit, and record again:"
     " python tests/traces.py record tests/data/traces.json"
 )
 
 
-@pytest.mark.skipif(traces.VERSION not in KEPT, reason=f"kept for Python {', '.join(KEPT)} only")
-@pytest.mark.parametrize("name", traces.PLAYS)
-def test_it_does_what_the_kept_trace_says(name: str) -> None:
-    told = traces.compare(name, KEPT[traces.VERSION][name], traces.record(name))
-    assert not told, told + HOW
+@pytest.mark.skipif(traces.VERSION not in RECORDED, reason=f"recorded for Python {', '.join(RECORDED)} only")
+@pytest.mark.parametrize("name", traces.SCENARIOS)
+def test_scenario_matches_the_recorded_trace(name: str) -> None:
+    difference = traces.compare(name, RECORDED[traces.VERSION][name], traces.record(name))
+    assert not difference, difference + HINT
 
 
-@pytest.mark.skipif(traces.VERSION not in KEPT, reason=f"kept for Python {', '.join(KEPT)} only")
-def test_a_changed_decision_or_answer_shows(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a recorder that hears nothing."""
-    kept = KEPT[traces.VERSION]["core"]
+@pytest.mark.skipif(traces.VERSION not in RECORDED, reason=f"recorded for Python {', '.join(RECORDED)} only")
+def test_a_changed_decision_or_answer_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a recorder that misses events."""
+    recorded = RECORDED[traces.VERSION]["core"]
     original = controller.Controller.handle
 
-    def late(self: controller.Controller, now: int, events: object) -> object:
+    def delayed_handle(self: controller.Controller, now: int, events: object) -> object:
         return original(self, now + (now > 1_005_000_000), events)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(controller.Controller, "handle", late)
-    assert "second 100" in traces.compare("core", kept, traces.record("core"))
+    monkeypatch.setattr(controller.Controller, "handle", delayed_handle)
+    assert "second 100" in traces.compare("core", recorded, traces.record("core"))
 
 
-def test_new_fields_at_their_default_change_no_hash_and_all_else_does() -> None:
-    seconds = [traces.Seconds() for _ in range(3)]
-    for each, what in zip(seconds, ((1, b"x"), (1, b"x"), (1, b"y")), strict=True):
-        each.note(*what)
-    first, same, other = (each.trace() for each in seconds)
+def test_equal_values_give_equal_traces_and_different_values_do_not() -> None:
+    hashes = [traces.SecondHashes() for _ in range(3)]
+    for recorder, values in zip(hashes, ((1, b"x"), (1, b"x"), (1, b"y")), strict=True):
+        recorder.note(*values)
+    first, same, other = (recorder.trace() for recorder in hashes)
     assert first == same != other
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec against bytes written down from the wire's tables, and the host as a process."""
+"""Compares the simulator's codec with bytes from the protocol's tables, and runs the adapter as a process."""
 
 from __future__ import annotations
 
@@ -93,15 +93,21 @@
 ENGINE = bytes.fromhex("0a124a078b13")
 
 
-def test_submitted_query_is_read_with_all_its_fields() -> None:
-    got = decode("0b 03000000 c4913a5d 0000 00000000 640ad2557c3bf091 80a90300 e02e0000 0000c043 00003041 01")
-    assert got == [Arrived(3, QueryArrived(0x5D3A91C4, 0, 240_000, 12_000, 384.0, 11.0, 0x91F03B7C55D20A64))]
+def test_submitted_query_is_decoded_with_all_its_fields() -> None:
+    decoded = decode(
+        "0b 03000000 c4913a5d 0000 00000000 640ad2557c3bf091 80a90300 e02e0000 0000c043 00003041 01"
+    )
+    assert decoded == [
+        Arrived(3, QueryArrived(0x5D3A91C4, 0, 240_000, 12_000, 384.0, 11.0, 0x91F03B7C55D20A64))
+    ]
 
 
 def test_submitted_query_without_a_valid_cost_has_none() -> None:
-    got = decode("0b 03000000 c4913a5d 0000 00000000 0000000000000000 80a90300 e02e0000 00000000 00003041 06")
-    assert isinstance(got[0], Arrived)
-    assert got[0].event == QueryArrived(
+    decoded = decode(
+        "0b 03000000 c4913a5d 0000 00000000 0000000000000000 80a90300 e02e0000 00000000 00003041 06"
+    )
+    assert isinstance(decoded[0], Arrived)
+    assert decoded[0].event == QueryArrived(
         0x5D3A91C4, 0, 240_000, None, 0.0, 11.0, is_repeat=True, is_write=True
     )
 
@@ -119,10 +125,10 @@
         ("9a01", Outcome.MOOT),
     ],
 )
-def test_end_of_an_attempt_is_read_with_outcome_work_and_load(code: str, outcome: Outcome) -> None:
-    got = decode(f"09 03000000 c4913a5d 00 0a124a07 8b13 {code} 44480000 01 60100100 01 52b81e3f")
+def test_end_of_an_attempt_is_decoded_with_outcome_work_and_load(code: str, outcome: Outcome) -> None:
+    decoded = decode(f"09 03000000 c4913a5d 00 0a124a07 8b13 {code} 44480000 01 60100100 01 52b81e3f")
     work = 17_000 if outcome is Outcome.OK else None
-    assert got == [
+    assert decoded == [
         Arrived(
             3,
             AttemptEnded(
@@ -140,7 +146,7 @@
     ]
 
 
-def test_short_records_are_read_as_their_events() -> None:
+def test_short_records_are_decoded_to_their_events() -> None:
     assert decode(
         "03 03000000 4d000000",
         "04 05000000 192b6f0e",
@@ -158,14 +164,14 @@
     ]
 
 
-def test_peer_message_is_read_from_the_tail() -> None:
+def test_peer_message_is_decoded_from_the_tail() -> None:
     assert decode("08 03000000 0200 00000000 04000000", tail=b"hi 7") == [Arrived(3, PeerMessage(2, b"hi 7"))]
 
 
-def test_lists_are_used_in_order_though_their_slots_are_reused() -> None:
+def test_lists_are_applied_in_order_although_their_slots_are_reused() -> None:
     first = bytes.fromhex("0a124a078b13 00 0000 0000 02 0000803f 0000000000000000".replace(" ", ""))
     second = bytes.fromhex("0a9011f2b413 00 0000 0000 01 0000c03f 20145d0000000000".replace(" ", ""))
-    got = decode(
+    decoded = decode(
         "06 00000000 00000000 01000000",
         "02 03000000 02 2900000000000000 00000000",
         "06 00000000 18000000 01000000",
@@ -173,7 +179,7 @@
         "02 03000000 03 2a00000000000000 07000000",
         tail=first + second,
     )
-    assert got == [
+    assert decoded == [
         Arrived(
             3,
             EngineList(ListKind.CACHED, (EngineEntry(ENGINE, 0, 0, 0, EngineState.READY, 1.0, 0),)),
@@ -207,28 +213,33 @@
         (UpdateAttempt(0x5D3A91C4, 2, 656.0), "4d 03000000 c4913a5d 00002444 02" + "00" * 10),
     ],
 )
-def test_each_action_is_written_as_its_record(action: Action, expected: str) -> None:
+def test_each_action_is_encoded_as_its_record(action: Action, expected: str) -> None:
     reply = ReplyWriter()
     reply.add(3, [action])
     body = bytes.fromhex(expected.replace(" ", ""))
     assert reply.frame(12) == struct.pack("<III", len(body), 1, 12) + body
 
 
-def test_internal_error_is_written_with_its_text() -> None:
+def test_internal_error_is_encoded_with_its_text() -> None:
     reply = ReplyWriter()
     reply.add_error(3, "index")
     assert reply.frame(1)[12:] == bytes.fromhex("4a030000000000000005000000" + "00" * 11) + b"index"
 
 
-def test_settings_skip_unknown_keys_and_bear_absent_ones() -> None:
-    got = read_settings(json.dumps(INFO).encode())
-    assert (got.router_count, got.router_number, got.max_attempts, got.classes[0].threads) == (2, 1, 3, 2)
-    assert got.classes[0] == ServiceClass(1_500_000, 7_500_000, Effect.SAFE, threads=2)
-    assert got.free_retries is None
-    assert got.max_retry_after_us == 2_000_000
-    least = read_settings(json.dumps({"profiles": INFO["profiles"]}).encode())
-    assert least.max_attempts == 1
-    assert least.classes[0].threads == 1
+def test_settings_ignore_unknown_keys_and_have_defaults_for_absent_ones() -> None:
+    decoded = read_settings(json.dumps(INFO).encode())
+    assert (
+        decoded.router_count,
+        decoded.router_number,
+        decoded.max_attempts,
+        decoded.classes[0].threads,
+    ) == (2, 1, 3, 2)
+    assert decoded.classes[0] == ServiceClass(1_500_000, 7_500_000, Effect.SAFE, threads=2)
+    assert decoded.free_retries is None
+    assert decoded.max_retry_after_us == 2_000_000
+    defaults = read_settings(json.dumps({"profiles": INFO["profiles"]}).encode())
+    assert defaults.max_attempts == 1
+    assert defaults.classes[0].threads == 1
 
 
 @pytest.mark.parametrize("changes", [{"balancers": 0}, {"me": 2}, {"tickUs": 0}, {"rules": {"coldShare": 2}}])
@@ -239,26 +250,28 @@
         Settings(classes=())
 
 
-def start(info: bytes, who: str = "03000000") -> tuple[str, bytes]:
-    return f"0a {who} 0100000000000000 00000000 {len(info).to_bytes(4, 'little').hex()}", info
+def start(info: bytes, instance: str = "03000000") -> tuple[str, bytes]:
+    return f"0a {instance} 0100000000000000 00000000 {len(info).to_bytes(4, 'little').hex()}", info
 
 
-def test_simulator_process_answers_and_ends_with_the_input() -> None:
+def test_simulator_process_replies_and_exits_at_the_end_of_input() -> None:
     text, info = start(json.dumps(INFO).encode())
     ready = bytes.fromhex("0a124a078b13 00 0000 0000 02 0000803f 0000000000000000".replace(" ", ""))
-    at = len(info).to_bytes(4, "little").hex()
-    asked = "0b 03000000 c4913a5d 0000 00000000 0000000000000000 80a90300 e02e0000 00000000 00003041 01"
-    live = batch(
+    list_offset = len(info).to_bytes(4, "little").hex()
+    submit_record = (
+        "0b 03000000 c4913a5d 0000 00000000 0000000000000000 80a90300 e02e0000 00000000 00003041 01"
+    )
+    second_batch = batch(
         text,
-        f"06 00000000 {at} 01000000",
+        f"06 00000000 {list_offset} 01000000",
         "02 03000000 02 2900000000000000 00000000",
-        asked,
+        submit_record,
         tail=info + ready,
     )
-    ended = run(batch() + live + batch("07 03000000", text, tail=info, turn=2))
-    assert (ended.returncode, ended.stderr) == (0, b"")
-    assert ended.stdout[:12] == struct.pack("<III", 0, 0, 1)
-    assert bytes.fromhex("4103000000c4913a5d0a124a078b13") in ended.stdout
+    finished = run(batch() + second_batch + batch("07 03000000", text, tail=info, turn=2))
+    assert (finished.returncode, finished.stderr) == (0, b"")
+    assert finished.stdout[:12] == struct.pack("<III", 0, 0, 1)
+    assert bytes.fromhex("4103000000c4913a5d0a124a078b13") in finished.stdout
 
 
 @pytest.mark.parametrize(
@@ -277,11 +290,11 @@
         struct.pack("<IIQI", 0, 5, 0, 1),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(data: bytes) -> None:
-    ended = run(data)
-    assert ended.returncode != 0
-    assert ended.stderr.startswith(b"slipbay.simhost: bad input: ")
-    assert ended.stderr.count(b"\n") == 1
+def test_malformed_input_ends_with_one_line_of_error(data: bytes) -> None:
+    finished = run(data)
+    assert finished.returncode != 0
+    assert finished.stderr.startswith(b"slipbay.simhost: bad input: ")
+    assert finished.stderr.count(b"\n") == 1
 
 
 def test_exception_in_a_decision_becomes_an_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -1,9 +1,9 @@
-"""Traces of decisions: a hash by second of every batch of events handed over and of the actions taken.
+"""Traces of decisions: for each second, a hash of all batches of events and of the resulting actions.
 
-``python tests/traces.py record FILE`` plays fixed seeds and keeps their hashes, ``compare FILE`` tells where
-today's program first does something else. Fields of events and actions that stand at their default are left
-out, so that a new field alone changes nothing. Hashes hold for one minor version of Python, as sums of
-floats differ between them.
+``python tests/traces.py record FILE`` runs scenarios with fixed seeds and stores their hashes, and
+``compare FILE`` reports where the current program first differs. The hashes leave out fields of events and
+actions that have their default value, so that a new field alone changes nothing. Hashes are valid for one
+minor version of Python, as sums of floats differ between versions.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 from slipbay.policy.protocol import Policy
 from slipbay.policy.settings import Effect, ServiceClass, Settings
 
-KEPT = Path(__file__).parent / "data" / "traces.json"  # of b8aa84e but for the mended bound
+RECORDED = Path(__file__).parent / "data" / "traces.json"  # recorded at b8aa84e, except for the fixed bound
 RECORDED_TYPES = {
     "ClientDisconnected": "QueryGone",
     "EstimatesRestored": "Inherited",
@@ -53,7 +53,7 @@
     "UpdateAttempt": "SetTerms",
     "WarmupChanged": "ComingBack",
 }
-"""Names of types as the recorded traces have them, where they were renamed since."""
+"""Recorded names of types that have been renamed since."""
 RECORDED_FIELDS = {
     ("EstimatesRestored", "unhealthy"): "ill",
     ("FleetSize", "routers"): "gateways",
@@ -63,19 +63,19 @@
     ("WarmupChanged", "connections_per_s"): "opens",
     ("WarmupChanged", "limit_connections"): "few",
 }
-"""Names of fields as the recorded traces have them, by today's type and field."""
+"""Recorded names of fields, by their current type and name."""
 VERSION = f"{sys.version_info.major}.{sys.version_info.minor}"
 Trace = list[str]  # a hash for each second
 
 
 def recorded_type(value: object) -> str:
-    """The type's name as the recorded traces have it."""
+    """Name of the type in the recorded traces."""
     name = type(value).__name__
     return RECORDED_TYPES.get(name, name)
 
 
 def plain(value: Any) -> Any:
-    """A form that is the same in every process, without fields at their default."""
+    """Convert a value to a form that is identical in every process; leaves out fields with defaults."""
     if dataclasses.is_dataclass(value):
         return (
             recorded_type(value),
@@ -90,54 +90,54 @@
     return value
 
 
-class Seconds:
-    """Hashes what is noted, by second."""
+class SecondHashes:
+    """Hashes the recorded values of each second."""
 
     def __init__(self) -> None:
         self._hashes: defaultdict[int, Any] = defaultdict(lambda: blake2s(digest_size=4))
         self.notes = 0
 
-    def note(self, now: int, *what: Any) -> None:
+    def note(self, now: int, *values: Any) -> None:
         self.notes += 1
-        self._hashes[now // SECOND].update(repr((now, plain(what))).encode())
+        self._hashes[now // SECOND].update(repr((now, plain(values))).encode())
 
     def trace(self) -> Trace:
         return [f"{second}:{found.hexdigest()}" for second, found in sorted(self._hashes.items())]
 
 
-class Noted:
-    """A decision module whose every call is noted."""
+class RecordingPolicy:
+    """A policy that records every call."""
 
-    def __init__(self, decider: Policy, me: int, seconds: Seconds) -> None:
-        self._decider = decider
+    def __init__(self, policy: Policy, me: int, hashes: SecondHashes) -> None:
+        self._policy = policy
         self._me = me
-        self._seconds = seconds
+        self._second_hashes = hashes
 
     def handle(self, now_us: int, events: Sequence[Event]) -> list[Action]:
-        actions = list(self._decider.handle(now_us, events))
-        self._seconds.note(now_us, self._me, tuple(events), tuple(actions))
+        actions = list(self._policy.handle(now_us, events))
+        self._second_hashes.note(now_us, self._me, tuple(events), tuple(actions))
         return actions
 
 
-class NotedTier(FleetModel):
-    def __init__(self, seconds: Seconds, *args: Any, **options: Any) -> None:
-        self._seconds = seconds
+class RecordingFleet(FleetModel):
+    def __init__(self, hashes: SecondHashes, *args: Any, **options: Any) -> None:
+        self._second_hashes = hashes
         super().__init__(*args, **options)
 
     def _tell(self, me: int, event: Event) -> None:
         router = self.routers[me]
-        if isinstance(router, Controller):  # a new life
-            self.routers[me] = cast(Controller, Noted(router, me, self._seconds))
+        if isinstance(router, Controller):  # a new incarnation
+            self.routers[me] = cast(Controller, RecordingPolicy(router, me, self._second_hashes))
         super()._tell(me, event)
 
 
-def one_router(seconds: Seconds) -> None:
-    NotedTier(seconds, 1, 4, seed=3).load(12, 0.9)
+def one_router(hashes: SecondHashes) -> None:
+    RecordingFleet(hashes, 1, 4, seed=3).load(12, 0.9)
 
 
-def deaths(seconds: Seconds) -> None:
-    """Five of eight die and come back; messages are lost, an engine drains, a new one is cold."""
-    tier = NotedTier(seconds, 8, 8, seed=5, loss=0.1)
+def deaths(hashes: SecondHashes) -> None:
+    """Five of eight routers fail and restart; messages are lost, an engine drains, a new one is cold."""
+    tier = RecordingFleet(hashes, 8, 8, seed=5, loss=0.1)
     tier.load(4, 0.9)
     for me in range(5):
         tier.kill(me)
@@ -149,9 +149,9 @@
     tier.load(4, 0.9)
 
 
-def overload(seconds: Seconds) -> None:
-    """More than there is, in two zones, unevenly, and for a while without word between routers."""
-    tier = NotedTier(seconds, 3, 6, seed=7, zones=2, skew=1.0)
+def overload(hashes: SecondHashes) -> None:
+    """Load above the capacity, in two zones, uneven, and for a while without messages between routers."""
+    tier = RecordingFleet(hashes, 3, 6, seed=7, zones=2, skew=1.0)
     tier.load(3, 1.3)
     tier.deaf = True
     tier.load(3, 1.3)
@@ -159,12 +159,12 @@
     tier.load(3, 0.5)
 
 
-def many(seconds: Seconds) -> None:
-    NotedTier(seconds, 40, 20, seed=9, skew=0.5).load(3, 0.7)
+def many(hashes: SecondHashes) -> None:
+    RecordingFleet(hashes, 40, 20, seed=9, skew=0.5).load(3, 0.7)
 
 
-class ScriptedBack:
-    """Engines that end attempts as the dice fall, with every outcome."""
+class RandomBackend:
+    """Engines that end attempts at random, with every outcome."""
 
     def __init__(self, loop: FakeLoop, random: Random, note: Callable[..., None]) -> None:
         self.loop = loop
@@ -174,14 +174,14 @@
     def start(self, attempt: Attempt) -> Any:
         self.note("start", attempt.request.id, attempt.number, attempt.engine, attempt.request.priority)
         outcome = self.random.choices(list(Outcome), [80, 4, 3, 2, 3, 3, 0, 1])[0]
-        took = int(self.random.expovariate(1 / 60_000)) + 1_000
+        duration_us = int(self.random.expovariate(1 / 60_000)) + 1_000
         if outcome.proves_not_run:
-            took = 1_000
+            duration_us = 1_000
         elif self.random.random() < 0.1:
-            took *= 20
-        self.loop.timers.after(took, lambda: attempt.finish(outcome, b"rows"))
-        for beat in range(200_000, min(took, 2_000_000), 200_000):
-            self.loop.timers.after(beat, lambda: attempt.report_progress(NoteKind.SHARE_DONE, 0.5))
+            duration_us *= 20
+        self.loop.timers.after(duration_us, lambda: attempt.finish(outcome, b"rows"))
+        for note_at in range(200_000, min(duration_us, 2_000_000), 200_000):
+            self.loop.timers.after(note_at, lambda: attempt.report_progress(NoteKind.SHARE_DONE, 0.5))
 
         def stop(outcome: Outcome) -> None:
             self.note("stop", attempt.request.id, attempt.number, outcome.name)
@@ -199,9 +199,12 @@
         self.note("close idle", engine)
 
 
-def core(seconds: Seconds) -> None:
-    """The real core with its gates empty: three classes, tenants, cancels, every outcome, a list that
-    changes, another router's death."""
+def core(hashes: SecondHashes) -> None:
+    """The real core without optional modules.
+
+    The run has three classes, tenants, cancellations, every outcome, list changes and the failure of another
+    router.
+    """
     loop = FakeLoop()
     random = Random(11)
     classes = (
@@ -231,27 +234,27 @@
         retry_window_us=10_000_000,
     )
 
-    def note(*what: Any) -> None:
-        seconds.note(loop.us, *what)
+    def note(*values: Any) -> None:
+        hashes.note(loop.us, *values)
 
-    made = Dispatcher(
+    dispatcher = Dispatcher(
         cast(Any, loop),
         cast(Any, loop),
         loop.timers,
-        Noted(Controller(settings, 1), 0, seconds),
+        RecordingPolicy(Controller(settings, 1), 0, hashes),
         settings,
         60,
         1_000_000,
     )
-    back = ScriptedBack(loop, random, note)
-    made.backends = [cast(Any, back)]
-    made.send_gossip = lambda body, to: note("tell", body, to)
+    backend = RandomBackend(loop, random, note)
+    dispatcher.backends = [cast(Any, backend)]
+    dispatcher.send_gossip = lambda body, to: note("tell", body, to)
     client = SimpleNamespace(
         answered=lambda request, answer: note("answer", request.id, recorded_type(answer), answer)
     )
     entries = [EngineEntry(b"s-%d" % n) for n in range(4)]
-    made.notify(EngineList(ListKind.CACHED, tuple(entries)))
-    asked: list[Request] = []
+    dispatcher.notify(EngineList(ListKind.CACHED, tuple(entries)))
+    submitted: list[Request] = []
     for number in range(900):
         loop.advance(int(random.expovariate(1 / 12_000)))
         kind = random.choices((0, 1, 2), (85, 10, 5))[0]
@@ -261,56 +264,58 @@
             classes[kind].deadline_us,
             b"",
             cast(Any, client),
-            cast(Any, back),
+            cast(Any, backend),
             cost_us=int(random.expovariate(1 / 60_000)) or None,
             group=random.randrange(17),
             tenant=random.randrange(3),
             size_bytes=random.randrange(9_000),
         )
-        asked.append(request)
-        made.submit(request)
+        submitted.append(request)
+        dispatcher.submit(request)
         if random.random() < 0.05:
-            made.client_disconnected(random.choice(asked[-20:]), cancelled=True)
+            dispatcher.client_disconnected(random.choice(submitted[-20:]), cancelled=True)
         if number == 300:
-            made.notify(FleetSize(1))
-            made.notify(
+            dispatcher.notify(FleetSize(1))
+            dispatcher.notify(
                 EngineList(ListKind.DELTA, (dataclasses.replace(entries[0], state=EngineState.DRAINING),))
             )
         if number == 600:
-            made.notify(EngineList(ListKind.DELTA, (EngineEntry(b"s-9", ready_at_us=loop.us),)))
+            dispatcher.notify(EngineList(ListKind.DELTA, (EngineEntry(b"s-9", ready_at_us=loop.us),)))
     loop.advance(20 * SECOND)
-    assert all(request.finished for request in asked)
-    assert not made.requests
+    assert all(request.finished for request in submitted)
+    assert not dispatcher.requests
 
 
-PLAYS: dict[str, Callable[[Seconds], None]] = {
-    play.__name__: play for play in (one_router, deaths, overload, many, core)
+SCENARIOS: dict[str, Callable[[SecondHashes], None]] = {
+    scenario.__name__: scenario for scenario in (one_router, deaths, overload, many, core)
 }
 
 
 def record(name: str) -> Trace:
-    seconds = Seconds()
-    PLAYS[name](seconds)
-    return seconds.trace()
+    hashes = SecondHashes()
+    SCENARIOS[name](hashes)
+    return hashes.trace()
 
 
-def compare(name: str, kept: Trace, found: Trace) -> str:
-    """ "" where they are the same, else where they part."""
-    for old, new in zip(kept, found, strict=False):
+def compare(name: str, recorded: Trace, found: Trace) -> str:
+    """Text of the first difference; empty if there is none."""
+    for old, new in zip(recorded, found, strict=False):
         if old != new:
             return f"{name}: differs first in second {new.partition(':')[0]} of simulated time"
-    return "" if len(kept) == len(found) else f"{name}: {len(found)} seconds, {len(kept)} kept"
+    return "" if len(recorded) == len(found) else f"{name}: {len(found)} seconds, {len(recorded)} recorded"
 
 
 def main(command: str, file: Path) -> int:
-    found = {name: record(name) for name in PLAYS}
-    kept = json.loads(file.read_text()) if file.exists() else {}
+    found = {name: record(name) for name in SCENARIOS}
+    recorded = json.loads(file.read_text()) if file.exists() else {}
     if command == "record":
-        file.write_text(json.dumps({**kept, VERSION: found}, indent=0) + "\n")
+        file.write_text(json.dumps({**recorded, VERSION: found}, indent=0) + "\n")
         return 0
-    told = [text for name in PLAYS if (text := compare(name, kept[VERSION][name], found[name]))]
-    print("\n".join(told) or "the same")
-    return bool(told)
+    differences = [
+        text for name in SCENARIOS if (text := compare(name, recorded[VERSION][name], found[name]))
+    ]
+    print("\n".join(differences) or "no difference")
+    return bool(differences)
 
 
 if __name__ == "__main__":
