--- a/tests/compat/simulated_input.py
+++ b/tests/compat/simulated_input.py
@@ -40,13 +40,13 @@
     ]
 
 
-def settings(me: int, instances: int, variant: int) -> bytes:
+def settings(instance: int, instances: int, variant: int) -> bytes:
     """Variant 0: pushed lists and peer messages; 1: priorities and lists on request; 2: neither."""
     return json.dumps(
         {
             "balancers": instances,
-            "me": me,
-            "zone": me % 2,
+            "me": instance,
+            "zone": instance % 2,
             "tickUs": 5000,
             "membershipMode": "on_request" if variant == 1 else "pushed",
             "familyInfo": {
@@ -134,9 +134,9 @@
 
     def start_instances(self) -> None:
         batch = Batch()
-        for me in range(self.instances):
-            text = settings(me, self.instances, self.variant)
-            batch.add(Struct("<BIQII").pack(10, me, 1000 + me, len(batch.tail), len(text)), text)
+        for instance in range(self.instances):
+            text = settings(instance, self.instances, self.variant)
+            batch.add(Struct("<BIQII").pack(10, instance, 1000 + instance, len(batch.tail), len(text)), text)
         self.send_list(batch, 2)
         self.send_batch(batch)
 
@@ -151,10 +151,10 @@
             for name in chosen
         )
         batch.add(Struct("<BIII").pack(6, self.slot, len(batch.tail), len(chosen)), body)
-        for me in range(self.instances):
-            batch.add(Struct("<BIBQI").pack(2, me, mode, self.turn, self.slot))
+        for instance in range(self.instances):
+            batch.add(Struct("<BIBQI").pack(2, instance, mode, self.turn, self.slot))
 
-    def arrive(self, batch: Batch, me: int) -> None:
+    def arrive(self, batch: Batch, instance: int) -> None:
         """Submit one query to one instance."""
         random = self.random
         self.last_id += 1
@@ -164,16 +164,16 @@
         cost = random.choice((20_000, 60_000, 150_000, 400_000))
         expires = random.choice((600_000, 2_000_000, 4_000_000))
         flags = random.choice((0, COST_VALID, COST_VALID, COST_VALID | 2, COST_VALID | 4))
-        self.class_of[me, query] = service_class
-        self.attempts[me, query] = 0
+        self.class_of[instance, query] = service_class
+        self.attempts[instance, query] = 0
         group = float(random.randrange(6))
         batch.add(
             Struct("<BIIHIQIIffB").pack(
-                11, me, query, service_class, query % 2, key, expires, cost, 64.0, group, flags
+                11, instance, query, service_class, query % 2, key, expires, cost, 64.0, group, flags
             )
         )
         if random.random() < 0.03:
-            self.at(self.now + random.randrange(50_000, 900_000), Struct("<BII").pack(4, me, query))
+            self.at(self.now + random.randrange(50_000, 900_000), Struct("<BII").pack(4, instance, query))
 
     def advance(self, arrivals: int) -> None:
         """Send one batch 20 ms later, with the due records and new arrivals."""
@@ -192,8 +192,8 @@
 
     def finish(self, record: bytes) -> bool:
         """Finish an attempt; returns whether it was still running."""
-        _, me, query, attempt_number = Struct("<BIIB").unpack(record[:10])
-        running = self.open.pop((me, query, attempt_number), None)
+        _, instance, query, attempt_number = Struct("<BIIB").unpack(record[:10])
+        running = self.open.pop((instance, query, attempt_number), None)
         if running is None:
             return False
         engine, threads = running
@@ -201,14 +201,21 @@
         return True
 
     def end(
-        self, when: int, me: int, query: int, attempt_number: int, engine: bytes, code: int, work_ms: int
+        self,
+        when: int,
+        instance: int,
+        query: int,
+        attempt_number: int,
+        engine: bytes,
+        code: int,
+        work_ms: int,
     ) -> None:
         note = work_ms << 12 | 25 if code == 200 else 0
         duration = max(0, when - self.now)
         report = (self.busy[engine] / 8, 1.0, 0.0, 0.0)
         record = Struct("<BIIB6sHIBIB4f").pack(
             9,
-            me,
+            instance,
             query,
             attempt_number,
             engine,
@@ -221,29 +228,31 @@
         )
         self.at(when, record)
 
-    def start_attempt(self, me: int, query: int, engine: bytes) -> None:
+    def start_attempt(self, instance: int, query: int, engine: bytes) -> None:
         """Start an attempt on an engine: it runs, or fails according to the engine's mode."""
         random = self.random
-        attempt_number = self.attempts[me, query]
-        self.attempts[me, query] = attempt_number + 1
-        service_class = self.class_of[me, query]
+        attempt_number = self.attempts[instance, query]
+        self.attempts[instance, query] = attempt_number + 1
+        service_class = self.class_of[instance, query]
         threads = (1, 2, 2, 1, 1, 3)[service_class]
-        self.open[me, query, attempt_number] = engine, threads
+        self.open[instance, query, attempt_number] = engine, threads
         self.busy[engine] += threads
         mode = self.mode[engine]
         if mode == "down":
-            self.end(self.now + 1_000, me, query, attempt_number, engine, 502, 0)
+            self.end(self.now + 1_000, instance, query, attempt_number, engine, 502, 0)
         elif mode == "breaks" and random.random() < 0.6:
-            self.end(self.now + 30_000, me, query, attempt_number, engine, random.choice((598, 598, 504)), 0)
+            self.end(
+                self.now + 30_000, instance, query, attempt_number, engine, random.choice((598, 598, 504)), 0
+            )
         elif mode == "errs" and service_class in (0, 3):
-            self.end(self.now + 15_000, me, query, attempt_number, engine, 500, 0)
+            self.end(self.now + 15_000, instance, query, attempt_number, engine, 500, 0)
         elif self.busy[engine] > 24:
-            self.end(self.now + 2_000, me, query, attempt_number, engine, 503, 0)
+            self.end(self.now + 2_000, instance, query, attempt_number, engine, 503, 0)
         elif mode != "silent":
-            self.run_attempt(me, query, attempt_number, engine, service_class)
+            self.run_attempt(instance, query, attempt_number, engine, service_class)
 
     def run_attempt(
-        self, me: int, query: int, attempt_number: int, engine: bytes, service_class: int
+        self, instance: int, query: int, attempt_number: int, engine: bytes, service_class: int
     ) -> None:
         random = self.random
         work_ms = random.choice((15, 40, 90, 250, 700))
@@ -251,20 +260,22 @@
         slowdown *= 3.0 if self.mode[engine] == "slow" else 1.0
         until = self.now + int(work_ms * 1000 * slowdown)
         if service_class == 4:
-            self.at(self.now + 10_000, Struct("<BIIB6sI").pack(12, me, query, attempt_number, engine, 0))
+            self.at(
+                self.now + 10_000, Struct("<BIIB6sI").pack(12, instance, query, attempt_number, engine, 0)
+            )
         note = Struct("<BII6sfBB")
         step = 200_000
         for when in range(self.now + step, until, step):
             share = (when - self.now) / (until - self.now)
-            self.at(when, note.pack(5, me, query, engine, share, attempt_number, 1))
+            self.at(when, note.pack(5, instance, query, engine, share, attempt_number, 1))
         if service_class in (0, 2) and random.random() < 0.1:
             self.at(
                 self.now + 8_000,
-                note.pack(5, me, query, engine, random.choice((1.0, 2.0)), attempt_number, 3),
+                note.pack(5, instance, query, engine, random.choice((1.0, 2.0)), attempt_number, 3),
             )
         if random.random() < 0.03:
-            self.at(self.now + 9_000, note.pack(5, me, query, engine, 1.0, attempt_number, 2))
-        self.end(until, me, query, attempt_number, engine, 200, work_ms)
+            self.at(self.now + 9_000, note.pack(5, instance, query, engine, 1.0, attempt_number, 2))
+        self.end(until, instance, query, attempt_number, engine, 200, work_ms)
 
     def execute_reply(self, reply: bytes) -> None:
         """Execute the actions of a reply."""
@@ -277,27 +288,27 @@
             self.execute_action(reply[at : at + ACTION_BYTES], tail)
 
     def execute_action(self, action: bytes, tail: bytes) -> None:
-        code, me = Struct("<BI").unpack_from(action)
+        code, instance = Struct("<BI").unpack_from(action)
         self.actions[code] = self.actions.get(code, 0) + 1
         assert code != 74, f"an internal error: {tail!r}"
         if code == 65:
             _, _, query, engine, _ = Struct("<BII6sI").unpack_from(action)
-            self.start_attempt(me, query, engine)
+            self.start_attempt(instance, query, engine)
         elif code == 68:
             _, _, query, attempt_number = Struct("<BIIB").unpack_from(action)
-            if (me, query, attempt_number) in self.open:
-                engine, _ = self.open[me, query, attempt_number]
+            if (instance, query, attempt_number) in self.open:
+                engine, _ = self.open[instance, query, attempt_number]
                 code = 410 if self.random.random() < 0.2 else 499
-                self.end(self.now + 15_000, me, query, attempt_number, engine, code, 0)
+                self.end(self.now + 15_000, instance, query, attempt_number, engine, code, 0)
         elif code == 69:
             _, _, token, when = Struct("<BIIQ").unpack_from(action)
-            self.at(max(when, self.now + 1), Struct("<BII").pack(3, me, token))
+            self.at(max(when, self.now + 1), Struct("<BII").pack(3, instance, token))
         elif code == 72:
             _, _, to, offset, size = Struct("<BIHII").unpack_from(action)
             body = tail[offset : offset + size]
             for peer in range(self.instances):
-                if peer != me and to in (peer, 0xFFFF) and self.random.random() < 0.95:
-                    self.at(self.now + 1_000, Struct("<BIH").pack(8, peer, me), body)
+                if peer != instance and to in (peer, 0xFFFF) and self.random.random() < 0.95:
+                    self.at(self.now + 1_000, Struct("<BIH").pack(8, peer, instance), body)
 
 
 def run_scenario(fleet: Fleet, batches: int) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -61,53 +61,60 @@
         self.attempts: defaultdict[tuple[int, int], int] = defaultdict(int)
         self.sent: list[tuple[int, int, bytes, int]] = []  # time, router, engine, work
         self.rejected_at: list[int] = []
-        self.routers = [Controller(replace(rules, router_number=me), me) for me in range(routers)]
+        self.routers = [
+            Controller(replace(rules, router_number=router_index), router_index)
+            for router_index in range(routers)
+        ]
         # engines that end all queries immediately
         self.classes = rules.classes
         self.failing = set[bytes]()
-        for me in range(routers):
-            self.send_event(me, EngineList(ListKind.CACHED, tuple(engines)))
+        for router_index in range(routers):
+            self.send_event(router_index, EngineList(ListKind.CACHED, tuple(engines)))
 
     def at(self, when: int, action: Callable[[], None]) -> None:
         self.timer_count += 1
         heapq.heappush(self.due, (when, self.timer_count, action))
 
-    def send_event(self, me: int, event: Event) -> None:
-        for action in self.routers[me].handle(self.now, [event]):
+    def send_event(self, router_index: int, event: Event) -> None:
+        for action in self.routers[router_index].handle(self.now, [event]):
             match action:
                 case SetTimer(token, at):
-                    self.at(at, lambda token=token: self.send_event(me, TimerFired(token)))  # type: ignore[misc]
+                    self.at(at, lambda token=token: self.send_event(router_index, TimerFired(token)))  # type: ignore[misc]
                 case SendGossip(body, to):
                     for other in range(len(self.routers)) if to is None else [to]:
-                        if other != me:
-                            self.send_event(other, PeerMessage(me, body))
+                        if other != router_index:
+                            self.send_event(other, PeerMessage(router_index, body))
                 case Dispatch(query, name):
-                    self.run(me, query, name)
+                    self.run(router_index, query, name)
                 case Reject():
                     self.rejected_at.append(self.now)
 
-    def run(self, me: int, query: int, name: bytes) -> None:
-        service_class, work = self.costs[me, query]
+    def run(self, router_index: int, query: int, name: bytes) -> None:
+        service_class, work = self.costs[router_index, query]
         threads = self.classes[service_class].threads
-        number = self.attempts[me, query]
-        self.attempts[me, query] += 1
-        self.sent.append((self.now, me, name, work))
+        attempt_number = self.attempts[router_index, query]
+        self.attempts[router_index, query] += 1
+        self.sent.append((self.now, router_index, name, work))
         self.threads[name] += threads
         slowdown = max(1.0, self.threads[name] / CORES)
         run_us = int(work / threads * slowdown) if name not in self.failing else 1_000
 
         def end() -> None:
             self.threads[name] -= threads
-            self.send_event(me, AttemptEnded(query, number, name, Outcome.OK, run_us, True, work))
+            self.send_event(
+                router_index, AttemptEnded(query, attempt_number, name, Outcome.OK, run_us, True, work)
+            )
 
         self.at(self.now + run_us, end)
 
     def submit(self, service_class: int, work: int) -> None:
         """Submit a query to a random router."""
-        me = self.random.randrange(len(self.routers))
+        router_index = self.random.randrange(len(self.routers))
         query = len(self.costs)
-        self.costs[me, query] = service_class, work
-        self.send_event(me, QueryArrived(query, service_class, 30 * SECOND, work, group=float(query % 7)))
+        self.costs[router_index, query] = service_class, work
+        self.send_event(
+            router_index, QueryArrived(query, service_class, 30 * SECOND, work, group=float(query % 7))
+        )
 
     def until(self, when: int) -> None:
         while self.due and self.due[0][0] <= when:
@@ -189,7 +196,7 @@
     fleet.load(seconds=8, rate=400, service_class=0, work=SECOND // 10)
     most_used = 0  # dispatches of each router to the eight engines that it uses most
     for router in range(40):
-        engine_counts = Counter(name for _, me, name, _ in fleet.sent if me == router)
+        engine_counts = Counter(name for _, router_index, name, _ in fleet.sent if router_index == router)
         most_used += sum(count for _, count in engine_counts.most_common(8))
     assert most_used > 0.6 * len(fleet.sent)
     shares = [sum(name == entry.engine for _, _, name, _ in fleet.sent) for entry in engines]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -44,19 +44,22 @@
     """
     random = Random(3)
     work = 200_000
-    fleet = [Controller(replace(RULES, router_number=me), me) for me in range(ROUTERS)]
+    fleet = [
+        Controller(replace(RULES, router_number=router_index), router_index)
+        for router_index in range(ROUTERS)
+    ]
     engine_list = EngineList(ListKind.CACHED, (COLD,))
     for driver in fleet:
         driver.handle(SECOND, [engine_list])
     sent = []
     query = 0
     for now in range(SECOND, (seconds + 1) * SECOND, 2_000):
-        me = int(ROUTERS * random.random() ** 2)  # the first routers get the most traffic
+        router_index = int(ROUTERS * random.random() ** 2)  # the first routers get the most traffic
         query += 1
         if restart_every and query % restart_every == 0:
-            fleet[me] = Controller(replace(RULES, router_number=me), query)
-            fleet[me].handle(now, [engine_list])
-        actions = fleet[me].handle(now, [QueryArrived(query, 0, 10 * SECOND, work)])
+            fleet[router_index] = Controller(replace(RULES, router_number=router_index), query)
+            fleet[router_index].handle(now, [engine_list])
+        actions = fleet[router_index].handle(now, [QueryArrived(query, 0, 10 * SECOND, work)])
         sent += [(now, float(work)) for _ in dispatches(actions)]
     return sent
 
@@ -249,10 +252,10 @@
 def test_routers_send_a_group_to_the_same_few_engines_without_messages() -> None:
     targets: dict[float, set[EngineId]] = {}
     groups = [float(1 + n % 40) for n in range(400)]
-    for me in range(8):
-        driver = ControllerDriver(settings(router_count=8, router_number=me), engines=20)
+    for router_index in range(8):
+        driver = ControllerDriver(settings(router_count=8, router_number=router_index), engines=20)
         driver.submit(1, cost=1_000)
-        for n, group in enumerate(Random(me).sample(groups, 400), start=2):
+        for n, group in enumerate(Random(router_index).sample(groups, 400), start=2):
             driver.controller.classes[0].bound = 1e9
             if n % 40 == 0:
                 driver.run_until(driver.now + SECOND)
@@ -354,8 +357,8 @@
     work of each running report, and the drain rate was that of an eighth of the engines.
     """
     tier = FleetModel(routers, 8, seed=3)
-    for me in range(routers * 5 // 8):
-        tier.kill(me)
+    for router_index in range(routers * 5 // 8):
+        tier.kill(router_index)
     tier.load(10, 0.9)
     tier.until(tier.now + 12 * SECOND)
     assert tier.account.service > 0.98
