--- a/slipbay/policy/admission.py
+++ b/slipbay/policy/admission.py
@@ -69,7 +69,7 @@
                 class_state.rejected_light += 1
             self.queries.answer(query, now_us)
             return
-        self.queries.hold(query, now_us)
+        self.queries.queue_query(query, now_us)
 
     def _admits_light_only(self, class_state: ClassState, now_us: int) -> bool:
         """Whether to prefer light queries as threads are scarce: each answer of a class has equal utility."""
--- a/slipbay/policy/attempts.py
+++ b/slipbay/policy/attempts.py
@@ -70,7 +70,7 @@
         self.outliers.record_send(engine)
         query.attempts_sent += 1
         query.last_engine = engine
-        self.pacer.record_send(engine.open(attempt))
+        self.pacer.record_send(engine.add_attempt(attempt))
         self.engines.record_send(class_state.spec.threads)
         engine.charges.add(now_us, class_state.charged_work)
         self.outbox.add(Dispatch(query.id, engine.entry.engine))
@@ -101,7 +101,7 @@
         attempt = query.in_flight.pop(event.attempt)
         engine = attempt.engine
         outcome = event.outcome
-        engine.close(attempt, outcome in CONNECTION_ERRORS)
+        engine.remove_attempt(attempt, outcome in CONNECTION_ERRORS)
         self.retries.record_end(attempt)
         self.engines.record_end(query.class_state.spec.threads)
         if query.may_have_run_since_us is None and not outcome.proves_not_run:
@@ -117,12 +117,12 @@
             self._update_estimates(query, attempt, event, now_us)
         self._finish(query, event, may_retry and not is_retry_futile, now_us)
 
-    def _finish(self, query: Query, event: AttemptEnded, retry: bool, now_us: int) -> None:
+    def _finish(self, query: Query, event: AttemptEnded, should_retry: bool, now_us: int) -> None:
         if event.complete:
             self.queries.close(query, now_us)
         elif not query.is_answered and not query.in_flight:
-            if retry:
-                query.class_state.hold(query)
+            if should_retry:
+                query.class_state.add_queued_cost(query)
                 query.class_state.queue.appendleft(query)
             else:
                 self.queries.answer(query, now_us)
--- a/slipbay/policy/controller.py
+++ b/slipbay/policy/controller.py
@@ -203,12 +203,12 @@
         self.key_queues.prune(now_us)
         self.affinity.prune()
         self.update_share(now_us)
-        self.bounds.reset(now_us)
+        self.bounds.update_bounds(now_us)
 
     def update_share(self, now_us: int) -> None:
         """Recompute the local share of engine threads and the affinity arcs over the local zone's engines."""
-        nearest = self.engines.update_share(now_us)
-        self.affinity.rebuild(engine.entry.engine for engine in nearest)
+        zone_engines = self.engines.update_share(now_us)
+        self.affinity.rebuild(engine.entry.engine for engine in zone_engines)
 
     # Events
 
@@ -268,7 +268,7 @@
     def _on_timer(self, event: TimerFired, now_us: int) -> None:
         self.outbox.fire(event.token, now_us)
 
-    # Queries by the host
+    # Accessors for the host
 
     def retry_budget(self) -> RetryBudgetRestored:
         """State of the retry budget, for the next process of this router to continue with."""
--- a/slipbay/policy/gossip.py
+++ b/slipbay/policy/gossip.py
@@ -29,16 +29,16 @@
     def __init__(self) -> None:
         self.period = -1
         self.reports = 0  # routers that reported in this period
-        self.own: dict[int, int] = {}
+        self.local_threads: dict[int, int] = {}
         self.sums: dict[int, int] = {}
 
     def begin(self, period: int, engines: Iterable[Engine]) -> bytes:
         """Start a period; returns the message with the threads that this router uses."""
         self.period = period
         self.reports = 1
-        self.own = {e.digest: e.threads for e in engines if e.threads}
-        self.sums = dict(self.own)
-        return gossip_codec.encode(LoadMessage(period, False, self.own))
+        self.local_threads = {e.digest: e.threads for e in engines if e.threads}
+        self.sums = dict(self.local_threads)
+        return gossip_codec.encode(LoadMessage(period, False, self.local_threads))
 
     def close(self) -> bytes:
         """End the collection of the period; returns the message with the sums."""
@@ -57,7 +57,9 @@
             return False
         sums = message.threads
         for engine in engines:
-            engine.peer_threads = max(0, sums.get(engine.digest, 0) - self.own.get(engine.digest, 0))
+            engine.peer_threads = max(
+                0, sums.get(engine.digest, 0) - self.local_threads.get(engine.digest, 0)
+            )
         return True
 
 
--- a/slipbay/policy/open_queries.py
+++ b/slipbay/policy/open_queries.py
@@ -60,9 +60,9 @@
         class_state.largest_cost = max(class_state.largest_cost, query.cost)
         return query
 
-    def hold(self, query: Query, now_us: int) -> None:
+    def queue_query(self, query: Query, now_us: int) -> None:
         """Queue an admitted query for an engine, after the other queries of its order key if it has one."""
-        query.class_state.hold(query)
+        query.class_state.add_queued_cost(query)
         if query.key:
             self.key_queues.enqueue(query, now_us)
         else:
@@ -102,7 +102,7 @@
         """Mark the query as answered and cancel its attempts except ``keep_attempt``."""
         query.is_answered = True
         query.class_state.open_queries.pop(query.id, None)
-        query.class_state.release(query)
+        query.class_state.dequeue(query)
         if query.in_flight:
             for attempt in list(query.in_flight.values()):
                 if attempt.number != keep_attempt:
--- a/slipbay/policy/outlier_detection.py
+++ b/slipbay/policy/outlier_detection.py
@@ -14,7 +14,7 @@
 # progress periods without a note or reply after which an engine with attempts counts as unresponsive; if the
 # engines send no notes, latency objectives take the place of progress periods
 UNRESPONSIVE_PERIODS = 2.5
-MIN_STALL_US = 3 * CHECK_PERIOD_US  # us of timer delay that show a pause of this process
+MIN_PAUSE_US = 3 * CHECK_PERIOD_US  # us of timer delay that show a pause of this process
 MAX_CONNECTION_ERROR_SHARE = 0.19  # running share of connection errors from which an engine stays unhealthy
 # running share of errors above which an engine is ejected for a class; three consecutive errors exceed it
 MAX_CLASS_ERROR_SHARE = 0.45
@@ -115,14 +115,14 @@
         paused: the engines are not blamed, and pressure is reported so that the bounds limit the release of
         queries. An engine that still works but cannot be reached is marked as well.
         """
-        stalled = now_us - scheduled_us > MIN_STALL_US
-        if stalled:
+        was_paused = now_us - scheduled_us > MIN_PAUSE_US
+        if was_paused:
             self.pressure.report(now_us)
         attempts: list[Attempt] = []
         for engine in engines:
             if not engine.attempts:
                 continue
-            if stalled:
+            if was_paused:
                 engine.last_activity_us = now_us
             if self._is_unresponsive(engine, now_us):
                 engine.is_unhealthy = True
--- a/slipbay/policy/queue_bounds.py
+++ b/slipbay/policy/queue_bounds.py
@@ -67,13 +67,13 @@
         max_bound = MAX_QUEUED_QUERIES * class_state.largest_cost
         class_state.bound = min(max(prediction + class_state.correction, 0.0), max_bound)
 
-    def reset(self, now_us: int) -> None:
+    def update_bounds(self, now_us: int) -> None:
         """End a sampling period: learn rho, apply the PI controller, and predict."""
         potential_rate = self._potential_drain_rate(now_us)
         for class_state in self.classes:
-            self._learn_rate(class_state, potential_rate)
-            self._step_correction(class_state)
-            self._step_cost_limit(class_state)
+            self._update_drain_rate(class_state, potential_rate)
+            self._update_correction(class_state)
+            self._update_cost_limit(class_state)
             class_state.start_period()
             self.predict(class_state, now_us)
 
@@ -85,17 +85,17 @@
         """
         engines = self.engines
         is_under_pressure = self.pressure.is_on(now_us)
-        free = 0.0
+        free_threads = 0.0
         if self.gossip.is_recent(now_us) and not is_under_pressure:
-            held = sum(e.threads + e.peer_threads for e in engines.by_id.values())
-            free = engines.thread_share * engines.router_count - held
-        threads = max(engines.thread_share, engines.threads_in_flight + free)
+            threads_in_use = sum(e.threads + e.peer_threads for e in engines.by_id.values())
+            free_threads = engines.thread_share * engines.router_count - threads_in_use
+        threads = max(engines.thread_share, engines.threads_in_flight + free_threads)
         # each thread has nearly a whole core
         min_cores = 0 if is_under_pressure else engines.threads_in_flight
         cores = max(threads / THREADS_PER_CORE * CORE_WORK, min_cores)
         return cores * SECOND / max(1.0, engines.pace_ratio.value())
 
-    def _learn_rate(self, class_state: ClassState, potential_rate: float) -> None:
+    def _update_drain_rate(self, class_state: ClassState, potential_rate: float) -> None:
         """Update the drain rate.
 
         The finished cost shows the rate only while queries are queued; otherwise the potential rate is used.
@@ -106,7 +106,7 @@
         rate = class_state.drain_rate + SAMPLE_WEIGHT * (drained - class_state.drain_rate)
         class_state.drain_rate = max(rate, class_state.mean_cost)
 
-    def _step_correction(self, class_state: ClassState) -> None:
+    def _update_correction(self, class_state: ClassState) -> None:
         """Apply the paper's PI controller to the mean delay, within limits.
 
         Without answers, the correction does not change; without queued queries and late answers, it is reset.
@@ -129,7 +129,7 @@
         drained = class_state.drain_rate / SECOND * objective_us
         return min(MAX_QUEUED_QUERIES * class_state.largest_cost, drained)
 
-    def _step_cost_limit(self, class_state: ClassState) -> None:
+    def _update_cost_limit(self, class_state: ClassState) -> None:
         """Lower the cost limit while light queries are rejected; a single rejection is not evidence."""
         step = COST_LIMIT_DECREASE if class_state.rejected_light > 1 else COST_LIMIT_INCREASE
         min_limit = class_state.mean_cost / COST_LIMIT_DIVISOR
--- a/slipbay/policy/records.py
+++ b/slipbay/policy/records.py
@@ -53,7 +53,7 @@
     def __post_init__(self) -> None:
         self.digest = digest_of(self.entry.engine)
 
-    def open(self, attempt: Attempt) -> bool:
+    def add_attempt(self, attempt: Attempt) -> bool:
         """Record an attempt as in flight; returns whether it probably needs a new connection."""
         query = attempt.query
         needs_connection = not self.has_idle_connection
@@ -66,7 +66,7 @@
             self.locked_groups[query.group] = query.deadline_us
         return needs_connection
 
-    def close(self, attempt: Attempt, broken: bool) -> None:
+    def remove_attempt(self, attempt: Attempt, broken: bool) -> None:
         """Remove an attempt; unlock the group of a load if no other load of this router locks it.
 
         If the connection is ``broken``, the other idle connections are assumed to be broken too.
@@ -194,12 +194,12 @@
         self.answers = 0
         self.rejected_light = 0  # queries rejected although their cost is within the limit
 
-    def hold(self, query: Query) -> None:
+    def add_queued_cost(self, query: Query) -> None:
         """Add a query's cost to the queued cost."""
         query.is_queued = True
         self.queued_cost += query.cost
 
-    def release(self, query: Query) -> None:
+    def dequeue(self, query: Query) -> None:
         """Remove a query from the queue and its cost from the queued cost, if present."""
         if query.is_queued:
             self.queued_cost -= query.cost
--- a/slipbay/policy/release.py
+++ b/slipbay/policy/release.py
@@ -34,10 +34,14 @@
 
     def release(self, now_us: int) -> None:
         """Send queued queries while engines have room, in order of arrival within a class."""
-        held = [class_state for class_state in self.classes if class_state.queue]
-        if len(held) > 1:  # first the class whose oldest query has waited the largest share of its objective
-            held.sort(key=lambda c: (c.queue[0].arrived_us - now_us) / c.latency_objective(c.queue[0].cost))
-        for class_state in held:
+        queued_classes = [class_state for class_state in self.classes if class_state.queue]
+        if (
+            len(queued_classes) > 1
+        ):  # first the class whose oldest query has waited the largest share of its objective
+            queued_classes.sort(
+                key=lambda c: (c.queue[0].arrived_us - now_us) / c.latency_objective(c.queue[0].cost)
+            )
+        for class_state in queued_classes:
             self._release_class(class_state, now_us)
 
     def _release_class(self, class_state: ClassState, now_us: int) -> None:
@@ -53,7 +57,7 @@
                     # extend while queries are queued; otherwise all routers would release them at once
                     self.pressure.extend(now_us + GOSSIP_PERIOD)
                 return
-            class_state.release(query)
+            class_state.dequeue(query)
             self.attempts.send(query, engine, now_us)
 
     def _is_unservable(self, query: Query, now_us: int) -> bool:
--- a/slipbay/policy/selection.py
+++ b/slipbay/policy/selection.py
@@ -157,12 +157,12 @@
 
     def _sample_engines(self, query: Query, allowed: list[Engine], is_under_pressure: bool) -> list[Engine]:
         """Random engines: from the nearest ones without pressure, otherwise from all."""
-        nearest = allowed
+        candidates = allowed
         if not is_under_pressure:
-            nearest = sorted(allowed, key=lambda e: e.distance(self.settings.zone))[:MAX_NEAREST_ENGINES]
+            candidates = sorted(allowed, key=lambda e: e.distance(self.settings.zone))[:MAX_NEAREST_ENGINES]
         elif query.class_state is not self.priorities.highest_class():
-            return nearest  # the lottery limits these classes
-        return self.random.sample(nearest, min(SAMPLE_SIZE, len(nearest)))
+            return candidates  # the lottery limits these classes
+        return self.random.sample(candidates, min(SAMPLE_SIZE, len(candidates)))
 
     def is_allowed(self, query: Query, engine: Engine, now_us: int) -> bool:
         """Whether the rules permit the engine: list state, placement, deduplication and cold budget."""
--- a/slipbay/policy/statistics.py
+++ b/slipbay/policy/statistics.py
@@ -13,26 +13,26 @@
 class DecayingRatio:
     """Running ratio of two sums, so that heavy queries have a higher weight; old samples decay."""
 
-    __slots__ = ("above", "below")
+    __slots__ = ("denominator", "numerator")
 
     def __init__(self) -> None:
-        self.above = 0.0
-        self.below = 0.0
+        self.numerator = 0.0
+        self.denominator = 0.0
 
-    def add(self, above: float, below: float, fade: float) -> None:
-        """Add a sample; all older samples lose the fraction ``fade`` of their weight."""
-        self.above += above - fade * self.above
-        self.below += below - fade * self.below
+    def add(self, numerator: float, denominator: float, decay: float) -> None:
+        """Add a sample; all older samples lose the fraction ``decay`` of their weight."""
+        self.numerator += numerator - decay * self.numerator
+        self.denominator += denominator - decay * self.denominator
 
     def value(self, default: float = 0.0) -> float:
         """The ratio, or ``default`` before the first sample."""
-        return self.above / self.below if self.below else default
+        return self.numerator / self.denominator if self.denominator else default
 
     def seed(self, value: float, weight: float) -> None:
         """Set the initial ratio from another router; ignored if there are local samples."""
-        if not self.below and value > 0:
-            self.above = value * weight
-            self.below = weight
+        if not self.denominator and value > 0:
+            self.numerator = value * weight
+            self.denominator = weight
 
 
 class SlidingWindow:
--- a/slipbay/simhost/event_reader.py
+++ b/slipbay/simhost/event_reader.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Started:
+class InstanceStarted:
     """An instance has started."""
 
     instance: int
@@ -58,21 +58,21 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Stopped:
+class InstanceStopped:
     """An instance has stopped."""
 
     instance: int
 
 
 @dataclass(slots=True, frozen=True)
-class Arrived:
+class InstanceEvent:
     """An event for a running instance."""
 
     instance: int
     event: Event
 
 
-Item: TypeAlias = Started | Stopped | Arrived
+BatchItem: TypeAlias = InstanceStarted | InstanceStopped | InstanceEvent
 
 
 class EventReader:
@@ -81,7 +81,7 @@
     def __init__(self) -> None:
         self._lists: dict[int, tuple[EngineEntry, ...]] = {}
         self._tail = memoryview(b"")
-        self._readers: dict[int, Callable[[memoryview], Item]] = {
+        self._readers: dict[int, Callable[[memoryview], BatchItem]] = {
             EventCode.PROBED: self._probed,
             EventCode.PEERS_KNOWN: self._peers_known,
             EventCode.TIMEOUT_FIRED: self._timeout_fired,
@@ -95,7 +95,7 @@
             EventCode.BEGUN: self._begun,
         }
 
-    def read(self, count: int, payload: bytes) -> Iterator[Item]:
+    def read(self, count: int, payload: bytes) -> Iterator[BatchItem]:
         """Yield the items of a batch of ``count`` records, in order.
 
         Raises ``MalformedInputError``.
@@ -115,7 +115,7 @@
             except (ValueError, struct.error) as problem:
                 raise MalformedInputError(str(problem), code) from None
 
-    def _reader(self, code: int) -> Callable[[memoryview], Item]:
+    def _reader(self, code: int) -> Callable[[memoryview], BatchItem]:
         if code not in self._readers:
             raise MalformedInputError(f"unknown record code {code}")
         return self._readers[code]
@@ -137,23 +137,23 @@
             for engine, zone, kind, cell, state, size, ready_at_us in frames.ENTRY.iter_unpack(entries)
         )
 
-    def _start(self, record: memoryview) -> Item:
+    def _start(self, record: memoryview) -> BatchItem:
         _, instance, seed, offset, size = frames.START.unpack(record)
-        return Started(instance, seed, read_settings(bytes(self._read_tail(offset, size))))
+        return InstanceStarted(instance, seed, read_settings(bytes(self._read_tail(offset, size))))
 
-    def _teardown(self, record: memoryview) -> Item:
-        return Stopped(frames.TEARDOWN.unpack(record)[1])
+    def _teardown(self, record: memoryview) -> BatchItem:
+        return InstanceStopped(frames.TEARDOWN.unpack(record)[1])
 
-    def _peers_known(self, record: memoryview) -> Item:
+    def _peers_known(self, record: memoryview) -> BatchItem:
         _, instance, mode, _, slot = frames.PEERS_KNOWN.unpack(record)
         kind = ListKind(mode)
         if kind is ListKind.FAILED:
-            return Arrived(instance, EngineList(kind))
+            return InstanceEvent(instance, EngineList(kind))
         if slot not in self._lists:
             raise MalformedInputError(f"engine list {slot} is not registered")
-        return Arrived(instance, EngineList(kind, self._lists[slot]))
+        return InstanceEvent(instance, EngineList(kind, self._lists[slot]))
 
-    def _submit(self, record: memoryview) -> Item:
+    def _submit(self, record: memoryview) -> BatchItem:
         fields = frames.SUBMIT.unpack(record)
         _, instance, query, service_class, tenant, key, expires_us, cost_us, memory_mb, group, flags = fields
         event = QueryArrived(
@@ -168,17 +168,17 @@
             is_repeat=bool(flags & frames.CLIENT_REPEAT),
             is_write=bool(flags & frames.WRITE),
         )
-        return Arrived(instance, event)
+        return InstanceEvent(instance, event)
 
-    def _begun(self, record: memoryview) -> Item:
+    def _begun(self, record: memoryview) -> BatchItem:
         _, instance, query, attempt, engine, _ = frames.BEGUN.unpack(record)
-        return Arrived(instance, StreamBegun(query, attempt, engine))
+        return InstanceEvent(instance, StreamBegun(query, attempt, engine))
 
-    def _update_of(self, record: memoryview) -> Item:
+    def _update_of(self, record: memoryview) -> BatchItem:
         _, instance, query, engine, value, attempt, kind = frames.UPDATE_OF.unpack(record)
-        return Arrived(instance, AttemptNote(query, attempt, engine, NoteKind(kind), value))
+        return InstanceEvent(instance, AttemptNote(query, attempt, engine, NoteKind(kind), value))
 
-    def _report_back(self, record: memoryview) -> Item:
+    def _report_back(self, record: memoryview) -> BatchItem:
         fields = frames.REPORT_BACK.unpack(record)
         _, instance, query, attempt, engine, code, duration_us, complete, note, count, *values = fields
         outcome = _outcome(code)
@@ -194,23 +194,25 @@
             memory_mb=(note & MEMORY_MASK) * MEMORY_STEP_MB,
             report=_report(count, values),
         )
-        return Arrived(instance, event)
+        return InstanceEvent(instance, event)
 
-    def _dropped(self, record: memoryview) -> Item:
+    def _dropped(self, record: memoryview) -> BatchItem:
         _, instance, query = frames.DROPPED.unpack(record)
-        return Arrived(instance, ClientDisconnected(query))
+        return InstanceEvent(instance, ClientDisconnected(query))
 
-    def _timeout_fired(self, record: memoryview) -> Item:
+    def _timeout_fired(self, record: memoryview) -> BatchItem:
         _, instance, token = frames.TIMEOUT_FIRED.unpack(record)
-        return Arrived(instance, TimerFired(token))
+        return InstanceEvent(instance, TimerFired(token))
 
-    def _probed(self, record: memoryview) -> Item:
+    def _probed(self, record: memoryview) -> BatchItem:
         _, instance, duration_us, engine, code, count, *values = frames.PROBED.unpack(record)
-        return Arrived(instance, ProbeEnded(engine, _outcome(code), duration_us, _report(count, values)))
+        return InstanceEvent(
+            instance, ProbeEnded(engine, _outcome(code), duration_us, _report(count, values))
+        )
 
-    def _whisper(self, record: memoryview) -> Item:
+    def _whisper(self, record: memoryview) -> BatchItem:
         _, instance, sender, offset, size = frames.WHISPER.unpack(record)
-        return Arrived(instance, PeerMessage(sender, bytes(self._read_tail(offset, size))))
+        return InstanceEvent(instance, PeerMessage(sender, bytes(self._read_tail(offset, size))))
 
 
 def _report(count: int, values: list[float]) -> LoadReport | None:
--- a/slipbay/simhost/host.py
+++ b/slipbay/simhost/host.py
@@ -7,7 +7,7 @@
 
 from slipbay.policy.controller import Controller
 from slipbay.policy.events import Event
-from slipbay.simhost.event_reader import Arrived, EventReader, Started, Stopped
+from slipbay.simhost.event_reader import EventReader, InstanceEvent, InstanceStarted, InstanceStopped
 from slipbay.simhost.frames import BATCH_HEADER, MalformedInputError
 from slipbay.simhost.reply_writer import ReplyWriter
 
@@ -31,13 +31,13 @@
         pending: dict[int, list[Event]] = {}
         for item in self._reader.read(count, payload):
             match item:
-                case Started(instance, seed, settings):
+                case InstanceStarted(instance, seed, settings):
                     self._controllers[instance] = Controller(settings, seed)
                     pending[instance] = []
-                case Stopped(instance):
+                case InstanceStopped(instance):
                     self._controllers.pop(instance, None)
                     pending.pop(instance, None)
-                case Arrived(instance, event):
+                case InstanceEvent(instance, event):
                     pending.setdefault(instance, []).append(event)
         for instance, events in pending.items():
             controller = self._controllers.get(instance)
--- a/tests/test_policy_parts.py
+++ b/tests/test_policy_parts.py
@@ -89,7 +89,7 @@
     first = query_of(replace(SAFE, in_order=True), 1, key=7)
     second = replace(first, id=2)
     for query in (first, second):
-        query.class_state.hold(query)
+        query.class_state.add_queued_cost(query)
         queues.enqueue(query, 0)
     ready = first.class_state.queue
     assert [query.id for query in ready] == [1]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -46,7 +46,7 @@
 )
 from slipbay.policy.settings import Effect, ServiceClass, Settings
 from slipbay.simhost import host
-from slipbay.simhost.event_reader import Arrived, EventReader, Item, Stopped
+from slipbay.simhost.event_reader import BatchItem, EventReader, InstanceEvent, InstanceStopped
 from slipbay.simhost.reply_writer import ReplyWriter
 from slipbay.simhost.settings_reader import SettingsError, read_settings
 
@@ -69,7 +69,7 @@
     return bytes.fromhex(text.replace(" ", "")).ljust(48, b"\0")
 
 
-def decode(*records: str, tail: bytes = b"") -> list[Item]:
+def decode(*records: str, tail: bytes = b"") -> list[BatchItem]:
     payload = b"".join(record(text) for text in records) + tail
     return list(EventReader().read(len(records), payload))
 
@@ -98,7 +98,7 @@
         "0b 03000000 c4913a5d 0000 00000000 640ad2557c3bf091 80a90300 e02e0000 0000c043 00003041 01"
     )
     assert decoded == [
-        Arrived(3, QueryArrived(0x5D3A91C4, 0, 240_000, 12_000, 384.0, 11.0, 0x91F03B7C55D20A64))
+        InstanceEvent(3, QueryArrived(0x5D3A91C4, 0, 240_000, 12_000, 384.0, 11.0, 0x91F03B7C55D20A64))
     ]
 
 
@@ -106,7 +106,7 @@
     decoded = decode(
         "0b 03000000 c4913a5d 0000 00000000 0000000000000000 80a90300 e02e0000 00000000 00003041 06"
     )
-    assert isinstance(decoded[0], Arrived)
+    assert isinstance(decoded[0], InstanceEvent)
     assert decoded[0].event == QueryArrived(
         0x5D3A91C4, 0, 240_000, None, 0.0, 11.0, is_repeat=True, is_write=True
     )
@@ -129,7 +129,7 @@
     decoded = decode(f"09 03000000 c4913a5d 00 0a124a07 8b13 {code} 44480000 01 60100100 01 52b81e3f")
     work = 17_000 if outcome is Outcome.OK else None
     assert decoded == [
-        Arrived(
+        InstanceEvent(
             3,
             AttemptEnded(
                 0x5D3A91C4,
@@ -155,17 +155,19 @@
         "05 03000000 c4913a5d 0a124a07 8b13 0000003f 00 01",
         "01 03000000 78050000 0a124a07 8b13 c800 01 0000003f",
     ) == [
-        Arrived(3, TimerFired(77)),
-        Arrived(5, ClientDisconnected(0x0E6F2B19)),
-        Stopped(3),
-        Arrived(3, StreamBegun(0x5D3A91C4, 0, ENGINE)),
-        Arrived(3, AttemptNote(0x5D3A91C4, 0, ENGINE, NoteKind.SHARE_DONE, 0.5)),
-        Arrived(3, ProbeEnded(ENGINE, Outcome.OK, 1400, LoadReport((0.5,)))),
+        InstanceEvent(3, TimerFired(77)),
+        InstanceEvent(5, ClientDisconnected(0x0E6F2B19)),
+        InstanceStopped(3),
+        InstanceEvent(3, StreamBegun(0x5D3A91C4, 0, ENGINE)),
+        InstanceEvent(3, AttemptNote(0x5D3A91C4, 0, ENGINE, NoteKind.SHARE_DONE, 0.5)),
+        InstanceEvent(3, ProbeEnded(ENGINE, Outcome.OK, 1400, LoadReport((0.5,)))),
     ]
 
 
 def test_peer_message_is_decoded_from_the_tail() -> None:
-    assert decode("08 03000000 0200 00000000 04000000", tail=b"hi 7") == [Arrived(3, PeerMessage(2, b"hi 7"))]
+    assert decode("08 03000000 0200 00000000 04000000", tail=b"hi 7") == [
+        InstanceEvent(3, PeerMessage(2, b"hi 7"))
+    ]
 
 
 def test_lists_are_applied_in_order_although_their_slots_are_reused() -> None:
@@ -180,18 +182,18 @@
         tail=first + second,
     )
     assert decoded == [
-        Arrived(
+        InstanceEvent(
             3,
             EngineList(ListKind.CACHED, (EngineEntry(ENGINE, 0, 0, 0, EngineState.READY, 1.0, 0),)),
         ),
-        Arrived(
+        InstanceEvent(
             3,
             EngineList(
                 ListKind.DELTA,
                 (EngineEntry(bytes.fromhex("0a9011f2b413"), 0, 0, 0, EngineState.DRAINING, 1.5, 0x5D1420),),
             ),
         ),
-        Arrived(3, EngineList(ListKind.FAILED)),
+        InstanceEvent(3, EngineList(ListKind.FAILED)),
     ]
 
 
