--- a/slipbay/policy/admission.py
+++ b/slipbay/policy/admission.py
@@ -22,7 +22,7 @@
 from slipbay.policy.timing import SECOND, Uptime
 
 # us after the start in which the drain rates are still learned; three sampling periods
-LEARNING_PERIOD = 3 * SECOND
+LEARNING_PERIOD_US = 3 * SECOND
 LAST_ANSWER_TICKS = 2  # timer ticks before the deadline at which a query gets its final answer
 
 
@@ -88,7 +88,7 @@
             return False
         if len(class_state.open_queries) == 1:
             return True
-        if self.uptime.age_us(now_us) >= LEARNING_PERIOD:
+        if self.uptime.age_us(now_us) >= LEARNING_PERIOD_US:
             return False
         engines = self.engines
         has_held_queries = not self.pacer.is_limited and any(c.queue for c in self.classes)
--- a/slipbay/policy/controller.py
+++ b/slipbay/policy/controller.py
@@ -202,12 +202,12 @@
         self.engines.prune(now_us, now_us - self.settings.cold_window_us - CHECK_PERIOD_US)
         self.key_queues.prune(now_us)
         self.affinity.prune()
-        self.update_share(now_us)
+        self.update_thread_share(now_us)
         self.bounds.update_bounds(now_us)
 
-    def update_share(self, now_us: int) -> None:
+    def update_thread_share(self, now_us: int) -> None:
         """Recompute the local share of engine threads and the affinity arcs over the local zone's engines."""
-        zone_engines = self.engines.update_share(now_us)
+        zone_engines = self.engines.update_thread_share(now_us)
         self.affinity.rebuild(engine.entry.engine for engine in zone_engines)
 
     # Events
@@ -232,7 +232,7 @@
         if event.kind is ListKind.FAILED:
             self.outbox.add(FetchList())
         self.engines.apply_list(event)
-        self.update_share(now_us)
+        self.update_thread_share(now_us)
 
     def _on_disconnect(self, event: ClientDisconnected, now_us: int) -> None:
         query = self.queries.by_id.get(event.query)
--- a/slipbay/policy/engine_table.py
+++ b/slipbay/policy/engine_table.py
@@ -77,7 +77,7 @@
                 self.by_id[entry.engine] = engine
             engine.update_entry(entry, kind_cores[entry.kind] if entry.kind < len(kind_cores) else 1.0)
 
-    def update_share(self, now_us: int) -> list[Engine]:
+    def update_thread_share(self, now_us: int) -> list[Engine]:
         """Recompute the local share of threads; returns the ready engines of the local zone, or else all."""
         ready = [e for e in self.by_id.values() if e.entry.state is EngineState.READY]
         cores = sum(e.cores * e.capacity(now_us, self.settings) for e in ready if not e.is_unhealthy)
--- a/slipbay/policy/gossip.py
+++ b/slipbay/policy/gossip.py
@@ -19,8 +19,10 @@
 from slipbay.policy.records import Engine
 from slipbay.policy.timing import SECOND
 
-GOSSIP_PERIOD = SECOND // 4  # us between reports; the collector waits for half of it
-MAX_REPORT_AGE_US = 2 * GOSSIP_PERIOD  # us for which thread sums are valid; tolerates the loss of one report
+GOSSIP_PERIOD_US = SECOND // 4  # us between reports; the collector waits for half of it
+MAX_REPORT_AGE_US = (
+    2 * GOSSIP_PERIOD_US
+)  # us for which thread sums are valid; tolerates the loss of one report
 
 
 class PeerLoads:
@@ -32,7 +34,7 @@
         self.local_threads: dict[int, int] = {}
         self.sums: dict[int, int] = {}
 
-    def begin(self, period: int, engines: Iterable[Engine]) -> bytes:
+    def start_period(self, period: int, engines: Iterable[Engine]) -> bytes:
         """Start a period; returns the message with the threads that this router uses."""
         self.period = period
         self.reports = 1
@@ -40,7 +42,7 @@
         self.sums = dict(self.local_threads)
         return gossip_codec.encode(LoadMessage(period, False, self.local_threads))
 
-    def close(self) -> bytes:
+    def finish_period(self) -> bytes:
         """End the collection of the period; returns the message with the sums."""
         self.reports = 0
         return gossip_codec.encode(LoadMessage(self.period, True, self.sums))
@@ -85,21 +87,21 @@
     def step(self, now_us: int, outbox: Outbox, body: bytes = b"") -> None:
         """Send the messages that are due in this period and process ``body``, if it is not empty."""
         engines = self.engines.by_id.values()
-        period = now_us // GOSSIP_PERIOD
+        period = now_us // GOSSIP_PERIOD_US
         collector = period % self.ring_size
         if period != self.loads.period:
-            report = self.loads.begin(period, engines)
+            report = self.loads.start_period(period, engines)
             if collector != self.router_number:
                 outbox.add(SendGossip(report, collector))
         elif collector == self.router_number and self._may_close(period, now_us):
-            body = self.loads.close()
+            body = self.loads.finish_period()
             outbox.add(SendGossip(body))
         if self.loads.receive(body, engines):
             self._apply_sums(now_us)
 
     def _may_close(self, period: int, now_us: int) -> bool:
         has_majority = 2 * self.loads.reports >= self.engines.router_count
-        return has_majority and 2 * (now_us - period * GOSSIP_PERIOD) >= GOSSIP_PERIOD
+        return has_majority and 2 * (now_us - period * GOSSIP_PERIOD_US) >= GOSSIP_PERIOD_US
 
     def _apply_sums(self, now_us: int) -> None:
         """Record the local threads at the time of the sums; report pressure if all thread shares are used."""
--- a/slipbay/policy/release.py
+++ b/slipbay/policy/release.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from slipbay.policy.attempts import AttemptTracker
-from slipbay.policy.gossip import GOSSIP_PERIOD
+from slipbay.policy.gossip import GOSSIP_PERIOD_US
 from slipbay.policy.open_queries import OpenQueries
 from slipbay.policy.pressure import Pressure
 from slipbay.policy.records import ClassState, Query
@@ -55,7 +55,7 @@
             if engine is None:
                 if self.pressure.is_on(now_us):
                     # extend while queries are queued; otherwise all routers would release them at once
-                    self.pressure.extend(now_us + GOSSIP_PERIOD)
+                    self.pressure.extend(now_us + GOSSIP_PERIOD_US)
                 return
             class_state.dequeue(query)
             self.attempts.send(query, engine, now_us)
--- a/slipbay/policy/slow_start.py
+++ b/slipbay/policy/slow_start.py
@@ -11,7 +11,7 @@
 from zlib import crc32
 
 from slipbay.policy.engine_table import CORE_WORK, THREADS_PER_CORE, EngineTable
-from slipbay.policy.gossip import GOSSIP_PERIOD, LoadGossip
+from slipbay.policy.gossip import GOSSIP_PERIOD_US, LoadGossip
 from slipbay.policy.records import ClassState, Engine
 from slipbay.policy.settings import Settings
 from slipbay.policy.timing import CHECK_PERIOD_US, Uptime
@@ -82,6 +82,6 @@
         threads = THREADS_PER_CORE * engine.cores * capacity - engine.peer_threads - engine.threads_at_report
         work = class_state.charged_work
         fair_work = threads / class_state.spec.threads * work
-        share = min(fair_work, budget * GOSSIP_PERIOD / window_us) / self.engines.router_count
+        share = min(fair_work, budget * GOSSIP_PERIOD_US / window_us) / self.engines.router_count
         sent = sum(charge for at_us, charge in engine.charges.items if at_us >= self.gossip.sums_at_us)
         return sent + work <= share + engine.lottery_draw * work
--- a/slipbay/scatter_gather/scatterer.py
+++ b/slipbay/scatter_gather/scatterer.py
@@ -13,7 +13,7 @@
 from slipbay.core.model import Answer, Attempt, Failed, Rejected, Request, ScatteredParts, Served
 from slipbay.core.timers import Timers
 from slipbay.log import log
-from slipbay.policy.admission import LEARNING_PERIOD
+from slipbay.policy.admission import LEARNING_PERIOD_US
 from slipbay.policy.events import EngineId, Outcome
 from slipbay.scatter_gather.config_schema import ScatterGatherPlan
 from slipbay.scatter_gather.interfaces import (
@@ -66,7 +66,7 @@
         self.bytes = 0  # of rows that wait
         self.counts: dict[str, Counter[str]] = {one.service_class: Counter() for one in plan.scattered}
         self.later_us = core.settings.max_retry_after_us // 2
-        self._learned = core.clock.now() + LEARNING_PERIOD
+        self._learned = core.clock.now() + LEARNING_PERIOD_US
 
     # From the front
 
--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -356,10 +356,10 @@
 def peer_messages() -> list[bytes]:
     """What a gateway holds, the sums, and both as they leave with little room."""
     peers, engines = peers_of({ENGINE_A: 3, ENGINE_B: 300, b"idle--": 0})
-    mine = peers.begin(2**32 + 305_419_896, engines)
+    mine = peers.start_period(2**32 + 305_419_896, engines)
     other, others = peers_of({ENGINE_A: 2})
-    peers.receive(other.begin(2**32 + 305_419_896, others), engines)
-    sums = peers.close()
+    peers.receive(other.start_period(2**32 + 305_419_896, others), engines)
+    sums = peers.finish_period()
     return [mine, sums, cut_to(sums, 10), cut_to(sums, 6), cut_to(sums, 4)]
 
 
@@ -522,7 +522,7 @@
 def test_kept_peer_messages_are_heard() -> None:
     mine, sums = (bytes.fromhex(text) for text in kept()["others"]["peers"][:2])
     peers, engines = peers_of({ENGINE_A: 1, ENGINE_B: 1})
-    peers.begin(2**32 + 305_419_896, engines)
+    peers.start_period(2**32 + 305_419_896, engines)
     assert not peers.receive(mine, engines)
     assert peers.reports == 2
     assert peers.receive(sums, engines)
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -134,11 +134,11 @@
 def test_messages_of_the_decisions_are_cut_to_whole_items_the_heaviest_first() -> None:
     held = PeerLoads()
     engines = [SimpleNamespace(digest=n, threads=n, peer_threads=0) for n in range(1, 90)]
-    body = held.begin(7, cast(Any, engines))
+    body = held.start_period(7, cast(Any, engines))
     assert len(body) == 254
     assert [len(cut(body, room)) for room in (256, 253, 100, 5, 4, 0)] == [254, 251, 98, 5, 0, 0]
     other = PeerLoads()
-    other.begin(7, [])
+    other.start_period(7, [])
     assert not other.receive(cut(body, 100), [])
     assert other.reports == 2
     assert sorted(other.sums) == list(range(59, 90))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -314,7 +314,7 @@
     controller.handle(SECOND, [EngineList(ListKind.CACHED, (EngineEntry(engine(0)),))])
     whole = controller.engines.thread_share
     controller.handle(SECOND, [FleetSize(2)])
-    controller.update_share(SECOND)
+    controller.update_thread_share(SECOND)
     assert controller.engines.thread_share == 4 * whole
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -63,7 +63,7 @@
 def test_messages_stay_few_and_short() -> None:
     routers = fleet()
     count = run(routers, routers[0].now + 4 * SECOND)
-    assert 0 < count <= (4 * SECOND // gossip.GOSSIP_PERIOD + 1) * 2 * len(routers)
+    assert 0 < count <= (4 * SECOND // gossip.GOSSIP_PERIOD_US + 1) * 2 * len(routers)
     assert all(
         len(message.body) <= 256
         for driver in routers
@@ -75,7 +75,7 @@
     routers = fleet()
     run(routers, routers[0].now + SECOND)
     run(routers, routers[0].now + 3 * SECOND, lose=True)
-    heard = [g for g in routers if g.now - g.controller.gossip.sums_at_us < 2 * gossip.GOSSIP_PERIOD]
+    heard = [g for g in routers if g.now - g.controller.gossip.sums_at_us < 2 * gossip.GOSSIP_PERIOD_US]
     assert not heard
     assert len(dispatches(routers[0].submit(90, cost=1_000))) == 1
 
