--- a/slipbay/policy/admission.py
+++ b/slipbay/policy/admission.py
@@ -21,7 +21,7 @@
 from slipbay.policy.statistics import SAMPLE_DECAY
 from slipbay.policy.timing import SECOND, Uptime
 
-# us after the start in which the drain rates are still learned; three sampling periods
+# time after the start in which the drain rates are still unreliable; three sampling periods
 LEARNING_PERIOD_US = 3 * SECOND
 LAST_ANSWER_TICKS = 2  # timer ticks before the deadline at which a query gets its final answer
 
--- a/slipbay/policy/attempts.py
+++ b/slipbay/policy/attempts.py
@@ -22,11 +22,14 @@
 from slipbay.policy.settings import Effect, Settings
 from slipbay.policy.statistics import SAMPLE_DECAY
 
-# an attempt is overdue if its remaining time exceeds this many times the time of a restart ...
+# An attempt is overdue if its remaining time exceeds OVERDUE_FACTOR times the time of a restart by at least
+# MIN_MIGRATION_SAVING_US.
 OVERDUE_FACTOR = 2.0
-MIN_MIGRATION_SAVING_US = 500_000  # ... plus this, us, so that a migration saves enough
-STUCK_FACTOR = 4.0  # times the usual run time after which an attempt without any note is migrated
-STUCK_MARGIN_US = 75_000  # us added to that, for network delay and random variation
+MIN_MIGRATION_SAVING_US = 500_000
+# An attempt without any note is migrated after STUCK_FACTOR times its usual run time plus STUCK_MARGIN_US.
+# The margin covers network delay and random variation.
+STUCK_FACTOR = 4.0
+STUCK_MARGIN_US = 75_000
 
 UNKNOWN_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 """Outcomes after which the attempt may still be running, or may have run."""
--- a/slipbay/policy/gossip.py
+++ b/slipbay/policy/gossip.py
@@ -19,10 +19,8 @@
 from slipbay.policy.records import Engine
 from slipbay.policy.timing import SECOND
 
-GOSSIP_PERIOD_US = SECOND // 4  # us between reports; the collector waits for half of it
-MAX_REPORT_AGE_US = (
-    2 * GOSSIP_PERIOD_US
-)  # us for which thread sums are valid; tolerates the loss of one report
+GOSSIP_PERIOD_US = SECOND // 4  # time between reports; the collector waits for half of it
+MAX_REPORT_AGE_US = 2 * GOSSIP_PERIOD_US  # thread sums are valid for this time; one report may be lost
 
 
 class PeerLoads:
--- a/slipbay/policy/outlier_detection.py
+++ b/slipbay/policy/outlier_detection.py
@@ -14,11 +14,11 @@
 # progress periods without a note or reply after which an engine with attempts counts as unresponsive; if the
 # engines send no notes, latency objectives take the place of progress periods
 UNRESPONSIVE_PERIODS = 2.5
-MIN_PAUSE_US = 3 * CHECK_PERIOD_US  # us of timer delay that show a pause of this process
+MIN_PAUSE_US = 3 * CHECK_PERIOD_US  # a timer delay of this length shows that this process was paused
 MAX_CONNECTION_ERROR_SHARE = 0.19  # running share of connection errors from which an engine stays unhealthy
 # running share of errors above which an engine is ejected for a class; three consecutive errors exceed it
 MAX_CLASS_ERROR_SHARE = 0.45
-CLASS_EJECTION_US = 5 * SECOND  # us that an engine gets no queries of a class after errors on it
+CLASS_EJECTION_US = 5 * SECOND  # time for which an ejected engine gets no queries of the class
 # fraction of sends that may probe unhealthy engines; a probe may make its query miss the latency objective
 PROBE_FRACTION = 0.05
 
--- a/slipbay/policy/pressure.py
+++ b/slipbay/policy/pressure.py
@@ -4,7 +4,7 @@
 
 from slipbay.policy.timing import SECOND
 
-PRESSURE_HOLD_US = 2 * SECOND  # us for which a signal of pressure counts; two sampling periods
+PRESSURE_HOLD_US = 2 * SECOND  # time for which a signal of pressure is valid; two sampling periods
 
 
 class Pressure:
--- a/slipbay/policy/priority.py
+++ b/slipbay/policy/priority.py
@@ -8,21 +8,21 @@
 from slipbay.policy.settings import Settings
 from slipbay.policy.timing import SECOND
 
-HIGH_PRIORITY = 3  # of the class with the highest utility per us of work
-USUAL_PRIORITY = 1  # of all other classes
+HIGH_PRIORITY = 3  # priority of the class with the highest utility per work
+USUAL_PRIORITY = 1  # priority of all other classes
 # times the thread bound that it may use; engines reject queries far above the bound
 HIGH_PRIORITY_THREAD_FACTOR = 2.0
 
 
 class Priorities:
-    """Selects the class with the highest utility per us of work."""
+    """Selects the class with the highest utility per unit of work."""
 
     def __init__(self, settings: Settings, classes: Sequence[ClassState]) -> None:
         self.classes = classes
         self.may_exceed_bound = settings.supports_priority and not settings.may_gossip
 
     def highest_class(self) -> ClassState:
-        """The class with the highest utility per us of work.
+        """The class with the highest utility per unit of work.
 
         It has priority, and the threads that other classes use do not hold it back.
         """
--- a/slipbay/policy/records.py
+++ b/slipbay/policy/records.py
@@ -28,8 +28,8 @@
     order: int = 0  # position in the local order of engines
     # in flight, by query id and attempt number
     attempts: dict[tuple[int, int], Attempt] = field(default_factory=dict)
-    charges: SlidingWindow = field(default_factory=SlidingWindow)  # work sent, us
-    # groups locked by loads; latest end of the lock, us
+    charges: SlidingWindow = field(default_factory=SlidingWindow)  # work sent (us)
+    # groups locked by loads, with the latest time at which the lock ends
     locked_groups: dict[float, int] = field(default_factory=dict)
     # groups of the latest queries sent to it
     recent_groups: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_WARM_GROUPS))
@@ -142,7 +142,7 @@
     cost: float  # the estimate, corrected by the measured work of answers of its class
     group: float
     key: int  # 0 if its class is not ordered
-    min_run_us: float = 0.0  # lower limit of its run time, us; 0 if the client estimated no cost
+    min_run_us: float = 0.0  # lower limit of its run time; 0 if the client estimated no cost
     attempts_sent: int = 0
     is_queued: bool = False  # its cost is included in the queued cost of its class
     is_answered: bool = False
--- a/slipbay/policy/release.py
+++ b/slipbay/policy/release.py
@@ -35,9 +35,8 @@
     def release(self, now_us: int) -> None:
         """Send queued queries while engines have room, in order of arrival within a class."""
         queued_classes = [class_state for class_state in self.classes if class_state.queue]
-        if (
-            len(queued_classes) > 1
-        ):  # first the class whose oldest query has waited the largest share of its objective
+        # first the class whose oldest query has waited the largest share of its objective
+        if len(queued_classes) > 1:
             queued_classes.sort(
                 key=lambda c: (c.queue[0].arrived_us - now_us) / c.latency_objective(c.queue[0].cost)
             )
--- a/slipbay/policy/retries.py
+++ b/slipbay/policy/retries.py
@@ -13,7 +13,7 @@
 from slipbay.policy.timing import CHECK_PERIOD_US
 
 LAST_ATTEMPT_TICKS = 4  # timer ticks before the deadline when retries end; LAST_ANSWER_TICKS is later
-# us of the deduplication window reserved for the retry to reach the engine
+# part of the deduplication window reserved for the retry to reach the engine
 DEDUP_MARGIN_US = 2 * CHECK_PERIOD_US
 
 
--- a/slipbay/policy/timing.py
+++ b/slipbay/policy/timing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-SECOND = 1_000_000  # us; also the sampling period of the admission paper
+SECOND = 1_000_000  # microseconds; also the sampling period of the admission paper
 # checks for unresponsive engines and queued queries; well below the shortest objective
 CHECK_PERIOD_US = 100_000
 
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -19,7 +19,7 @@
 )
 from slipbay.policy.settings import Effect, Scope, ServiceClass, Settings
 
-ANSWER_SLACK_US = 20_000  # us after its deadline in which a final answer still counts
+ANSWER_SLACK_US = 20_000  # a final answer still counts within this time after the deadline
 CORE_WORK = 0.85  # fraction of its cores' time that counts as an engine's full capacity
 UNKNOWN_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 """Outcomes after which the attempt may still be running."""
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -231,7 +231,7 @@
         class_state.bound = 1e9
     driver.controller.pressure.until_us = 100 * SECOND
     more = [dispatches(driver.submit(n, cost=1_000_000, service_class=1)) for n in range(3, 9)]
-    assert sum(map(len, more)) == 2  # 1.6 x 40 x 8 / 100 = 5.1 threads, 3 held before
+    assert sum(map(len, more)) == 2  # 1.6 x 40 x 8 / 100 = 5.1 threads, 3 already in use
     # the class with the highest utility per work is not held back
     assert len(dispatches(driver.submit(9, cost=1_000))) == 1
 
