--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -33,20 +33,20 @@
     Traffic(REPORT, 0.13, 2_400_000, 1.3),
     Traffic(LOAD, 0.02, 6_000_000, 1.0),
 )
-HEAVY = (Traffic(replace(REPORT, threads=1), 1.0, 4_000_000, 0.6),)  # at first, a window has room for five
-HEAVIER = (
-    Traffic(REPORT, 0.7, 1_500_000),
-    Traffic(LOAD, 0.3, 7_000_000, 0.6),
-)  # a window has room for six of mean work
+HEAVY = (
+    Traffic(replace(REPORT, threads=1), 1.0, 4_000_000, 0.6),
+)  # at first, a window has room for five queries
+# a window has room for six queries of mean work
+HEAVIER = (Traffic(REPORT, 0.7, 1_500_000), Traffic(LOAD, 0.3, 7_000_000, 0.6))
 RULE = ColdRule()
 
 
-class Peers(Enum):
+class Gossip(Enum):
     """Whether routers send messages to each other, and whether these arrive."""
 
-    HEARD = "heard"
-    ALONE = "alone"
-    DEAF = "deaf"
+    DELIVERED = "delivered"
+    DISABLED = "disabled"
+    LOST = "lost"
 
 
 # Scenarios: how engines start cold
@@ -96,7 +96,7 @@
 def run_scenario(
     scenario: Scenario,
     mix: tuple[Traffic, ...],
-    peers: Peers,
+    gossip_mode: Gossip,
     routers: int,
     seed: int,
     level: float,
@@ -104,14 +104,14 @@
 ) -> ColdTier:
     """Run a scenario with six engines, unevenly distributed traffic and lists that arrive up to 4 s late."""
     tier = ColdTier(routers, 6, mix, seed=seed, skew=0.7, partitions=partitions)
-    if peers is Peers.ALONE:
+    if gossip_mode is Gossip.DISABLED:
         tier.settings = replace(tier.settings, may_gossip=False)
         for me in range(routers):
             tier.start(me)
     if partitions > 1:
         for me in range(routers):
             tier._tell(me, FleetSize(routers // partitions))
-    tier.deaf = peers is Peers.DEAF
+    tier.deaf = gossip_mode is Gossip.LOST
     lag_random = Random(seed)
     for me in range(routers):
         tier.lag_us[me] = lag_random.randrange(4 * SECOND) if scenario is not engines_join else 0
@@ -120,36 +120,36 @@
 
 
 @pytest.mark.parametrize(
-    ("scenario", "mix", "peers", "routers", "seed", "level"),
+    ("scenario", "mix", "gossip_mode", "routers", "seed", "level"),
     [
-        (engines_restart, SKEWED, Peers.HEARD, 20, 5, 1.7),
-        (engines_restart, MIX, Peers.DEAF, 30, 1, 1.5),
-        (engines_restart, HEAVY, Peers.ALONE, 30, 1, 2.0),
-        (engines_restart, HEAVIER, Peers.HEARD, 20, 1, 2.0),
-        (engines_join, SKEWED, Peers.HEARD, 30, 1, 1.5),
-        (engines_join, MIX, Peers.ALONE, 20, 2, 1.5),
-        (engines_join, HEAVIER, Peers.HEARD, 20, 1, 2.0),
-        (routers_and_engines_restart, SKEWED, Peers.HEARD, 30, 1, 2.0),
-        (routers_and_engines_restart, SKEWED, Peers.ALONE, 20, 2, 1.5),
-        (routers_and_engines_restart, HEAVIER, Peers.HEARD, 20, 1, 2.0),
-        (routers_and_engines_restart, HEAVIER, Peers.ALONE, 30, 1, 1.5),
+        (engines_restart, SKEWED, Gossip.DELIVERED, 20, 5, 1.7),
+        (engines_restart, MIX, Gossip.LOST, 30, 1, 1.5),
+        (engines_restart, HEAVY, Gossip.DISABLED, 30, 1, 2.0),
+        (engines_restart, HEAVIER, Gossip.DELIVERED, 20, 1, 2.0),
+        (engines_join, SKEWED, Gossip.DELIVERED, 30, 1, 1.5),
+        (engines_join, MIX, Gossip.DISABLED, 20, 2, 1.5),
+        (engines_join, HEAVIER, Gossip.DELIVERED, 20, 1, 2.0),
+        (routers_and_engines_restart, SKEWED, Gossip.DELIVERED, 30, 1, 2.0),
+        (routers_and_engines_restart, SKEWED, Gossip.DISABLED, 20, 2, 1.5),
+        (routers_and_engines_restart, HEAVIER, Gossip.DELIVERED, 20, 1, 2.0),
+        (routers_and_engines_restart, HEAVIER, Gossip.DISABLED, 30, 1, 1.5),
     ],
 )
 def test_no_cold_engine_gets_more_than_its_limit_from_all_routers(
-    scenario: Scenario, mix: tuple[Traffic, ...], peers: Peers, routers: int, seed: int, level: float
+    scenario: Scenario, mix: tuple[Traffic, ...], gossip_mode: Gossip, routers: int, seed: int, level: float
 ) -> None:
     """Guards against a router that sends several heavy queries after one won lottery.
 
     The first case then reached 1.22 of the limit: one router sent three of the heaviest queries.
     """
-    worst = run_scenario(scenario, mix, peers, routers, seed, level).worst()
+    worst = run_scenario(scenario, mix, gossip_mode, routers, seed, level).worst()
     print(f"{worst.share:.2f} of the limit: {worst.units:.1f} requests, N {worst.allowed:.1f}")
     assert 0 < worst.share <= 1, worst
 
 
 def test_partitioned_routers_together_stay_within_the_limit_of_a_cold_engine() -> None:
     """Partitioned routers take shares of a smaller fleet; sums reach only one partition at a time."""
-    worst = run_scenario(engines_restart, SKEWED, Peers.HEARD, 30, 1, 1.7, partitions=3).worst()
+    worst = run_scenario(engines_restart, SKEWED, Gossip.DELIVERED, 30, 1, 1.7, partitions=3).worst()
     assert 0 < worst.share <= 1, worst
 
 
@@ -258,4 +258,4 @@
     fault: Callable[..., bool], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(SlowStart, "has_room", fault)
-    assert run_scenario(engines_join, MIX, Peers.ALONE, 20, 1, 1.5).worst().share > 1
+    assert run_scenario(engines_join, MIX, Gossip.DISABLED, 20, 1, 1.5).worst().share > 1
