--- a/slipbay/core/dispatcher.py
+++ b/slipbay/core/dispatcher.py
@@ -1,8 +1,8 @@
 """The dispatcher: carries requests, attempts and answers between frontends, the policy and backends.
 
-Events of a turn of the event loop are collected and handed to the policy in one call; the actions that it
-returns are applied in order. Nothing is decided here, with one exception: a client gets its answer in time
-whatever the policy or the engines do.
+It collects the events of one event-loop iteration, hands them to the policy in one call, and applies the
+actions that the policy returns in order. The dispatcher makes one decision of its own: it answers a client
+whose deadline has passed, whatever the policy and the engines do.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 from slipbay.policy.protocol import Policy
 from slipbay.policy.settings import Effect, Settings
 
-ANSWER_GRACE_US = 10_000  # after a deadline: the dispatcher answers in place of a policy that did not
+ANSWER_GRACE_US = 10_000  # after the deadline; then the dispatcher answers if the policy has not
 
 
 class Dispatcher:
@@ -68,31 +68,31 @@
         max_open: int,
         max_bytes: int,
     ) -> None:
-        """``max_open`` and ``max_bytes`` limit the open requests and the bytes of their payloads."""
+        """``max_open`` limits the number of open requests, ``max_bytes`` the total size of their payloads."""
         self._loop = loop
         self.clock = clock
         self.timers = timers
-        self.call_soon = loop.call_soon  # in the next turn
+        self.call_soon = loop.call_soon  # runs a function in the next event-loop iteration
         self.policy = policy
         self.settings = settings
         self.max_open = max_open
         self.max_bytes = max_bytes
         self.requests: dict[int, Request] = {}
         self.backends: list[Backend] = []
-        self.idempotency_guard: IdempotencyGuard | None = None  # None: nothing outlives the process
-        self.admission_gates: list[AdmissionGate] = []  # asked in order; none: all that there is room for
+        self.idempotency_guard: IdempotencyGuard | None = None  # None: the router has no durable store
+        self.admission_gates: list[AdmissionGate] = []  # consulted in order; empty: only the limits apply
         self.send_gossip: Callable[[bytes, int | None], None] = lambda _body, _to: None
-        self.on_idle: Callable[[], None] = lambda: None  # called when no request is left
+        self.on_idle: Callable[[], None] = lambda: None  # called when no request is open any more
         self._open_bytes = 0
         self._next_id = 0
         self._events: list[Event] = []
-        self._turn_due = False
-        self._applying_actions = False
-        self._finished_parts: list[Request] = []  # over, though later actions of this turn may name them
-        self._appliers = self._make_appliers()
+        self._is_processing_scheduled = False
+        self._is_applying_actions = False
+        self._finished_parts: list[Request] = []  # ended, but a later action of this call may name them
+        self._action_handlers = self._make_action_handlers()
 
-    def _make_appliers(self) -> dict[type[Action], Callable[[Any, int], None]]:
-        """By type of action: what applies it, given the action and the time (us)."""
+    def _make_action_handlers(self) -> dict[type[Action], Callable[[Any, int], None]]:
+        """Functions by the type of action that they apply; each takes the action and the time in us."""
         return {
             Dispatch: self._apply_dispatch,
             Cancel: self._apply_cancel,
@@ -109,16 +109,16 @@
         }
 
     def notify(self, event: Event) -> None:
-        """Keep an event for this turn's call of the policy."""
+        """Queue an event for the next call of the policy."""
         self._events.append(event)
-        if not self._turn_due:
-            self._turn_due = True
-            self._loop.call_soon(self._turn)
+        if not self._is_processing_scheduled:
+            self._is_processing_scheduled = True
+            self._loop.call_soon(self._process_events)
 
     # From the frontends
 
     def submit(self, request: Request) -> None:
-        """Take a request; its client gets one answer, never within this call."""
+        """Accept a request from a frontend. Its client gets exactly one answer, never within this call."""
         self._next_id += 1
         now_us = self.clock.now()
         request.id = self._next_id
@@ -131,7 +131,7 @@
             self._open(request)
 
     def resubmit(self, request: Request) -> None:
-        """Take a request that the idempotency guard held until now."""
+        """Accept a request that waited in the idempotency guard until now."""
         request.expires_in_us = max(1, request.deadline_us - self.clock.now())
         if self.idempotency_guard is None or self.idempotency_guard.admit(request):
             self._open(request)
@@ -140,18 +140,18 @@
         if not self.has_room(1, request.size_bytes):
             self.reject(request, self.settings.max_retry_after_us // 2)
             return
-        for place, gate in enumerate(self.admission_gates):
+        for position, gate in enumerate(self.admission_gates):
             retry_after_us = gate.admit(request)
             if retry_after_us is not None:
-                for passed in self.admission_gates[:place]:
-                    passed.release(request)
+                for earlier_gate in self.admission_gates[:position]:
+                    earlier_gate.release(request)
                 self.reject(request, retry_after_us)
                 return
         request.admitted = True
         self.requests[request.id] = request
         self._open_bytes += request.size_bytes
         request.deadline_timer = self.timers.at(
-            request.deadline_us + ANSWER_GRACE_US, lambda: self._overdue(request)
+            request.deadline_us + ANSWER_GRACE_US, lambda: self._deadline_passed(request)
         )
         self.notify(
             QueryArrived(
@@ -169,31 +169,31 @@
         )
 
     def has_room(self, requests: int, size_bytes: int) -> bool:
-        """Whether so many more requests may be open, of ``size_bytes`` together."""
+        """Whether that many more requests, with ``size_bytes`` of payload in total, may be open."""
         return (
             len(self.requests) + requests <= self.max_open and self._open_bytes + size_bytes <= self.max_bytes
         )
 
     def reject(self, request: Request, retry_after_us: int) -> None:
-        """Reject, in the next turn, a request that is not open here."""
+        """Reject a request that is not open; its client is notified in the next event-loop iteration."""
         request.finished = True
         self._loop.call_soon(self._notify_client, request, Rejected(retry_after_us))
 
     def client_disconnected(self, request: Request, cancelled: bool = False) -> None:
-        """The client has left, or has cancelled the request: no answer is owed any more."""
+        """The client has disconnected or cancelled the request and needs no answer any more."""
         if request.idempotency_key and self.idempotency_guard is not None:
             self.idempotency_guard.client_disconnected(request, cancelled)
         else:
             self.abandon(request)
 
     def abandon(self, request: Request) -> None:
-        """Nobody wants the request any more."""
+        """End a request that no client waits for."""
         if not request.finished:
-            self._conclude(request)
+            self._finish(request)
             self.notify(ClientDisconnected(request.id))
 
-    def hold(self, attempt: Attempt, retry_after_us: int) -> None:
-        """Neither this attempt nor another one may be sent: its request is rejected, as nothing ran."""
+    def reject_unsent(self, attempt: Attempt, retry_after_us: int) -> None:
+        """Reject the request of an attempt that may not be sent, and stop the attempt; nothing has run."""
         request = attempt.request
         if not request.finished:
             self._answer(request, Rejected(retry_after_us))
@@ -202,26 +202,26 @@
 
     # From attempts
 
-    def may_leave_until(self, request: Request) -> int:
-        """The time until which an attempt may be sent, us.
+    def latest_send_us(self, request: Request) -> int:
+        """The time until which an attempt of the request may be sent, in us.
 
-        Engines drop a repeat of what may have run within a window only, which counts from the first byte of
-        the first attempt.
+        Engines drop the repeat of a request that may have run only within a window. The window starts with
+        the first byte of the first attempt.
         """
         service_class = self.settings.classes[request.service_class]
-        if request.may_have_run_since is None or service_class.effect is not Effect.KEYED:
+        if request.may_have_run_since_us is None or service_class.effect is not Effect.KEYED:
             return request.deadline_us
-        return min(request.deadline_us, request.may_have_run_since + service_class.dedup_window_us)
+        return min(request.deadline_us, request.may_have_run_since_us + service_class.dedup_window_us)
 
-    def request_permission(self, attempt: Attempt, wire: str, thread: int, go: Callable[[], None]) -> None:
-        """Call ``go`` once the attempt may be sent: at once, but for requests with an idempotency key."""
+    def request_permission(self, attempt: Attempt, wire: str, thread: int, send: Callable[[], None]) -> None:
+        """Call ``send`` once the attempt may be sent: at once for requests without an idempotency key."""
         if self.idempotency_guard is None or not attempt.request.idempotency_key:
-            go()
+            send()
         else:
-            self.idempotency_guard.request_permission(attempt, wire, thread, go)
+            self.idempotency_guard.request_permission(attempt, wire, thread, send)
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, result: object) -> None:
-        """The one end of an attempt; ``result`` is the answer's, where the outcome is ``OK``."""
+        """Handle the end of an attempt, once for each; ``result`` is the answer if the outcome is ``OK``."""
         request = attempt.request
         if attempt.time_limit is not None:
             attempt.time_limit.cancel()
@@ -230,8 +230,8 @@
             self.idempotency_guard.attempt_ended(attempt, outcome, result)
         if request.observer is not None:
             request.observer.attempt_ended(attempt, outcome)
-        if not outcome.proves_not_run and request.may_have_run_since is None:
-            request.may_have_run_since = attempt.sent_us
+        if not outcome.proves_not_run and request.may_have_run_since_us is None:
+            request.may_have_run_since_us = attempt.sent_us
         if outcome is Outcome.OK:
             self._answer(request, Served(result))
         self.notify(
@@ -246,25 +246,27 @@
         )
         self._forget(request)
 
-    # The turn
+    # Events and actions of the policy
 
-    def _turn(self) -> None:
-        self._turn_due = False
+    def _process_events(self) -> None:
+        self._is_processing_scheduled = False
         events = self._events
         self._events = []
         now_us = self.clock.now()
         try:
             actions = self.policy.handle(now_us, events)
-        except Exception as error:  # overdue clients are still answered, and other requests must not suffer
-            log("decisions", "the policy has failed", error=type(error).__name__, reason=error)
+        except (
+            Exception
+        ) as error:  # deadline timers still answer clients, and other requests are not affected
+            log("decisions", "the policy has raised an error", error=type(error).__name__, reason=error)
             return
-        appliers = self._appliers
-        self._applying_actions = True
+        action_handlers = self._action_handlers
+        self._is_applying_actions = True
         try:
             for action in actions:
-                appliers[type(action)](action, now_us)
+                action_handlers[type(action)](action, now_us)
         finally:
-            self._applying_actions = False
+            self._is_applying_actions = False
             while self._finished_parts:
                 self._forget(self._finished_parts.pop())
 
@@ -340,7 +342,7 @@
         log("decisions", action.text)
 
     def _apply_nothing(self, action: WatchList | FetchList, _now_us: int) -> None:
-        """The endpoint watch reports all changes, asked or not, and reconnects by itself."""
+        """Ignore the action: the endpoint watch reports all changes unrequested and reconnects by itself."""
 
     def _stop(self, attempt: Attempt, outcome: Outcome) -> None:
         if attempt.exchange is not None and not attempt.finished:
@@ -348,14 +350,14 @@
 
     # Answers
 
-    def _overdue(self, request: Request) -> None:
-        """Answer a client whose deadline has passed; the policy does so a little earlier, if it works."""
-        if self._turn_due:
-            self._turn()  # the policy's own timer may be among this turn's events
+    def _deadline_passed(self, request: Request) -> None:
+        """Answer a request whose deadline has passed; the policy has normally done so before."""
+        if self._is_processing_scheduled:
+            self._process_events()  # the queued events may include the policy's own deadline timer
         if not request.finished:
             log(
                 "overdue",
-                "a request was not decided in time",
+                "the policy has not answered a request by its deadline",
                 request=request.name,
                 class_=request.service_class,
             )
@@ -366,7 +368,7 @@
 
     def _answer(self, request: Request, answer: Answer) -> None:
         if not request.finished:
-            self._conclude(request)
+            self._finish(request)
             self._notify_client(request, answer)
 
     def _notify_client(self, request: Request, answer: Answer) -> None:
@@ -374,7 +376,7 @@
             self.idempotency_guard.answered(request, answer)
         request.client.answered(request, answer)
 
-    def _conclude(self, request: Request) -> None:
+    def _finish(self, request: Request) -> None:
         request.finished = True
         if request.admitted:
             for gate in self.admission_gates:
@@ -384,12 +386,12 @@
         self._forget(request)
 
     def _forget(self, request: Request) -> None:
-        """Drop a request once it is answered and all its attempts have ended.
+        """Remove a request once it is answered and all its attempts have ended.
 
-        A part of a scattered query may end by an action that names another part: an action of the same turn
-        that sends it must still find it.
+        An action that names one part of a scattered query may end another part. A later action of the same
+        policy call may dispatch that other part, so the part is removed after all actions are applied.
         """
-        if self._applying_actions and request.observer is not None:
+        if self._is_applying_actions and request.observer is not None:
             self._finished_parts.append(request)
         elif request.finished and not request.in_flight and request.id in self.requests:
             del self.requests[request.id]
--- a/slipbay/core/model.py
+++ b/slipbay/core/model.py
@@ -1,8 +1,8 @@
-"""What passes between frontends, the dispatcher and backends: requests, their attempts and answers.
+"""Requests, attempts and answers, which frontends, the dispatcher and backends exchange.
 
-A request names its client, its backend and its observer, and each of these is called with the request or with
-one of its attempts. The protocols of these collaborators therefore stand here; those that the dispatcher
-consults by itself stand in ``slipbay.core.ports``.
+A request refers to its client, its backend and its observer, and each of these is called with the request or
+with one of its attempts. Their protocols are therefore defined in this module. The protocols that the
+dispatcher alone consults are in ``slipbay.core.ports``.
 """
 
 from __future__ import annotations
@@ -15,41 +15,41 @@
 from slipbay.core.timers import Timer
 from slipbay.policy.events import AttemptNote, EngineEntry, EngineId, Event, ListKind, NoteKind, Outcome
 
-QUERY_FAILED = "the query failed"  # reason where the policy gives none
+QUERY_FAILED = "the query failed"  # reason given to the client if the policy gives none
 
 
 @dataclass(slots=True, frozen=True)
 class ScatteredParts:
-    """Which parts of a scattered query its result holds: groups of tables, each in the order asked for."""
+    """The parts of a scattered query, as table groups in the order in which the client requested them."""
 
     asked: tuple[int, ...]
-    present: tuple[int, ...]  # complete in the result, in this order
-    missing: tuple[int, ...]
+    present: tuple[int, ...]  # complete in the result, which holds them in this order
+    missing: tuple[int, ...]  # not in the result
 
 
 @dataclass(slots=True, frozen=True)
 class Served:
-    """The request ran; ``result`` is in the form in which the request's backend and frontend agree."""
+    """The request ran. Only its backend and its frontend interpret ``result``."""
 
     result: object
-    parts: ScatteredParts | None = None  # of a scattered query
+    parts: ScatteredParts | None = None  # None: not a scattered query
 
 
 @dataclass(slots=True, frozen=True)
 class Rejected:
-    """The request did not run, so that a new try does no harm; best after ``retry_after_us``."""
+    """The request did not run, so the client may safely retry it, preferably after ``retry_after_us``."""
 
     retry_after_us: int = 0
-    late: bool = False  # the deadline passed
+    late: bool = False  # the deadline has passed
 
 
 @dataclass(slots=True, frozen=True)
 class Failed:
-    """The request failed, with no promise about its effect."""
+    """The request failed; whether it had an effect is unknown."""
 
     reason: str
-    late: bool = False  # the deadline passed
-    misuse: bool = False  # the client's own mistake
+    late: bool = False  # the deadline has passed
+    misuse: bool = False  # the client sent an invalid request
 
 
 Answer: TypeAlias = Served | Rejected | Failed
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An engine with the address (host, port) that it listens at."""
+    """An engine and the address (host, port) on which it listens."""
 
     entry: EngineEntry
     address: tuple[str, int]
@@ -67,68 +67,68 @@
     """The sender of a request."""
 
     def answered(self, request: Request, answer: Answer) -> None:
-        """Take the one final answer."""
+        """Receive the only, final answer."""
 
 
 class AttemptObserver(Protocol):
-    """A collaborator that follows the attempts of a request."""
+    """Receives the start and the end of each attempt of a request."""
 
     def attempt_sent(self, attempt: Attempt) -> None:
-        """An attempt is handed to its backend now."""
+        """The dispatcher is about to hand an attempt to its backend."""
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
-        """The one end of an attempt, before the request is answered by it."""
+        """An attempt has ended; called once per attempt, before the request is answered."""
 
 
 class Exchange(Protocol):
-    """What a backend does for one attempt."""
+    """The exchange with an engine for one attempt."""
 
     def stop(self, outcome: Outcome) -> None:
-        """Abandon the attempt; it ends with ``outcome`` once nothing of it can run any more."""
+        """Abandon the attempt; it ends with ``outcome`` once none of it can run on the engine any more."""
 
     def set_priority(self, priority: int) -> None:
-        """Change the priority at which the engine runs it, 0 to 3."""
+        """Change the priority (0 to 3) at which the engine runs the query."""
 
 
 class Backend(Protocol):
-    """Engines that speak one protocol."""
+    """The connections to all engines that use one protocol."""
 
     def start(self, attempt: Attempt) -> Exchange | None:
-        """Start an attempt; None where it has ended at once."""
+        """Start an attempt; None if it has ended within this call."""
 
     def probe(self, engine: EngineId, done: Callable[[Outcome], None]) -> None:
-        """Send an engine a health check and call ``done`` with its outcome."""
+        """Send a health check to an engine and call ``done`` with its outcome."""
 
     def close_idle(self, engine: EngineId) -> None:
         """Close the idle connections to an engine."""
 
     def endpoints_changed(self, kind: ListKind, hosts: list[Endpoint]) -> None:
-        """The endpoint list, or the part of it that has changed."""
+        """Receive the endpoint list, or the entries of it that have changed."""
 
 
 class AttemptOwner(Protocol):
-    """The dispatcher as its attempts see it."""
+    """The interface that the dispatcher offers to its attempts."""
 
     @property
     def clock(self) -> Clock:
-        """The clock that deadlines count on."""
+        """The clock that deadlines refer to."""
 
-    def may_leave_until(self, request: Request) -> int:
-        """The time (us) until which an attempt of the request may be sent."""
+    def latest_send_us(self, request: Request) -> int:
+        """The time until which an attempt of the request may be sent, in us."""
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, result: object) -> None:
-        """The one end of an attempt."""
+        """An attempt has ended; called once per attempt."""
 
-    def request_permission(self, attempt: Attempt, wire: str, thread: int, go: Callable[[], None]) -> None:
-        """Call ``go`` once the attempt may be sent."""
+    def request_permission(self, attempt: Attempt, wire: str, thread: int, send: Callable[[], None]) -> None:
+        """Call ``send`` once the attempt may be sent."""
 
     def notify(self, event: Event) -> None:
-        """Pass an event to the policy."""
+        """Queue an event for the policy."""
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """What a client asks for. ``payload`` is for its backend; the dispatcher passes it on unseen."""
+    """A client's request. ``payload`` is opaque to the dispatcher, which passes it to the backend."""
 
     name: str
     service_class: int
@@ -142,30 +142,30 @@
     tenant: int = 0
     is_repeat: bool = False
     is_write: bool = False
-    client_handle: int = 0  # the client's own number for it
-    size_bytes: int = 0  # of its payload
-    replay_key: str = ""  # the client's, by which engines drop repeats; passed on as it is
-    idempotency_key: bytes = b""  # under which it runs at most once; "" for requests that may run again
-    statement_digest: bytes = b""  # tells one statement under a key from another
-    has_client_key: bool = False  # the client may come back under the key
-    is_resent: bool = False  # the client says that it has sent the key before
-    quota_tokens: int = 1  # that quotas must have, of which it takes one; 0: another request has paid for it
-    observer: AttemptObserver | None = None  # only for parts of scattered queries
+    client_handle: int = 0  # the number that the client has given to the request
+    size_bytes: int = 0  # of the payload
+    replay_key: str = ""  # the client's key, by which engines drop repeats; forwarded unchanged
+    idempotency_key: bytes = b""  # the request runs at most once under it; empty if it may run again
+    statement_digest: bytes = b""  # distinguishes statements sent under the same key
+    has_client_key: bool = False  # the client chose the key and may repeat the request under it
+    is_resent: bool = False  # the client has marked the request as a repeat
+    quota_tokens: int = 1  # that must be available, of which one is taken; 0: another request takes the token
+    observer: AttemptObserver | None = None  # set only for parts of scattered queries
 
     id: int = 0
     deadline_us: int = 0
     priority: int = 1
     grant_mb: float = 0.0
     finished: bool = False
-    admitted: bool = False  # by all admission gates
+    admitted: bool = False  # all admission gates have admitted the request
     attempt_count: int = 0
-    in_flight: dict[int, Attempt] = field(default_factory=dict)  # by number
+    in_flight: dict[int, Attempt] = field(default_factory=dict)  # by attempt number
     deadline_timer: Timer | None = None
-    may_have_run_since: int | None = None  # when the first attempt that may have run was sent, us
+    may_have_run_since_us: int | None = None  # when the first attempt that may have run was sent
 
 
 class Attempt:
-    """One try of a request on one engine; its backend reports how it goes."""
+    """One attempt to run a request on one engine; the backend reports its progress and its end."""
 
     def __init__(
         self, owner: AttemptOwner, request: Request, number: int, engine: EngineId, sent_us: int
@@ -178,39 +178,39 @@
         self.exchange: Exchange | None = None
         self.time_limit: Timer | None = None
         self.finished = False
-        self.send_deadline_us = owner.may_leave_until(request)
+        self.send_deadline_us = owner.latest_send_us(request)
 
     def may_send(self) -> bool:
-        """Whether its first byte may still go out.
+        """Whether the first byte of the attempt may still be sent.
 
-        Backends ask once a connection is up: since the policy sent the attempt the client may have left, or
-        the time for a retry may have run out.
+        Backends check this once a connection is open: by then the client may have disconnected, or the time
+        for a retry may have passed.
         """
         return not self.request.finished and self._owner.clock.now() < self.send_deadline_us
 
     def finish(self, outcome: Outcome, result: object = None) -> None:
-        """Report its one end; after it nothing of this attempt runs on any engine."""
+        """Report the end of the attempt, once; after that nothing of it runs on any engine."""
         if not self.finished:
             self.finished = True
             self._owner.attempt_ended(self, outcome, result)
 
-    def request_permission(self, wire: str, thread: int, go: Callable[[], None]) -> None:
-        """Ask before the first byte is sent; ``go`` is called at once or later, or never.
+    def request_permission(self, wire: str, thread: int, send: Callable[[], None]) -> None:
+        """Request permission to send the first byte; ``send`` is called at once, later, or never.
 
-        ``wire`` names the protocol; ``thread`` is the MySQL server's connection number, 0 on HTTP.
+        ``wire`` names the protocol. ``thread`` is the MySQL server's connection number, 0 for HTTP.
         """
-        self._owner.request_permission(self, wire, thread, go)
+        self._owner.request_permission(self, wire, thread, send)
 
     def report_progress(self, kind: NoteKind, value: float) -> None:
-        """Tell the policy what the engine reported of the attempt."""
+        """Pass to the policy what the engine has reported about the attempt."""
         if not self.finished:
             self._owner.notify(AttemptNote(self.request.id, self.number, self.engine, kind, value))
 
 
 class OutcomeQuery(Attempt):
-    """An attempt of an earlier incarnation of this router, whose outcome is to be learned.
+    """An attempt that an earlier incarnation of this router sent and whose outcome is queried.
 
-    No dispatcher knows of it: its end is passed to ``done``, and it reports no progress.
+    It belongs to no dispatcher: its end is passed to ``done``, and its progress is not reported.
     """
 
     def __init__(
@@ -235,10 +235,10 @@
         self.finished = False
 
     def finish(self, outcome: Outcome, result: object = None) -> None:
-        """Report what was learned."""
+        """Report the outcome, once."""
         if not self.finished:
             self.finished = True
             self._done(outcome, result)
 
     def report_progress(self, kind: NoteKind, value: float) -> None:
-        """Nobody follows the progress of an earlier attempt."""
+        """Ignore progress: the outcome alone is queried."""
--- a/slipbay/core/ports.py
+++ b/slipbay/core/ports.py
@@ -1,4 +1,4 @@
-"""What the dispatcher consults before it goes on with a request; other packages implement these protocols."""
+"""Protocols that the dispatcher consults before it runs a request; other packages implement them."""
 
 from __future__ import annotations
 
@@ -10,44 +10,41 @@
 
 
 class IdempotencyGuard(Protocol):
-    """Keeps requests with a key from running twice, also over the death of this process."""
+    """Prevents requests with an idempotency key from running twice, also across a crash of this process."""
 
     def requires_key(self, service_class: int) -> bool:
-        """Whether requests of a class must have a key."""
+        """Whether requests of a class must have an idempotency key."""
 
     def has_key(self, key: bytes) -> bool:
-        """Whether a key is recorded."""
+        """Whether an idempotency key has a record."""
 
     def admit(self, request: Request) -> bool:
-        """Whether the dispatcher goes on with a request; if not, the guard answers it."""
+        """Whether the dispatcher should run a request; if not, the guard answers it."""
 
     def client_disconnected(self, request: Request, cancelled: bool) -> None:
-        """The client of a request has disconnected, or has cancelled it."""
+        """The client of a request has disconnected or, if ``cancelled``, has cancelled the request."""
 
-    def request_permission(self, attempt: Attempt, wire: str, thread: int, go: Callable[[], None]) -> None:
-        """Call ``go`` once the attempt may be sent; never, where it is abandoned before."""
+    def request_permission(self, attempt: Attempt, wire: str, thread: int, send: Callable[[], None]) -> None:
+        """Call ``send`` once the attempt may be sent; not if the attempt is abandoned before that."""
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, result: object) -> None:
-        """The end of an attempt, before its request is answered by it."""
+        """An attempt has ended; called before its request is answered."""
 
     def answered(self, request: Request, answer: Answer) -> None:
-        """The one answer of a request that was admitted, just before its client gets it."""
+        """An admitted request gets its only answer; called just before the client receives it."""
 
     def dispatched(self, attempt: Attempt) -> None:
-        """An attempt is about to be handed to its backend."""
+        """The dispatcher is about to hand an attempt to its backend."""
 
 
 class AdmissionGate(Protocol):
-    """Decides whether a request is taken at all; asked once for each, before the policy sees it.
+    """Decides whether a request is accepted; consulted once per request, before the policy sees it.
 
-    Requests under a key that need not run again are answered before, and ask nothing here.
+    A request that the idempotency guard answers from a key record is not passed to any gate.
     """
 
     def admit(self, request: Request) -> int | None:
-        """None: yes. Else it is rejected, and a new try makes sense after so many microseconds."""
+        """None if the request is admitted; else it is rejected and may be retried after that many us."""
 
     def release(self, request: Request) -> None:
-        """An admitted request has its one answer, or nobody wants it any more.
-
-        Called once, also where a later gate rejected it.
-        """
+        """An admitted request was answered or abandoned, or a later gate has rejected it; called once."""
--- a/slipbay/core/timers.py
+++ b/slipbay/core/timers.py
@@ -1,4 +1,4 @@
-"""All timers of the router: one heap, and at most one timer of the event loop for its head."""
+"""All timers of the router: one heap, and at most one event-loop timer, for the earliest entry."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Timer:
-    """An entry's action; cancelling leaves the entry in the heap, where it fires as nothing."""
+    """The action of a heap entry. A cancelled entry stays in the heap and has no effect when it is due."""
 
     __slots__ = ("action",)
 
@@ -18,46 +18,46 @@
         self.action: Callable[[], None] | None = action
 
     def cancel(self) -> None:
-        """Drop the action; harmless after it has run."""
+        """Drop the action; has no effect once the action has run."""
         self.action = None
 
 
 class Timers:
-    """Runs actions at times of the router's clock, in order of time and then of their setting."""
+    """Runs actions at times of the router's clock; equal times run in the order in which they were set."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock) -> None:
         self._loop = loop
         self._clock = clock
-        self._heap: list[tuple[int, int, Timer]] = []  # by time, then by number: no two are equal
+        self._heap: list[tuple[int, int, Timer]] = []  # (time in us, unique number, timer)
         self._count = 0
-        self._alarm: asyncio.TimerHandle | None = None
+        self._loop_timer: asyncio.TimerHandle | None = None
 
     def at(self, when_us: int, action: Callable[[], None]) -> Timer:
-        """Run ``action`` at a time of the clock; at the next chance where that has passed."""
+        """Run ``action`` at a time of the router's clock, or as soon as possible if that time has passed."""
         self._count += 1
         timer = Timer(action)
         heapq.heappush(self._heap, (when_us, self._count, timer))
         if self._heap[0][2] is timer:
-            self._arm()
+            self._schedule_first()
         return timer
 
     def after(self, delay_us: int, action: Callable[[], None]) -> Timer:
         """Run ``action`` after a delay, never within this call."""
         return self.at(self._clock.now() + delay_us, action)
 
-    def _arm(self) -> None:
-        if self._alarm is not None:
-            self._alarm.cancel()
-        self._alarm = self._loop.call_at(self._clock.to_loop_time(self._heap[0][0]), self._fire)
+    def _schedule_first(self) -> None:
+        if self._loop_timer is not None:
+            self._loop_timer.cancel()
+        self._loop_timer = self._loop.call_at(self._clock.to_loop_time(self._heap[0][0]), self._run_due)
 
-    def _fire(self) -> None:
-        self._alarm = None
+    def _run_due(self) -> None:
+        self._loop_timer = None
         now_us = self._clock.now()
         try:
             while self._heap and (self._heap[0][0] <= now_us or self._heap[0][2].action is None):
                 action = heapq.heappop(self._heap)[2].action
                 if action is not None:
                     action()
-        finally:  # one action that fails must not silence the others
+        finally:  # if one action fails, the remaining ones must still run
             if self._heap:
-                self._arm()
+                self._schedule_first()
--- a/slipbay/idempotency/request_guard.py
+++ b/slipbay/idempotency/request_guard.py
@@ -197,8 +197,8 @@
 
     # Attempts
 
-    def request_permission(self, attempt: Attempt, wire: str, thread: int, go: Callable[[], None]) -> None:
-        """Make the intent durable, then call ``go``; never, where the request was abandoned.
+    def request_permission(self, attempt: Attempt, wire: str, thread: int, send: Callable[[], None]) -> None:
+        """Make the intent durable, then call ``send``; never, where the request was abandoned.
 
         Its exchange has then been told to stop, or its deadline will stop it.
         """
@@ -228,13 +228,13 @@
         def durable(error: StoreError | None) -> None:
             if error is not None:
                 ledger.mark_not_run(record, attempt.number)
-                self._hold(attempt, error)
+                self._reject_unsent(attempt, error)
             elif not attempt.finished and ledger.permit_send(record, attempt.number):
-                go()
+                send()
 
         self._writer.append(ledger.record_intent(record, intent, now), durable)
 
-    def _hold(self, attempt: Attempt, error: StoreError) -> None:
+    def _reject_unsent(self, attempt: Attempt, error: StoreError) -> None:
         log(
             "unsafe",
             "an attempt was held",
@@ -242,7 +242,7 @@
             request=attempt.request.name,
             engine=attempt.engine,
         )
-        self._dispatcher.hold(attempt, self.config.later_us)
+        self._dispatcher.reject_unsent(attempt, self.config.later_us)
         self._ledger_writer.report_failure()
 
     def dispatched(self, attempt: Attempt) -> None:
--- a/tests/contracts/test_time_contract.py
+++ b/tests/contracts/test_time_contract.py
@@ -277,13 +277,13 @@
 class Silenced(Timers):
     """T4: one action that fails silences the others."""
 
-    def _fire(self) -> None:
+    def _run_due(self) -> None:
         try:
-            super()._fire()
+            super()._run_due()
         except Boom:
-            if self._alarm is not None:
-                self._alarm.cancel()
-            self._arm = lambda: None  # type: ignore[method-assign]
+            if self._loop_timer is not None:
+                self._loop_timer.cancel()
+            self._schedule_first = lambda: None  # type: ignore[method-assign]
             raise
 
 
--- a/tests/test_engine_races.py
+++ b/tests/test_engine_races.py
@@ -229,7 +229,7 @@
                     monkeypatch.setattr(Dialer, "hand_over", original)
                     net.router.clock._offset += net.router.config.connect_timeout_us
                     net.router.clock._now = None
-                    net.router.timers._fire()
+                    net.router.timers._run_due()
 
             await until(lambda: bool(net.journal.writers))
             monkeypatch.setattr(Dialer, "hand_over", hand_over)
--- a/tests/test_scatter.py
+++ b/tests/test_scatter.py
@@ -655,7 +655,7 @@
     if fault == "forgets":  # a part that is over by another's action is forgotten within the turn
         monkeypatch.setattr(
             Dispatcher,
-            "_applying_actions",
+            "_is_applying_actions",
             property(lambda core: False, lambda core, value: None),
             raising=False,
         )
