--- a/slipbay/idempotency/__init__.py
+++ b/slipbay/idempotency/__init__.py
@@ -1,7 +1,7 @@
-"""Requests that must run at most once, over the death of a router; and the retry budget over a restart.
+"""Ensures that requests run at most once, even if a router crashes, and stores the retry budget.
 
-``key_record``, ``ledger``, ``recovery``, ``store_generation``, ``witnesses`` and ``digest`` decide without
-I/O or clock; changes to the store are returned as keys and values. ``coordinator`` and its parts
-(``request_guard``, ``waiting_requests``, ``store_opening``, ``recovery_runner``, ``ledger_writer``,
-``retry_budget``) carry them out.
+``key_record``, ``ledger``, ``recovery``, ``store_generation``, ``witnesses`` and ``digest`` make decisions
+without I/O and without a clock; they return changes to the store as keys and values. ``coordinator`` and its
+components (``request_guard``, ``waiting_requests``, ``store_opening``, ``recovery_runner``,
+``ledger_writer``, ``retry_budget``) carry the decisions out.
 """
--- a/slipbay/idempotency/answer_codec.py
+++ b/slipbay/idempotency/answer_codec.py
@@ -1,5 +1,4 @@
-"""The stored form of a request's result: msgpack of bytes, or of a list of packets, as its backend made
-it."""
+"""The stored form of a request's result: msgpack of the bytes, or the list of packets, from its backend."""
 
 from __future__ import annotations
 
@@ -7,12 +6,12 @@
 
 
 def pack(result: object) -> bytes:
-    """A result as it is stored."""
+    """Encode a result for the store."""
     data: bytes = msgpack.packb(result)
     return data
 
 
 def unpack(data: bytes) -> object:
-    """A stored result as its backend made it."""
+    """Decode a stored result into the form in which its backend delivered it."""
     result: object = msgpack.unpackb(data)
     return result
--- a/slipbay/idempotency/coordinator.py
+++ b/slipbay/idempotency/coordinator.py
@@ -1,8 +1,9 @@
-"""Joins the parts that keep requests from running twice, over the death of a router.
+"""Connects the components that prevent requests from running twice, even if the router crashes.
 
-The ledger decides, the store's thread makes its changes durable, ``RequestGuard`` answers the dispatcher. The
-coordinator owns the store's way from its opening to its end: it gives the guard what was read, learns the
-outcomes of what earlier incarnations sent, and sweeps. Nothing here waits: all answers come by callback.
+The ledger decides, the store's thread makes the ledger's changes durable, and ``RequestGuard`` answers the
+dispatcher. The coordinator controls the store from opening to closing: it passes the loaded ledger to the
+guard, starts the recovery of unknown outcomes and sweeps periodically. Only ``close`` blocks; results arrive
+by callback.
 """
 
 from __future__ import annotations
@@ -41,11 +42,11 @@
     from slipbay.idempotency.witnesses import StoreWitnesses
     from slipbay.peer_channel.interfaces import Send
 
-SWEEP_US = 1_000_000  # between sweeps: expiry, changes to write again, the rest of an uncertainty window
+SWEEP_US = 1_000_000  # between sweeps, which expire keys, retry writes and store the uncertainty window
 
 
 class IdempotencyCoordinator:
-    """Owns the parts that a router with a store has beside its dispatcher."""
+    """Owns the components that a router with a store has in addition to its dispatcher."""
 
     def __init__(
         self,
@@ -59,11 +60,10 @@
         witnesses: StoreWitnesses | None = None,
         publish: Callable[[list[Send]], None] = lambda _sends: None,
     ) -> None:
-        """``writer`` is the store's thread, ``budget`` reads the policy's retry budget.
+        """``writer`` runs the store's thread; ``budget`` reads the policy's retry budget.
 
-        ``stop`` ends the router, where the configuration says so of a store that can't write.
-        ``witnesses``: what
-        other routers record of the store; ``publish`` sends them messages.
+        ``stop`` stops the router; it is called when the store cannot write, if the configuration requires it.
+        ``witnesses`` holds what other routers record about the store; ``publish`` sends messages to them.
         """
         self.config = config
         self._dispatcher = dispatcher
@@ -75,11 +75,11 @@
         self._recovery = RecoveryRunner(clock, timers, self._resolve)
         self._ledger_writer = LedgerWriter(timers, writer, self._write_failed)
         self._waiting = WaitingRequests(timers, dispatcher.max_open, dispatcher.max_bytes)
-        self._ledger: Ledger | None = None  # until the store was read
-        self._uncertainty: UncertaintyWindow | None = None  # None: a store that opened is taken for current
+        self._ledger: Ledger | None = None  # None until the store is loaded
+        self._uncertainty: UncertaintyWindow | None = None  # None: an opened store is assumed to be current
         self.guard = self._make_guard(RetryBudgetWriter(timers, writer, budget))
         self.snapshot_receivers: dict[bytes, Callable[[bytes], None]] = {}
-        """By owner: called with its stored snapshot, if there is one. To be filled before ``start``."""
+        """By owner: called with the owner's stored snapshot, if there is one. To be set before ``start``."""
 
     def _make_guard(self, budget_writer: RetryBudgetWriter) -> RequestGuard:
         return RequestGuard(
@@ -98,18 +98,18 @@
     # Start and end
 
     def start(self, backends: Sequence[OutcomeQueryBackend]) -> None:
-        """Open the store in its thread; requests with a key wait until that is done."""
+        """Open the store in its thread; requests with a key wait until the store is open."""
         self._recovery.set_backends(backends)
         self._opening.start(self.snapshot_receivers, self._opened)
         self._timers.after(SWEEP_US, self._sweep)
 
     @property
     def is_ready(self) -> bool:
-        """Whether requests under new keys are taken."""
+        """Whether requests under new keys are accepted."""
         return self._ledger is not None and not self._recovery.is_running and not self._writer.health.problem
 
     def reload(self, config: StoreConfig) -> None:
-        """Take over what can change in a running router."""
+        """Apply the settings that can change while the router runs."""
         self.config = config
         self._opening.config = config
         self.guard.config = config
@@ -117,20 +117,20 @@
             self._ledger.limits = retention_limits(config)
 
     def close(self) -> None:
-        """Write what is left and close the store; returns once that is done, or after some seconds."""
+        """Write all queued changes and close the store; blocks until then, or for some seconds at most."""
         self._opening.close()
 
     def endpoints_changed(self, kind: ListKind, hosts: list[Endpoint]) -> None:
-        """The endpoint list, or the part of it that has changed."""
+        """Receive the endpoint list, or the entries of it that have changed."""
         self._recovery.endpoints_changed(kind, hosts)
 
     def store_snapshot(self, value: bytes, owner: bytes = b"") -> None:
-        """Keep what ``owner`` learned for a later incarnation; losing it does no harm."""
+        """Store a snapshot of ``owner`` for the next incarnation; losing it does no harm."""
         self._writer.append([(SNAPSHOT + owner, value)], lambda _error: None)
 
     def _opened(self, contents: object, error: str) -> None:
         if not isinstance(contents, StoreContents):
-            log("store", "cannot be opened; nothing that must not run twice is taken", reason=error)
+            log("store", "cannot be opened; requests that must not run twice are not accepted", reason=error)
             self.guard.opening_failed(error)
             self._write_failed()
             return
@@ -147,9 +147,9 @@
             unknown_outcomes=len(contents.open_records),
         )
         if contents.incarnation is not None:
-            self._begin_incarnation(contents.incarnation, now)
+            self._report_incarnation(contents.incarnation, now)
         self.guard.opened(contents.ledger, self._uncertainty)
-        self._recovery.begin(contents.open_records, now + self.config.recovery_us)
+        self._recovery.start(contents.open_records, now + self.config.recovery_us)
         self._waiting.resubmit_all(self._dispatcher.resubmit)
         self._recovery.advance()
 
@@ -157,16 +157,16 @@
         try:
             self._dispatcher.notify(retry_budget.decode(value, now))
         except UnreadableRecordError as error:
-            log("store", "the retry budget begins anew", reason=error.reason)
+            log("store", "the stored retry budget cannot be read and is reset", reason=error.reason)
 
-    def _begin_incarnation(self, incarnation: Incarnation, now: int) -> None:
+    def _report_incarnation(self, incarnation: Incarnation, now: int) -> None:
         loss = self.config.loss
         if loss is None:
             return
         identity = incarnation.identity
         status = incarnation.status
         if incarnation.marker_damage:
-            log("store", "the marker is damaged and is written anew", reason=incarnation.marker_damage)
+            log("store", "the marker is damaged and is rewritten", reason=incarnation.marker_damage)
         self._opening.announce(identity)
         rules = ClientRepeatRules(loss.window_us, loss.marked, loss.anywhere)
         self._uncertainty = UncertaintyWindow(rules, identity, now)
@@ -181,14 +181,14 @@
         if identity.uncertainty_us:
             log(
                 "store",
-                "uncertainty window begins",  # requests under keys neither held nor proved new are not run
+                "uncertainty window begins",  # a key that is not in the store runs only if it is proved new
                 seconds=round(identity.uncertainty_us / 1e6, 1),
             )
 
-    # What earlier incarnations sent
+    # Requests of earlier incarnations
 
     def _resolve(self, record: KeyRecord, outcome: RecoveredOutcome, answer: bytes) -> None:
-        """The outcome of a request that an earlier incarnation sent."""
+        """Record the recovered outcome of a request that an earlier incarnation has sent."""
         ledger = self._ledger
         if ledger is None:
             return
@@ -211,13 +211,13 @@
 
     def _write_failed(self) -> None:
         if self.config.stop_on_failure:
-            log("store", "cannot write; the router ends, as store.toml says")
+            log("store", "cannot write; the router stops, as configured in store.toml")
             self._stop()
 
     def _sweep(self) -> None:
         if self._ledger is not None:
             self._ledger_writer.write(self._ledger.expire(self._clock.now()))
-            self._ledger_writer.write_failed_again(self._ledger)
+            self._ledger_writer.rewrite_failed(self._ledger)
         if self._uncertainty is not None:
             self._write_uncertainty(self._uncertainty)
         self._timers.after(SWEEP_US, self._sweep)
@@ -229,4 +229,4 @@
         value = store_generation.encode(identity)
         self._writer.append([(IDENTITY_KEY, value)], lambda _error: None, use_reserve=True)
         if not identity.uncertainty_us:
-            log("store", "uncertainty window ends; clients no longer repeat earlier requests")
+            log("store", "uncertainty window ends; clients no longer repeat requests sent before it")
--- a/slipbay/idempotency/digest.py
+++ b/slipbay/idempotency/digest.py
@@ -1,4 +1,4 @@
-"""Tells one statement under a key from another."""
+"""The digest that distinguishes statements sent under the same key."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def digest(*parts: bytes) -> bytes:
-    """16 bytes that stand for the parts: statement, tenant, parameters (BLAKE2b, RFC 7693)."""
+    """The 16-byte digest of statement, tenant and parameters (BLAKE2b, RFC 7693)."""
     state = blake2b(digest_size=16)
     for part in parts:
         state.update(len(part).to_bytes(8, "little"))
--- a/slipbay/idempotency/errors.py
+++ b/slipbay/idempotency/errors.py
@@ -6,17 +6,17 @@
 
 
 class UnreadableRecordError(SlipbayError, ValueError):
-    """A stored value that this program did not write, or that is damaged."""
+    """A stored value is damaged, or was not written by this program."""
 
     def __init__(self, record: str, reason: object) -> None:
-        """``record`` names what could not be read, ``reason`` is the cause."""
+        """``record`` names the record that could not be decoded, ``reason`` is the cause."""
         super().__init__(f"{record} can't be read: {reason}")
         self.record = record
         self.reason = reason
 
 
 class KeyStateError(SlipbayError, ValueError):
-    """A step that the state of a key does not allow."""
+    """The state of a key does not allow an operation."""
 
     def __init__(self, key: bytes, reason: str) -> None:
         super().__init__(reason)
@@ -25,7 +25,7 @@
 
 
 class MissingReasonError(SlipbayError, ValueError):
-    """A store may be adopted only for a reason that is kept with it."""
+    """An operator must give a reason to adopt a store; the reason is stored in it."""
 
     def __init__(self) -> None:
         super().__init__("want a reason")
--- a/slipbay/idempotency/key_record.py
+++ b/slipbay/idempotency/key_record.py
@@ -1,7 +1,7 @@
-"""What is recorded under an idempotency key, and its stored form.
+"""The record of an idempotency key, and its stored form.
 
-A record's value is a msgpack list; its key in the store is one byte for the kind, then the idempotency key.
-Times are whole microseconds of the Unix clock.
+A record's value is a msgpack list. Its key in the store is one byte for the record type, followed by the
+idempotency key. Times are whole microseconds of the Unix clock.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from slipbay.idempotency.errors import UnreadableRecordError
 
 Change: TypeAlias = tuple[bytes, bytes | None]
-"""A key of the store with its new value, None to delete it."""
+"""A key of the store and its new value; None deletes the key."""
 
-# First byte of a store's key: the kind of the record
+# First byte of a key of the store: the record type
 REQUEST = b"r"
 ANSWER = b"a"
 RETRY_BUDGET = b"t"
@@ -25,15 +25,15 @@
 
 
 class KeyPhase(Enum):
-    """How far the request under a key is."""
+    """The progress of the request under a key."""
 
-    PENDING = "taken"  # no attempt has been allowed to leave
-    RUNNING = "running"  # an intent is durable, or on its way to be
+    PENDING = "taken"  # no attempt may have been sent
+    RUNNING = "running"  # an intent is durable or is being written
     ENDED = "ended"
 
 
 class KeyOutcome(Enum):
-    """How a request that may have run ended."""
+    """The end of a request that may have run."""
 
     SERVED = "served"
     FAILED = "may have run"
@@ -41,37 +41,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Intent:
-    """An attempt that may be sent once this is durable."""
+    """An attempt that is about to be sent; it may be sent once this record is durable."""
 
-    attempt: int  # counts from 0
+    attempt: int  # number, from 0
     engine: bytes
-    engine_started_us: int  # as the endpoint list says; 0 for the engine's first process
-    wire: str  # "http" or "mysql"
-    request_name: str  # by which an HTTP engine knows the query
-    thread: int  # the MySQL server's number of the connection; 0 on HTTP
+    engine_started_us: int  # from the endpoint list; 0 for the engine's first process
+    wire: str  # protocol: "http" or "mysql"
+    request_name: str  # the id of the query on an HTTP engine
+    thread: int  # the MySQL server's connection number; 0 for HTTP
     sent_us: int
     deadline_us: int
 
 
 @dataclass(slots=True, eq=False)
 class KeyRecord:
-    """What is known under a key."""
+    """The state of an idempotency key and its request."""
 
     key: bytes
     digest: bytes
-    has_client_key: bool  # a client may come back under the key; else it is forgotten with its end
+    has_client_key: bool  # a client may repeat the key; if not, the record is deleted when the request ends
     phase: KeyPhase = KeyPhase.PENDING
     intent: Intent | None = None
-    is_stored: bool = False  # the store holds a record of it, or is about to
-    may_have_been_sent: bool = False  # an attempt was allowed to leave and is not proven not to have run
+    is_stored: bool = False  # the store holds this record, or a write of it is queued
+    may_have_been_sent: bool = False  # an attempt may have been sent and is not proved not to have run
     outcome: KeyOutcome | None = None
-    answer_bytes: int = -1  # of the answer that is kept; -1: none is
-    client_notified: bool = False  # a client was there when it ended, or has come back since
+    answer_bytes: int = -1  # size of the stored answer; -1: no answer is stored
+    client_notified: bool = False  # a client was connected when the request ended, or has repeated it since
     changed_us: int = 0  # time of the last change
 
 
 def encode_record(record: KeyRecord) -> Change:
-    """The change that stores a record."""
+    """Encode a record as the change that stores it."""
     intent = record.intent
     value: bytes = msgpack.packb(
         [
@@ -99,7 +99,7 @@
 
 
 def decode_record(stored_key: bytes, value: bytes) -> KeyRecord:
-    """A record as the store holds it; ``UnreadableRecordError`` where it is none of ours."""
+    """Decode a stored record. Raises ``UnreadableRecordError`` if this program did not write it."""
     try:
         digest, has_client_key, phase, outcome, answer_bytes, notified, changed_us, fields = msgpack.unpackb(
             value
--- a/slipbay/idempotency/ledger.py
+++ b/slipbay/idempotency/ledger.py
@@ -1,10 +1,12 @@
-"""All idempotency keys of a router: what a request under a key gets, and what must be durable of it.
+"""The ledger of all idempotency keys of a router: decides how a request under a key is handled.
 
-A key is *pending* when its request is taken, in memory alone: nothing was sent yet, so nothing is lost by
-forgetting it. An *intent* is durable before the first byte of an attempt is sent. Once an attempt may have
-run, its key is kept until the retention has passed since its end; a key whose attempts all proved not to have
-run is free again. Times are whole microseconds of the Unix clock; the ledger's own time never goes back. No
-I/O and no clock: methods that change what must be durable return the changes for the store.
+When a request is accepted, its key is *pending*. This state is held in memory only: no attempt was sent, so
+losing it does no harm. An *intent* is made durable before the first byte of an attempt is sent. Once an
+attempt may have run, the key is kept until the retention period after the request's end has passed. If all
+attempts are proved not to have run, the key is freed.
+
+Times are whole microseconds of the Unix clock; the ledger's own time never goes backwards. The ledger does no
+I/O and reads no clock: methods that change durable state return the changes for the store.
 """
 
 from __future__ import annotations
@@ -26,27 +28,27 @@
     encode_record,
 )
 
-MAX_EXPIRED_AT_ONCE = 256  # keys, so that a sweep over many old ones does not stop the event loop
+MAX_EXPIRED_AT_ONCE = 256  # keys per sweep; expiring many keys at once would block the event loop
 
 
 class KeyDecision(Enum):
-    """What a request under a key gets."""
+    """How a request under a key is handled."""
 
     NEW = "new"  # it may run
-    ATTACH = "attach"  # one runs: wait for its end
-    REPLAY = "again"  # it was served: the same answer
-    ANSWER_GONE = "answer gone"  # it was served, and its answer was too long to be kept
-    MAY_HAVE_RUN = "may have run"  # failed; it never runs again
+    ATTACH = "attach"  # a request with the same key is running: wait for its end
+    REPLAY = "again"  # it was served: return the stored answer
+    ANSWER_NOT_STORED = "answer gone"  # it was served, but its answer was too long to be stored
+    MAY_HAVE_RUN = "may have run"  # it failed and is never run again
     CONFLICT = "conflict"  # the key belongs to another statement or tenant
-    NO_ROOM = "no room"  # as many keys are kept as may be
+    NO_ROOM = "no room"  # the ledger holds the maximum number of keys
 
 
 @dataclass(frozen=True, slots=True)
 class RetentionLimits:
-    """How much is kept, and for how long; from the configuration."""
+    """Limits on the stored keys and answers, from the configuration."""
 
-    retention_us: int = 24 * 3600 * 1_000_000  # for which a key is kept after its end
-    max_answer_bytes: int = 64 * 1024  # the longest answer that is kept for a repeat
+    retention_us: int = 24 * 3600 * 1_000_000  # time for which a key is kept after its request's end
+    max_answer_bytes: int = 64 * 1024  # longer answers are not stored for a repeat
     max_keys: int = 1_000_000
 
 
@@ -56,16 +58,16 @@
     def __init__(self, limits: RetentionLimits | None = None) -> None:
         self.limits = limits or RetentionLimits()
         self.records: dict[bytes, KeyRecord] = {}
-        self._ended: dict[bytes, int] = {}  # end by key, oldest first, so that expiry needs no search
+        self._ended: dict[bytes, int] = {}  # end time (us) by key, oldest first, so expiry needs no search
         self._now = 0
 
     def advance_clock(self, now: int) -> int:
-        """The ledger's time: it stands still while the clock is behind what was seen before."""
+        """Advance the ledger's time to ``now`` and return it; it stands still if the clock was set back."""
         self._now = max(self._now, now)
         return self._now
 
     def decide(self, key: bytes, digest: bytes, has_client_key: bool, now: int) -> KeyDecision:
-        """What a request under ``key`` gets; ``NEW`` takes the key."""
+        """Decide how a request under ``key`` is handled; with ``NEW`` the key is pending afterwards."""
         record = self.records.get(key)
         if record is None:
             if len(self.records) >= self.limits.max_keys:
@@ -78,15 +80,16 @@
             return KeyDecision.ATTACH
         if record.outcome is KeyOutcome.FAILED:
             return KeyDecision.MAY_HAVE_RUN
-        return KeyDecision.REPLAY if record.answer_bytes >= 0 else KeyDecision.ANSWER_GONE
+        return KeyDecision.REPLAY if record.answer_bytes >= 0 else KeyDecision.ANSWER_NOT_STORED
 
     def record_intent(self, record: KeyRecord, intent: Intent, now: int) -> list[Change]:
-        """Before an attempt is sent: it may be once the changes are durable and ``permit_send`` allows it.
+        """Record an attempt that is about to be sent.
 
-        ``KeyStateError`` where an earlier attempt may still run, or the request is over.
+        The attempt may be sent once the returned changes are durable and ``permit_send`` returns True.
+        Raises ``KeyStateError`` if an earlier attempt may still run or the request has ended.
         """
         if record.phase is KeyPhase.ENDED or record.may_have_been_sent:
-            raise KeyStateError(record.key, "an attempt may still run, or its request is over")
+            raise KeyStateError(record.key, "an attempt may still run, or the request has ended")
         record.phase = KeyPhase.RUNNING
         record.intent = intent
         record.is_stored = True
@@ -94,7 +97,7 @@
         return [encode_record(record)]
 
     def permit_send(self, record: KeyRecord, attempt: int) -> bool:
-        """Whether an attempt whose intent is durable may be sent now; False where it was abandoned."""
+        """Whether an attempt whose intent is durable may be sent now; False if it was abandoned."""
         allowed = (
             record.phase is KeyPhase.RUNNING
             and record.intent is not None
@@ -105,7 +108,7 @@
         return allowed
 
     def mark_not_run(self, record: KeyRecord, attempt: int) -> None:
-        """An attempt ended that is proven not to have run, or that was never sent."""
+        """Record that an attempt has not run: it was proved not to have run, or it was never sent."""
         if (
             record.phase is KeyPhase.RUNNING
             and record.intent is not None
@@ -116,7 +119,7 @@
     def record_served(
         self, record: KeyRecord, answer: bytes, client_notified: bool, now: int
     ) -> list[Change]:
-        """The request was served, also where its client heard before that it may have run."""
+        """Record that the request was served, even if its client was notified before that it may have run."""
         if not self._end(record, KeyOutcome.SERVED, client_notified, now):
             return []
         if not record.has_client_key:
@@ -128,7 +131,7 @@
         return [(ANSWER + record.key, answer), encode_record(record)]
 
     def record_failed(self, record: KeyRecord, client_notified: bool, now: int) -> list[Change]:
-        """It ended without an answer: kept as one that may have run if an attempt was sent, else free."""
+        """Record the end without an answer. The key is kept if an attempt may have run, else it is freed."""
         if record.phase is KeyPhase.ENDED:
             return []
         if not record.may_have_been_sent or not record.has_client_key:
@@ -137,23 +140,23 @@
         return [encode_record(record)]
 
     def record_rejected(self, record: KeyRecord) -> list[Change]:
-        """It was rejected, as nothing ran: its key is free again.
+        """Record that the request was rejected because no attempt has run; its key is freed.
 
-        ``KeyStateError`` where it may have run, as such a request is never rejected.
+        Raises ``KeyStateError`` if an attempt may have run: such a request is never rejected.
         """
         if record.may_have_been_sent:
             raise KeyStateError(record.key, "a request that may have run is never rejected")
         return [] if record.phase is KeyPhase.ENDED else self.forget(record)
 
     def mark_client_notified(self, record: KeyRecord) -> list[Change]:
-        """A client that came back was given the outcome."""
+        """Record that a client that repeated the key has received the outcome."""
         if record.client_notified or record.phase is not KeyPhase.ENDED:
             return []
         record.client_notified = True
         return [encode_record(record)]
 
     def forget(self, record: KeyRecord) -> list[Change]:
-        """Free a key."""
+        """Delete a record and free its key."""
         if self.records.get(record.key) is not record:
             return []
         del self.records[record.key]
@@ -166,13 +169,13 @@
             changes.append((ANSWER + record.key, None))
         return changes
 
-    def expire(self, now: int, most: int = MAX_EXPIRED_AT_ONCE) -> list[Change]:
-        """Forget keys that ended longer ago than the retention, at most so many at once."""
-        until = self.advance_clock(now) - self.limits.retention_us
+    def expire(self, now: int, max_keys: int = MAX_EXPIRED_AT_ONCE) -> list[Change]:
+        """Delete records whose retention period has passed, at most ``max_keys`` of them."""
+        expired_us = self.advance_clock(now) - self.limits.retention_us
         changes = list[Change]()
         old = list[bytes]()
         for key, ended in self._ended.items():
-            if ended > until or len(old) >= most:
+            if ended > expired_us or len(old) >= max_keys:
                 break
             old.append(key)
         for key in old:
@@ -180,12 +183,13 @@
         return changes
 
     def rewrite(self, stored_keys: Iterable[bytes]) -> list[Change]:
-        """What the store should hold now under keys whose changes could not be written when they were made.
+        """Return the changes that write the present state of keys whose earlier changes were not written.
 
-        Answers are not kept in memory, so one that was not written is lost: a repeat hears that it has run.
+        Answers are not kept in memory, so an answer that was not written is lost. A repeat of its request is
+        answered that it has run and that the answer is not stored.
         """
         changes = list[Change]()
-        for stored_key in sorted(stored_keys):  # answers first, as their loss shows in the request's record
+        for stored_key in sorted(stored_keys):  # answers first: a lost answer changes its request's record
             record = self.records.get(stored_key[1:])
             if record is not None and stored_key[:1] == ANSWER:
                 record.answer_bytes = -1
@@ -196,9 +200,9 @@
         return changes
 
     def load(self, stored: Iterable[tuple[bytes, bytes]]) -> list[KeyRecord]:
-        """Take in what a store holds of earlier incarnations.
+        """Load the records that earlier incarnations have stored.
 
-        Returns the records whose outcome is not known, oldest first.
+        Returns the records whose outcome is unknown, oldest first.
         """
         found = [decode_record(key, value) for key, value in stored if key[:1] == REQUEST]
         found.sort(key=lambda record: record.changed_us)
@@ -208,11 +212,11 @@
             if record.phase is KeyPhase.ENDED:
                 self._ended[record.key] = record.changed_us
             else:
-                record.may_have_been_sent = True  # the router died: nobody knows whether it was
+                record.may_have_been_sent = True  # unknown, as the earlier incarnation has crashed
         return [record for record in found if record.phase is not KeyPhase.ENDED]
 
     def _end(self, record: KeyRecord, outcome: KeyOutcome, client_notified: bool, now: int) -> bool:
-        """False where it has this outcome already or was served, or its key was freed."""
+        """Set the outcome; False if it is set already, the request was served, or its key was freed."""
         if self.records.get(record.key) is not record or record.outcome in (outcome, KeyOutcome.SERVED):
             return False
         record.phase = KeyPhase.ENDED
--- a/slipbay/idempotency/ledger_writer.py
+++ b/slipbay/idempotency/ledger_writer.py
@@ -1,4 +1,4 @@
-"""Writes the ledger's changes that no request waits for."""
+"""Writes the changes of the ledger that no request waits for."""
 
 from __future__ import annotations
 
@@ -12,44 +12,44 @@
 from slipbay.store.errors import StoreError
 from slipbay.store.writer import Writer
 
-MAX_DELAY_US = 3_000  # for which such changes may wait for others, to share a sync
+MAX_DELAY_US = 3_000  # time for which changes may be deferred, so that several share one sync
 
 
 class LedgerWriter:
-    """Hands changes to the store's thread, and writes again what failed.
+    """Passes changes to the store's thread, and writes them again if they failed.
 
-    At worst they are missing after a crash, and a repeat hears that the request may have run.
+    If changes are lost in a crash, a repeat of the request is answered that it may have run.
     """
 
-    def __init__(self, timers: Timers, writer: Writer, failed: Callable[[], None]) -> None:
-        """``failed`` is called where the store can't write."""
+    def __init__(self, timers: Timers, writer: Writer, on_failure: Callable[[], None]) -> None:
+        """``on_failure`` is called when the store cannot write."""
         self._timers = timers
         self._writer = writer
-        self.report_failure = failed  # called where the store can't write
-        self._is_flush_due = False
-        self.unwritten: set[bytes] = set()  # keys of the store whose last changes failed to be written
+        self.report_failure = on_failure
+        self._is_flush_scheduled = False
+        self.unwritten: set[bytes] = set()  # keys of the store whose last changes could not be written
 
     def write(self, changes: list[Change]) -> None:
         """Write changes within ``MAX_DELAY_US``."""
         if changes:
             self._writer.append_late(changes, partial(self._written, changes))
-            if not self._is_flush_due:
-                self._is_flush_due = True
+            if not self._is_flush_scheduled:
+                self._is_flush_scheduled = True
                 self._timers.after(MAX_DELAY_US, self._flush)
 
-    def write_failed_again(self, ledger: Ledger) -> None:
-        """Write what failed before as it is now, if the store can write again."""
+    def rewrite_failed(self, ledger: Ledger) -> None:
+        """Write the present state of keys whose changes failed, if the store can write again."""
         if self.unwritten and not self._writer.health.problem:
             keys = self.unwritten
             self.unwritten = set()
             self.write(ledger.rewrite(keys))
 
     def _flush(self) -> None:
-        self._is_flush_due = False
+        self._is_flush_scheduled = False
         self._writer.flush()
 
     def _written(self, changes: list[Change], error: StoreError | None) -> None:
         if error is not None:
-            log("store", "changes were not written, and will be", changes=len(changes), reason=error)
+            log("store", "writing changes failed; they are written again", changes=len(changes), reason=error)
             self.unwritten.update(key for key, _ in changes)
             self.report_failure()
--- a/slipbay/idempotency/recovery.py
+++ b/slipbay/idempotency/recovery.py
@@ -1,7 +1,8 @@
-"""After a router's death: how the outcome of each open intent can be learned, and what was learned.
+"""Recovery after a crash: determines how to find out the outcome of each open intent, and what was found.
 
-No I/O: ``choose_method`` says whom to ask, ``judge_outcome`` what the answer proves. A request whose outcome
-can't be learned in time may have run.
+This module does no I/O: ``choose_method`` selects the way to query an outcome, and ``classify_outcome``
+determines what the answer proves. A request whose outcome is not found out in time counts as one that may
+have run.
 """
 
 from __future__ import annotations
@@ -13,59 +14,65 @@
 
 from slipbay.policy.events import Outcome
 
-if TYPE_CHECKING:  # what it needs at run time is loaded only where the store is on
+if TYPE_CHECKING:  # backends import this module, and the store's modules are loaded only if it is enabled
     from slipbay.idempotency.key_record import Intent, KeyRecord
 
-UPTIME_SLACK_US = 2_000_000  # MySQL servers report their uptime in whole seconds, and clocks differ a little
+UPTIME_SLACK_US = 2_000_000  # MySQL servers report their uptime in whole seconds, and clocks may differ
 
 
 class RecoveryMethod(Enum):
-    """How to learn the outcome of an intent."""
+    """How to find out the outcome of an intent."""
 
-    ASK = "ask"  # the HTTP engine knows the query by its id, if its process is still the one
-    KILL = "kill"  # the MySQL thread must be gone before anything else is said; its outcome stays unknown
-    NONE = "none"  # nobody can tell any more
+    QUERY = "ask"  # query the HTTP engine by the id of the query; needs the same engine process
+    KILL = "kill"  # kill the MySQL thread before anything is reported; its outcome stays unknown
+    NONE = "none"  # the outcome cannot be found out
 
 
 @dataclass(frozen=True, slots=True)
 class KnownEngine:
-    """What the endpoint list says of an engine."""
+    """An engine as the endpoint list describes it."""
 
     started_us: int
 
 
 def choose_method(intent: Intent | None, engines: Mapping[bytes, KnownEngine]) -> RecoveryMethod:
-    """Whom to ask; an engine that is gone, or was started again, knows nothing and runs nothing of it."""
+    """Choose how to query an intent's outcome.
+
+    An HTTP engine that was removed or restarted has lost the query and no longer runs it.
+    """
     if intent is None:
         return RecoveryMethod.NONE
     known = engines.get(intent.engine)
-    if intent.wire == "mysql":  # the server itself reports its uptime
+    if intent.wire == "mysql":  # the server reports its uptime itself
         return RecoveryMethod.KILL
     if known is None or known.started_us != intent.engine_started_us:
         return RecoveryMethod.NONE
-    return RecoveryMethod.ASK
+    return RecoveryMethod.QUERY
 
 
 def is_same_server(sent_us: int, uptime_s: int, now: int) -> bool:
-    """Whether a MySQL server was up already when an attempt was sent, so that its thread's number is ours.
+    """Whether the MySQL server process that ran when an attempt was sent still runs.
 
-    If that is uncertain it was not: killing another's thread does harm, leaving ours alone breaks no promise.
+    Only then does the recorded thread number belong to the attempt. Returns False if this is uncertain:
+    killing the thread of another client does harm, while not killing the attempt's thread breaks no
+    guarantee.
     """
     return now - uptime_s * 1_000_000 < sent_us - UPTIME_SLACK_US
 
 
 class RecoveredOutcome(Enum):
-    """What is known of a request that an earlier incarnation sent."""
+    """What recovery has found out about a request that an earlier incarnation sent."""
 
     SERVED = "served"
     NOT_RUN = "unrun"
     MAY_HAVE_RUN = "may have run"
 
 
-def judge_outcome(outcome: Outcome) -> RecoveredOutcome:
-    """What an engine's answer about an old attempt proves.
+def classify_outcome(outcome: Outcome) -> RecoveredOutcome:
+    """Determine what an engine's answer about an earlier attempt proves.
 
-    ``CONNECT_FAILED`` proves nothing here: that nobody listens now says nothing of what ran before.
+    ``CONNECT_FAILED`` proves nothing here: an engine that does not listen now may have run the attempt
+    before.
     """
     match outcome:
         case Outcome.OK:
@@ -78,29 +85,29 @@
 
 @dataclass(slots=True)
 class RecoveryProgress:
-    """What of a recovery is still open, and until when it may take."""
+    """The records whose outcome is to be queried, and the time at which recovery ends."""
 
     records: list[KeyRecord]
     until_us: int
-    next: int = 0  # index of the first record that was not looked into
-    under_way: int = 0
+    next: int = 0  # index of the first record whose outcome was not queried yet
+    in_progress: int = 0  # number of outcome queries that have not ended
 
-    def next_batch(self, now: int, most: int) -> list[KeyRecord]:
-        """Records to look into now, so that at most ``most`` are under way; none once time is up."""
+    def next_batch(self, now: int, max_in_progress: int) -> list[KeyRecord]:
+        """Records to query next, so that at most ``max_in_progress`` are in progress; none after the end."""
         if now >= self.until_us:
             return []
-        count = min(most - self.under_way, len(self.records) - self.next)
+        count = min(max_in_progress - self.in_progress, len(self.records) - self.next)
         chosen = self.records[self.next : self.next + count]
         self.next += len(chosen)
-        self.under_way += len(chosen)
+        self.in_progress += len(chosen)
         return chosen
 
     def resolved(self) -> None:
-        """One that was under way has its outcome."""
-        self.under_way -= 1
+        """An outcome query has ended."""
+        self.in_progress -= 1
 
     def abandoned(self, now: int) -> list[KeyRecord]:
-        """Records that were never looked into, once time is up; each is returned once."""
+        """Records that were not queried before the end of recovery; each is returned once."""
         if now < self.until_us:
             return []
         left = self.records[self.next :]
@@ -108,6 +115,6 @@
         return left
 
     @property
-    def is_over(self) -> bool:
-        """Whether every record has its outcome."""
-        return self.next >= len(self.records) and not self.under_way
+    def is_complete(self) -> bool:
+        """Whether all records have their outcome."""
+        return self.next >= len(self.records) and not self.in_progress
--- a/slipbay/idempotency/recovery_runner.py
+++ b/slipbay/idempotency/recovery_runner.py
@@ -1,4 +1,4 @@
-"""Learns, after a router's death, how the requests ended that its earlier incarnation had sent."""
+"""Finds out, after a crash of the router, the outcomes of requests that its earlier incarnation has sent."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 from slipbay.log import log
 from slipbay.policy.events import EngineState, ListKind, Outcome
 
-MAX_OUTCOME_QUERIES = 32  # under way at once, so that recovery leaves engines free for new requests
+MAX_OUTCOME_QUERIES = 32  # in progress at once; more would delay new requests on the engines
 
 Resolve = Callable[[KeyRecord, RecoveredOutcome, bytes], None]
-"""Called with a record, its outcome, and the stored form of the answer where it was served."""
+"""Called with a record, its outcome and, if the request was served, the encoded answer (else empty)."""
 
 
 class DetachedClient:
-    """In place of a client that has left a request which runs on, as it may come back for the answer."""
+    """Replaces a disconnected client of a request that continues, as the client may repeat the request."""
 
     def answered(self, request: Request, answer: Answer) -> None:
-        """Nobody waits for it."""
+        """Ignore the answer: no client is connected."""
 
 
 DETACHED_CLIENT = DetachedClient()
 
 
 class OutcomeQueryBackend(Backend, Protocol):
-    """A backend that can learn the outcome of an attempt of an earlier incarnation."""
+    """A backend that can query the outcome of an attempt that an earlier incarnation has sent."""
 
     wire: str
 
     def query_outcome(self, query: OutcomeQuery, until_us: int) -> None:
-        """Ask the engine; the query ends once, with ``RESET`` where nothing is learned by ``until_us``."""
+        """Query the engine; the query ends once, with ``RESET`` if no outcome is received by ``until_us``."""
 
 
 class RecoveryRunner:
-    """Knows the engines that are listed, and asks them for the outcomes of open records, a few at a time."""
+    """Tracks the listed engines and queries them for the outcomes of open records, a few at a time."""
 
     def __init__(self, clock: Clock, timers: Timers, resolve: Resolve) -> None:
         self._clock = clock
@@ -49,19 +49,19 @@
         self._resolve = resolve
         self._backends: dict[str, OutcomeQueryBackend] = {}  # by wire
         self._engines: dict[bytes, KnownEngine] = {}
-        self._progress: RecoveryProgress | None = None  # None: before, and once all is resolved
+        self._progress: RecoveryProgress | None = None  # None before recovery starts and after it is complete
 
     @property
     def is_running(self) -> bool:
-        """Whether there are records without an outcome."""
+        """Whether some records have no outcome yet."""
         return self._progress is not None
 
     def set_backends(self, backends: Sequence[OutcomeQueryBackend]) -> None:
-        """The backends to ask."""
+        """Set the backends that send the outcome queries."""
         self._backends = {backend.wire: backend for backend in backends}
 
     def endpoints_changed(self, kind: ListKind, hosts: list[Endpoint]) -> None:
-        """The endpoint list, or the part of it that has changed."""
+        """Receive the endpoint list, or the entries of it that have changed."""
         if kind is not ListKind.DELTA:
             self._engines.clear()
         for host in hosts:
@@ -71,16 +71,16 @@
                 self._engines[host.entry.engine] = KnownEngine(host.entry.ready_at_us)
 
     def engine_started_us(self, engine: bytes) -> int:
-        """When an engine's process was started, as the endpoint list says; 0 for one that is not listed."""
+        """Start time of an engine's process from the endpoint list, in us; 0 if the engine is not listed."""
         known = self._engines.get(engine)
         return known.started_us if known else 0
 
-    def begin(self, records: list[KeyRecord], until_us: int) -> None:
-        """The store was read: these records are open; what is not known by ``until_us`` may have run."""
+    def start(self, records: list[KeyRecord], until_us: int) -> None:
+        """Set the open records that the store holds; those unresolved at ``until_us`` may have run."""
         self._progress = RecoveryProgress(records, until_us)
 
     def advance(self) -> None:
-        """Look into more records, until all have their outcome or time is up."""
+        """Query more records, until all have their outcome or the time for recovery has passed."""
         progress = self._progress
         now = self._clock.now()
         if progress is None:
@@ -89,10 +89,10 @@
             self._resolve(record, RecoveredOutcome.MAY_HAVE_RUN, b"")
         for record in progress.next_batch(now, MAX_OUTCOME_QUERIES):
             self._query_outcome(record, progress)
-        if progress.is_over:
+        if progress.is_complete:
             self._progress = None
             if progress.records:
-                log("store", "recovered all requests of unknown outcome", requests=len(progress.records))
+                log("store", "recovery of requests is complete", requests=len(progress.records))
 
     def _query_outcome(self, record: KeyRecord, progress: RecoveryProgress) -> None:
         is_done = False
@@ -103,8 +103,8 @@
                 return
             is_done = True
             timeout.cancel()
-            learned = recovery.judge_outcome(outcome)
-            self._resolve(record, learned, pack(result) if learned is RecoveredOutcome.SERVED else b"")
+            recovered = recovery.classify_outcome(outcome)
+            self._resolve(record, recovered, pack(result) if recovered is RecoveredOutcome.SERVED else b"")
             progress.resolved()
             self.advance()
 
--- a/slipbay/idempotency/request_guard.py
+++ b/slipbay/idempotency/request_guard.py
@@ -1,4 +1,4 @@
-"""Guards requests with an idempotency key: the dispatcher asks it at each step of such a request."""
+"""The guard of requests with an idempotency key; the dispatcher consults it at each step of such requests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from slipbay.store.errors import StoreError
 from slipbay.store.writer import Writer
 
-# Reasons that clients are given
+# Reasons that are sent to clients
 MAY_HAVE_RUN = "it may have run, and is never run again"
 UNKNOWN = "the durable store cannot be read, so it is not known whether it has run"
 NOT_KEPT = "it has run; its answer is not kept"
@@ -50,7 +50,7 @@
         ledger_writer: LedgerWriter,
         budget_writer: RetryBudgetWriter,
     ) -> None:
-        """``writer``: the store's thread, which makes intents durable and reads kept answers."""
+        """``writer`` runs the store's thread, which makes intents durable and reads stored answers."""
         self.config = config
         self._dispatcher = dispatcher
         self._clock = clock
@@ -61,23 +61,23 @@
         self._waiting = waiting
         self._ledger_writer = ledger_writer
         self._budget_writer = budget_writer
-        self._running: dict[bytes, Request] = {}  # by key: the request that runs; others wait for its end
-        self._ledger: Ledger | None = None  # until the store was read
-        self._uncertainty: UncertaintyWindow | None = None  # None: a store that opened is taken for current
-        self._open_error = ""  # why the store can't be used at all
+        self._running: dict[bytes, Request] = {}  # running requests by key; others with the key wait for them
+        self._ledger: Ledger | None = None  # None until the store is loaded
+        self._uncertainty: UncertaintyWindow | None = None  # None: an opened store is assumed to be current
+        self._open_error = ""  # why the store could not be opened
 
     def opened(self, ledger: Ledger, uncertainty: UncertaintyWindow | None) -> None:
-        """The store was read: keys are known from now on."""
+        """The store was loaded: requests under its keys can be answered from now on."""
         self._ledger = ledger
         self._uncertainty = uncertainty
 
     def opening_failed(self, error: str) -> None:
-        """The store can't be used: whoever waits for it fails, and so does all that comes."""
+        """The store could not be opened: waiting and later requests fail."""
         self._open_error = error
         self._waiting.answer_all(Failed(UNKNOWN))
 
     def requires_key(self, service_class: int) -> bool:
-        """Whether requests of a class must never run twice, so that their keys are held."""
+        """Whether requests of a class must never run twice, so that their keys are recorded."""
         return self._dispatcher.settings.classes[service_class].effect is Effect.UNSAFE
 
     def has_key(self, key: bytes) -> bool:
@@ -85,13 +85,13 @@
         return self._ledger is not None and key in self._ledger.records
 
     def admit(self, request: Request) -> bool:
-        """Whether the dispatcher goes on with a request; if not, its answer comes from here."""
+        """Whether the dispatcher should run a request; if not, the guard answers it."""
         ledger = self._ledger
-        if ledger is None:  # it may repeat one that has run: it can't be rejected
+        if ledger is None:  # the request may repeat one that has run, so it must not be rejected
             if self._open_error:
                 log(
                     "unsafe",
-                    "failed, as the store cannot be read",
+                    "request failed, as the store cannot be read",
                     reason=self._open_error,
                     request=request.name,
                 )
@@ -100,34 +100,34 @@
                 self._wait(request)
             return False
         if request.idempotency_key not in ledger.records:
-            refusal = self._refuse_new_key(request)
-            if refusal is not None:
-                self._answer_soon(request, refusal)
+            rejection = self._check_new_key(request)
+            if rejection is not None:
+                self._answer_soon(request, rejection)
                 return False
         return self._decide(ledger, request)
 
-    def _refuse_new_key(self, request: Request) -> Answer | None:
-        """The answer to a request that may not run now under a key that is not held; None if it may."""
+    def _check_new_key(self, request: Request) -> Answer | None:
+        """None if a request under a key without a record may run now, else the answer to the request."""
         if self._uncertainty is not None and not self._uncertainty.is_new(
             request.idempotency_key, request.has_client_key, request.is_resent, self._clock.now()
         ):
             log(
                 "unsafe",
-                "failed, as it may have run in an earlier incarnation or elsewhere",
+                "request failed, as it may have run in an earlier incarnation or on another router",
                 request=request.name,
             )
             return Failed(EARLIER)
         if request.has_client_key and not self._opening.permits_client_keys:
             log(
                 "unsafe",
-                "rejected for now",
+                "request rejected; the client may retry",
                 reason="too few routers have acknowledged this incarnation",
                 request=request.name,
             )
             return Rejected(self.config.later_us)
         if self._recovery.is_running or self._writer.health.problem:
-            reason = self._writer.health.problem or "the outcome of earlier requests is being learned"
-            log("unsafe", "rejected for now", reason=reason, request=request.name)
+            reason = self._writer.health.problem or "recovery of unknown outcomes is in progress"
+            log("unsafe", "request rejected; the client may retry", reason=reason, request=request.name)
             return Rejected(self.config.later_us)
         return None
 
@@ -142,7 +142,7 @@
                 self._wait(request)
             case KeyDecision.REPLAY:
                 self._writer.get(ANSWER + key, lambda value: self._replay(ledger, request, value))
-            case KeyDecision.ANSWER_GONE:
+            case KeyDecision.ANSWER_NOT_STORED:
                 self._answer_soon(request, Failed(NOT_KEPT))
             case KeyDecision.MAY_HAVE_RUN:
                 self._ledger_writer.write(ledger.mark_client_notified(ledger.records[key]))
@@ -150,7 +150,7 @@
             case KeyDecision.CONFLICT:
                 self._answer_soon(request, Failed(OTHER_STATEMENT, misuse=True))
             case KeyDecision.NO_ROOM:
-                log("unsafe", "more keys are held than store.toml allows; new ones are rejected")
+                log("unsafe", "the number of keys has reached the limit in store.toml; new keys are rejected")
                 self._answer_soon(request, Rejected(self.config.later_us))
         return False
 
@@ -163,7 +163,7 @@
         self._timers.after(0, lambda: request.client.answered(request, answer))
 
     def _replay(self, ledger: Ledger, request: Request, value: bytes | None) -> None:
-        """A request that was served before gets the answer that is kept, if it is."""
+        """Answer a repeated request with the stored answer, if there is one."""
         record = ledger.records.get(request.idempotency_key)
         if record is not None:
             self._ledger_writer.write(ledger.mark_client_notified(record))
@@ -172,10 +172,10 @@
             request.client.answered(request, Failed(NOT_KEPT) if value is None else Served(unpack(value)))
 
     def client_disconnected(self, request: Request, cancelled: bool) -> None:
-        """A client has left, or cancelled its request.
+        """A client has disconnected or, if ``cancelled``, has cancelled its request.
 
-        A request whose client merely lost its connection runs on where the client may come back under its
-        key, or others wait for its end.
+        After a disconnect the request continues if its client may repeat the key, or if other requests wait
+        for its end. After a cancellation it continues only if other requests wait for its end.
         """
         key = request.idempotency_key
         running = self._running.get(key)
@@ -192,15 +192,15 @@
             and not self._waiting.has(key)
             and (cancelled or not running.has_client_key)
         ):
-            self._dispatcher.abandon(running)  # nobody is left who wants it
+            self._dispatcher.abandon(running)  # no client waits for it
             self.answered(running, Failed(CANCELLED))
 
     # Attempts
 
     def request_permission(self, attempt: Attempt, wire: str, thread: int, send: Callable[[], None]) -> None:
-        """Make the intent durable, then call ``send``; never, where the request was abandoned.
+        """Make the intent durable, then call ``send``; ``send`` is not called if the request was abandoned.
 
-        Its exchange has then been told to stop, or its deadline will stop it.
+        The exchange of an abandoned request was stopped, or is stopped at the request's deadline.
         """
         ledger = self._ledger
         request = attempt.request
@@ -225,19 +225,19 @@
             request.deadline_us,
         )
 
-        def durable(error: StoreError | None) -> None:
+        def on_durable(error: StoreError | None) -> None:
             if error is not None:
                 ledger.mark_not_run(record, attempt.number)
                 self._reject_unsent(attempt, error)
             elif not attempt.finished and ledger.permit_send(record, attempt.number):
                 send()
 
-        self._writer.append(ledger.record_intent(record, intent, now), durable)
+        self._writer.append(ledger.record_intent(record, intent, now), on_durable)
 
     def _reject_unsent(self, attempt: Attempt, error: StoreError) -> None:
         log(
             "unsafe",
-            "an attempt was held",
+            "an attempt was not sent, as its intent could not be written",
             reason=error,
             request=attempt.request.name,
             engine=attempt.engine,
@@ -246,12 +246,12 @@
         self._ledger_writer.report_failure()
 
     def dispatched(self, attempt: Attempt) -> None:
-        """Retries count in the budget over a restart."""
+        """Have the retry budget written if the attempt is a retry, so that a restart does not reset it."""
         if attempt.number and self._ledger is not None:
             self._budget_writer.retry_sent()
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, result: object) -> None:
-        """The end of an attempt, before its request is answered by it."""
+        """Record the end of an attempt, before its request is answered."""
         ledger = self._ledger
         request = attempt.request
         key = request.idempotency_key
@@ -259,7 +259,7 @@
         if ledger is None or record is None:
             return
         if outcome is Outcome.OK and (self._running.get(key) is request or request.finished):
-            # also where the client heard earlier that it failed: a repeat gets what really was
+            # also if the client was notified of a failure before: a repeat gets the real outcome
             has_client = not request.finished and request.client is not DETACHED_CLIENT
             is_notified = has_client or self._waiting.has(key)
             self._ledger_writer.write(
@@ -269,7 +269,7 @@
             ledger.mark_not_run(record, attempt.number)
 
     def answered(self, request: Request, answer: Answer) -> None:
-        """The request's one answer, just before its client gets it."""
+        """Record the only answer of a request, just before its client gets it."""
         ledger = self._ledger
         key = request.idempotency_key
         if ledger is None or self._running.get(key) is not request:
--- a/slipbay/idempotency/retry_budget.py
+++ b/slipbay/idempotency/retry_budget.py
@@ -1,11 +1,11 @@
-"""The retry budget, kept so that a restart does not begin it anew.
+"""Stores the retry budget, so that a restart does not reset it.
 
-What the policy reports (``RetryBudgetRestored``) is condensed into steps of time and written. What is read
-back errs on the side of having spent more: retries stand at the end of their step, and a few are added, as
-some may be sent between the last record and a death.
+The requests and retries that the policy reports (``RetryBudgetRestored``) are summed over time steps and
+written. The restored budget never allows more retries than the real one: each sum of retries is dated to the
+end of its step, and a margin is added, because retries may be sent between the last write and a crash.
 
 Work sent to cold engines needs no record: the policy counts the whole first window after a start as spent
-(``Controller.cold_room``), which no record of an earlier incarnation could improve.
+(``Controller.cold_room``), and no record of an earlier incarnation could improve on that.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
     from slipbay.store.writer import Writer
 
 STEP_US = 250_000  # amounts within a step are summed
-MARGIN_RETRIES = 2  # written as spent beyond those that were, once there are any
+MARGIN_RETRIES = 2  # added to the retries sent, if there are any, for those sent after the last write
 
 
-def condense(items: Iterable[tuple[int, float]], round_up: bool) -> list[tuple[int, float]]:
-    """Amounts by time (us), summed over steps.
+def sum_by_step(items: Iterable[tuple[int, float]], round_up: bool) -> list[tuple[int, float]]:
+    """Sum (time in us, amount) items over steps of ``STEP_US``.
 
-    A sum stands at the end of its step if ``round_up``, else at its start.
+    A sum is dated to the end of its step if ``round_up`` is set, else to its start.
     """
     sums: dict[int, float] = {}
     for at, amount in items:
@@ -41,19 +41,20 @@
 
 
 def encode(budget: RetryBudgetRestored) -> bytes:
-    """The value of the store's one record of the budget."""
-    retries = condense(budget.retries, round_up=True)
+    """Encode the budget as the value of its record in the store."""
+    retries = sum_by_step(budget.retries, round_up=True)
     if retries:
         at, amount = retries[-1]
         retries[-1] = (at, amount + MARGIN_RETRIES)
-    body: bytes = msgpack.packb([condense(budget.requests, round_up=False), retries])
+    body: bytes = msgpack.packb([sum_by_step(budget.requests, round_up=False), retries])
     return body
 
 
 def decode(value: bytes, now: int) -> RetryBudgetRestored:
-    """The event that restores a budget; times after ``now``, as after a clock was set back, count as now.
+    """Decode the event that restores a budget.
 
-    ``UnreadableRecordError`` where the value is none of ours.
+    Times after ``now``, which occur if a clock was set back, are replaced by ``now``. Raises
+    ``UnreadableRecordError`` if this program did not write the value.
     """
     try:
         requests, retries = (
@@ -65,18 +66,18 @@
 
 
 class RetryBudgetWriter:
-    """Writes the budget after retries; while one record is being written, the next is due after it."""
+    """Writes the budget after retries; at most one write is in progress, and the next one follows it."""
 
     def __init__(self, timers: Timers, writer: Writer, budget: Callable[[], RetryBudgetRestored]) -> None:
-        """``budget`` reads the policy's present budget."""
+        """``budget`` reads the current budget of the policy."""
         self._timers = timers
         self._writer = writer
         self._budget = budget
-        self._is_stale = False  # there were retries since the budget was last written
+        self._is_stale = False  # retries were sent since the budget was last written
         self._is_writing = False
 
     def retry_sent(self) -> None:
-        """A retry is being sent: the budget is written once the turn's actions are all applied."""
+        """A retry is being sent: the budget is written once the policy's current actions are applied."""
         self._is_stale = True
         self._schedule()
 
--- a/slipbay/idempotency/waiting_requests.py
+++ b/slipbay/idempotency/waiting_requests.py
@@ -1,4 +1,4 @@
-"""Requests that wait for the end of another one under their key, or for the store to be read."""
+"""Requests that wait for the end of another request with the same key, or until the store is loaded."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 @dataclass(slots=True, eq=False)
 class Waiter:
-    """A request with its deadline's timer."""
+    """A waiting request and the timer of its deadline."""
 
     request: Request
     deadline_timer: Timer
 
 
 class WaitingRequests:
-    """Holds waiting requests by key; each is answered once, by its deadline at the latest."""
+    """Holds waiting requests by key; each is answered once, at its deadline at the latest."""
 
     def __init__(self, timers: Timers, max_requests: int, max_bytes: int) -> None:
-        """Limits the requests that wait, and the bytes of their payloads."""
+        """``max_requests`` limits the number of requests, ``max_bytes`` the total size of their payloads."""
         self._timers = timers
         self._max_requests = max_requests
         self._max_bytes = max_bytes
@@ -34,17 +34,17 @@
         return bool(self.by_key.get(key))
 
     def add(self, request: Request) -> bool:
-        """Let a request wait; False where there is no room."""
+        """Add a waiting request; False if a limit does not allow it."""
         if self._count >= self._max_requests or self._bytes + request.size_bytes > self._max_bytes:
             return False
         self._count += 1
         self._bytes += request.size_bytes
-        timer = self._timers.at(request.deadline_us, lambda: self._overdue(request))
+        timer = self._timers.at(request.deadline_us, lambda: self._deadline_passed(request))
         self.by_key.setdefault(request.idempotency_key, []).append(Waiter(request, timer))
         return True
 
     def remove(self, request: Request) -> None:
-        """A request waits no longer; harmless where it does not wait."""
+        """Remove a request; has no effect if it does not wait."""
         waiters = self.by_key.get(request.idempotency_key, [])
         for waiter in waiters:
             if waiter.request is request:
@@ -55,19 +55,19 @@
                 return
 
     def answer(self, key: bytes, answer: Answer) -> None:
-        """Answer all that wait under a key."""
+        """Answer all requests that wait under a key."""
         for waiter in self.by_key.pop(key, []):
             self._release(waiter)
             waiter.request.finished = True
             waiter.request.client.answered(waiter.request, answer)
 
     def answer_all(self, answer: Answer) -> None:
-        """Answer all that wait."""
+        """Answer all waiting requests."""
         for key in list(self.by_key):
             self.answer(key, answer)
 
     def resubmit_all(self, resubmit: Callable[[Request], None]) -> None:
-        """Nothing waits any longer: each request is taken anew, and may come back to wait."""
+        """Remove all requests and pass each of them to ``resubmit``, which may add it again."""
         waiting = self.by_key
         self.by_key = {}
         for waiter in [waiter for waiters in waiting.values() for waiter in waiters]:
@@ -79,8 +79,8 @@
         self._count -= 1
         self._bytes -= waiter.request.size_bytes
 
-    def _overdue(self, request: Request) -> None:
-        """The deadline of one that waits for another's end: the other runs on."""
+    def _deadline_passed(self, request: Request) -> None:
+        """Answer a request whose deadline has passed; the request that it waits for continues."""
         self.remove(request)
         if not request.finished:
             request.finished = True
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -202,7 +202,7 @@
     assert again.decide(b"k", ONE, True, 3) is KeyDecision.REPLAY
     assert again.decide(b"k", OTHER, True, 3) is KeyDecision.CONFLICT
     ledger, store = ended(RetentionLimits(max_answer_bytes=3))
-    assert ledger.decide(b"k", ONE, True, 3) is KeyDecision.ANSWER_GONE
+    assert ledger.decide(b"k", ONE, True, 3) is KeyDecision.ANSWER_NOT_STORED
     assert ANSWER + b"k" not in store
 
 
@@ -246,10 +246,10 @@
     ]
     apply(store, changes)
     assert record.answer_bytes == -1
-    assert ledger.decide(b"k", ONE, True, 9) is KeyDecision.ANSWER_GONE
+    assert ledger.decide(b"k", ONE, True, 9) is KeyDecision.ANSWER_NOT_STORED
     again = Ledger()
     again.load(store.items())
-    assert again.decide(b"k", ONE, True, 9) is KeyDecision.ANSWER_GONE
+    assert again.decide(b"k", ONE, True, 9) is KeyDecision.ANSWER_NOT_STORED
 
 
 def test_no_attempt_is_sent_whose_intent_was_abandoned_before_it_was_durable() -> None:
@@ -307,7 +307,7 @@
 
 def test_recovery_asks_only_the_process_that_can_know() -> None:
     engines = {b"s-1": KnownEngine(5)}
-    assert recovery.choose_method(intent(), engines) is RecoveryMethod.ASK
+    assert recovery.choose_method(intent(), engines) is RecoveryMethod.QUERY
     assert recovery.choose_method(intent(), {b"s-1": KnownEngine(6)}) is RecoveryMethod.NONE
     assert recovery.choose_method(intent(), {}) is RecoveryMethod.NONE
     assert recovery.choose_method(None, engines) is RecoveryMethod.NONE
@@ -315,7 +315,7 @@
 
 
 def test_an_answer_of_an_engine_proves_no_more_than_it_says() -> None:
-    learned = {outcome: recovery.judge_outcome(outcome) for outcome in Outcome}
+    learned = {outcome: recovery.classify_outcome(outcome) for outcome in Outcome}
     assert {outcome for outcome, what in learned.items() if what is RecoveredOutcome.SERVED} == {Outcome.OK}
     assert {outcome for outcome, what in learned.items() if what is RecoveredOutcome.NOT_RUN} == {
         Outcome.FULL,
@@ -341,9 +341,9 @@
     assert progress.next_batch(100, 9) == []
     assert progress.abandoned(100) == records[3:]
     progress.resolved()
-    assert not progress.is_over
+    assert not progress.is_complete
     progress.resolved()
-    assert progress.is_over
+    assert progress.is_complete
 
 
 # The retry budget
