--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -35,7 +35,7 @@
 from slipbay.store.disk import FileHandle, Folder
 from slipbay.store.engine import Store
 from slipbay.store.errors import StoreError
-from slipbay.store.writer import SWITCH_S, Writer
+from slipbay.store.writer import THREAD_SWITCH_S, Writer
 
 VALUE = random.Random(1).randbytes(120)  # about what an intent weighs
 
@@ -352,7 +352,7 @@
     """Measure the durable store on a disk."""
     with tempfile.TemporaryDirectory(dir=folder) as name:
         place = Path(name)
-        sys.setswitchinterval(SWITCH_S)
+        sys.setswitchinterval(THREAD_SWITCH_S)
         asyncio.run(appends(place, seconds))
         (place / "compaction").mkdir()
         asyncio.run(compaction(place / "compaction", 3 * seconds))
--- a/slipbay/idempotency/recovery_runner.py
+++ b/slipbay/idempotency/recovery_runner.py
@@ -92,7 +92,11 @@
         if progress.is_complete:
             self._progress = None
             if progress.records:
-                log("store", "recovery of requests is complete", requests=len(progress.records))
+                log(
+                    "store",
+                    "recovery of requests with unknown outcome is complete",
+                    requests=len(progress.records),
+                )
 
     def _query_outcome(self, record: KeyRecord, progress: RecoveryProgress) -> None:
         is_done = False
--- a/slipbay/idempotency/store_generation.py
+++ b/slipbay/idempotency/store_generation.py
@@ -1,14 +1,14 @@
-"""Generations of a store: whether the one that opens holds all that earlier incarnations ran.
+"""Store generations: determine whether an opened store holds all requests that earlier incarnations ran.
 
-A store has an id, made at random when it begins, and a generation, which grows with each opening. Both are
-durable before the first request of an incarnation is sent. A *witness* is what a place outside of the store,
-as the file of ``slipbay.store.marker``, last recorded of it. Without a witness that fits, the store may be
-empty, cut or an old copy. Then an *uncertainty window* begins, in which a key that the store does not hold
-may have run, unless the request proves that it is new. It ends with the time in which clients repeat
-(docs/store-loss.md).
+A store has a random id, which is assigned when the store is created, and a generation, which increases with
+each opening. Both are durable before the first request of an incarnation is sent. A *witness* is the last
+state of the store that was recorded outside of it, for example in the file of ``slipbay.store.marker``.
+Without a matching witness the store may be empty, truncated, or an old copy. Then an *uncertainty window*
+begins. During the window, a request under a key that the store does not hold may have run before, unless the
+request proves that it is new. The window is as long as clients may repeat a request (docs/store-loss.md).
 
-Decisions only: no I/O, clock or own randomness. Times are whole microseconds; only spans outlive an
-incarnation, never moments, so that no clock need be right over a restart.
+This module does no I/O, reads no clock and draws no random numbers. Times are whole microseconds. Only
+durations are kept beyond an incarnation, never points in time, so clocks may be wrong after a restart.
 """
 
 from __future__ import annotations
@@ -21,29 +21,30 @@
 
 from slipbay.idempotency.errors import MissingReasonError, UnreadableRecordError
 
-IDENTITY_KEY = b"g"  # the store's key of its one record of itself
+IDENTITY_KEY = b"g"  # the key under which a store holds its identity
 ID_BYTES = 16
-MAX_PROVED_KEYS = 8192  # keys that proved new and are remembered for a repeat after a rejection
-WINDOW_STEPS = 64  # parts of the window; what is left of it is written once in each
-MIN_STEP_US = 1_000_000  # of such a part
+MAX_PROVED_KEYS = 8192  # keys proved to be new, remembered in case they are repeated after a rejection
+WINDOW_STEPS = 64  # the remaining window is written once per step
+MIN_STEP_US = 1_000_000  # shortest step
 
 
 @dataclass(frozen=True, slots=True)
 class StoreIdentity:
-    """What a store says of itself."""
+    """The identity that is recorded in a store."""
 
     store_id: bytes
-    generation: int  # incarnations so far; 0: adopted, and not opened since
-    uncertainty_us: int = 0  # for which earlier requests may still be repeated, as last written
-    adoption_reason: str = ""  # why an operator last adopted it
+    generation: int  # number of incarnations so far; 0: adopted, and not opened since
+    uncertainty_us: int = 0  # remaining uncertainty window when the identity was written
+    adoption_reason: str = ""  # the operator's reason for the last adoption
 
 
 @dataclass(frozen=True, slots=True)
 class StoreWitness:
-    """What a place outside of the store recorded of it.
+    """The last state of a store that was recorded outside of it.
 
-    All of ``generation`` up to ``sequence`` was durable there before anything of it was sent. Without a
-    sequence: the store was open when last reported, and may have gone on.
+    All changes of ``generation`` up to ``sequence`` were durable in the store before the requests that they
+    record were sent. If ``sequence`` is None, the store was open at the last report and may have changed
+    since.
     """
 
     store_id: bytes  # the id, or its first bytes
@@ -52,7 +53,7 @@
 
 
 class StoreStatus(Enum):
-    """What is known of a store when it opens."""
+    """The assessment of a store when it is opened."""
 
     CURRENT = "it holds all that earlier incarnations ran"
     ADOPTED = "an operator vouches for it"
@@ -64,15 +65,16 @@
 
     @property
     def is_trusted(self) -> bool:
-        """Whether it holds all that earlier incarnations ran."""
+        """Whether the store holds all requests that earlier incarnations ran."""
         return self in (StoreStatus.CURRENT, StoreStatus.ADOPTED)
 
 
-def judge(found: StoreIdentity | None, sequence: int, witness: StoreWitness | None) -> StoreStatus:
-    """The status of a store that holds ``found``, and whose last change is ``sequence``.
+def determine_status(found: StoreIdentity | None, sequence: int, witness: StoreWitness | None) -> StoreStatus:
+    """Determine the status of a store with identity ``found`` whose last change is ``sequence``.
 
-    An incarnation is witnessed before its first request is sent, and before each intent is; so a witness of
-    an earlier generation than the store's proves that no later incarnation ran anything.
+    The witness is updated before the first request of an incarnation is sent, and before each attempt is
+    sent. A witness of an earlier generation than the store's therefore proves that no later incarnation ran
+    any request.
     """
     if found is None:
         if witness is not None:
@@ -85,10 +87,10 @@
         return StoreStatus.UNKNOWN
     if not is_witnessed:
         return StoreStatus.OTHER
-    return _judge_witnessed(found, sequence, witness)
+    return _determine_witnessed_status(found, sequence, witness)
 
 
-def _judge_witnessed(found: StoreIdentity, sequence: int, witness: StoreWitness) -> StoreStatus:
+def _determine_witnessed_status(found: StoreIdentity, sequence: int, witness: StoreWitness) -> StoreStatus:
     if witness.generation > found.generation:
         return StoreStatus.BEHIND
     if witness.sequence is None:
@@ -97,10 +99,10 @@
 
 
 def begin(found: StoreIdentity | None, status: StoreStatus, window_us: int, new_id: bytes) -> StoreIdentity:
-    """What the store says of itself in the incarnation that begins.
+    """The identity of the store in the incarnation that begins.
 
-    ``new_id`` is random and is taken where the store is not trusted, so that two successions of incarnations
-    never share a generation; ``window_us`` is the length of the uncertainty window then.
+    A store that is not trusted gets ``new_id``, a random id, so that two different histories never share an
+    id and a generation. Its uncertainty window is then ``window_us`` long.
     """
     if found is None or not status.is_trusted:
         return StoreIdentity(new_id, 1, window_us, found.adoption_reason if found is not None else "")
@@ -110,7 +112,8 @@
 def adopt(new_id: bytes, reason: str) -> StoreIdentity:
     """The identity of a store that an operator adopts.
 
-    The id is new, so that the adoption counts for one opening alone. ``MissingReasonError`` without a reason.
+    The id is new, so that the adoption is valid for one opening only. Raises ``MissingReasonError`` if
+    ``reason`` is blank.
     """
     if not reason.strip():
         raise MissingReasonError
@@ -118,7 +121,7 @@
 
 
 def encode(identity: StoreIdentity) -> bytes:
-    """The value of the store's record of itself."""
+    """Encode an identity as the value of its record in the store."""
     body: bytes = msgpack.packb(
         [identity.store_id, identity.generation, identity.uncertainty_us, identity.adoption_reason]
     )
@@ -126,7 +129,7 @@
 
 
 def decode(value: bytes) -> StoreIdentity:
-    """The identity in a record; ``UnreadableRecordError`` where it is none of ours."""
+    """Decode an identity. Raises ``UnreadableRecordError`` if this program did not write the value."""
     try:
         store_id, generation, uncertainty_us, reason = msgpack.unpackb(value)
         is_valid = len(store_id) == ID_BYTES and min(generation, uncertainty_us) >= 0
@@ -134,25 +137,21 @@
     except (ValueError, TypeError) as error:
         raise UnreadableRecordError("the record of the store's identity", error) from None
     if not is_valid:
-        raise UnreadableRecordError("the record of the store's identity", "its values make no sense")
+        raise UnreadableRecordError("the record of the store's identity", "a value is out of range")
     return identity
 
 
 @dataclass(frozen=True, slots=True)
 class ClientRepeatRules:
-    """What operators say of their clients."""
-
-    window_us: int  # from the first sending of a key to its last repeat, at most
-    marking_frontends: Collection[
-        bytes
-    ] = ()  # whose clients mark each repeat; by the first part of their keys
-    repeat_anywhere: bool = (
-        False  # those clients may repeat at another router than the one they sent to first
-    )
+    """How clients repeat requests, from the configuration."""
+
+    window_us: int  # maximum time between the first sending of a key and its last repeat
+    marking_frontends: Collection[bytes] = ()  # key prefixes of frontends whose clients mark each repeat
+    repeat_anywhere: bool = False  # clients of these frontends may send a repeat to another router
 
 
 class UncertaintyWindow:
-    """In one incarnation: whether a key that the store does not hold is new."""
+    """Decides, during one incarnation, whether a key that the store does not hold is new."""
 
     def __init__(self, rules: ClientRepeatRules, identity: StoreIdentity, now: int) -> None:
         self._rules = rules
@@ -162,15 +161,15 @@
         self._proved: dict[bytes, None] = {}  # keys, oldest first
 
     def remaining_us(self, now: int) -> int:
-        """What is left of the window."""
+        """The remaining time of the window."""
         return max(0, self._until - now)
 
     def is_new(self, key: bytes, has_client_key: bool, is_resent: bool, now: int) -> bool:
-        """Whether a request may run; False where it may have run before, here or at another router.
+        """Whether a request may run; False if it may have run before, on this router or another one.
 
-        ``has_client_key``: its client may come back under the key. ``is_resent``: the client says that it has
-        sent the key before. A key that proved new here stays so in this incarnation: what it ran here the
-        ledger holds.
+        ``has_client_key``: the client may repeat the key. ``is_resent``: the client has marked the request as
+        a repeat. A key that was proved to be new stays new in this incarnation, because the ledger records
+        what runs under it from then on.
         """
         if not has_client_key or key in self._proved:
             return True
@@ -182,7 +181,7 @@
         return not self.remaining_us(now) and not (is_marked and self._rules.repeat_anywhere)
 
     def identity_to_store(self, now: int) -> StoreIdentity | None:
-        """What the store is to hold from now on; None where the rest of the window has not changed enough."""
+        """The identity to write to the store now; None if the remaining window has changed too little."""
         remaining_us = self.remaining_us(now)
         is_small_change = self._identity.uncertainty_us - remaining_us < self._step_us
         if is_small_change and (remaining_us or not self._identity.uncertainty_us):
--- a/slipbay/idempotency/store_opening.py
+++ b/slipbay/idempotency/store_opening.py
@@ -1,8 +1,8 @@
-"""Opening the store: what other routers recorded of it, its status and identity, and what it holds.
+"""Opens the store: queries the witnesses, determines the store's status and identity, and loads its records.
 
-``StoreOpening`` asks the witnesses first, if there are any, and opens the store once their answer is settled
-or too late. The store's thread then judges the store and makes the new incarnation durable before anything
-else.
+If there are witnesses, ``StoreOpening`` waits until their answers are decided, up to a time-out, before it
+opens the store. The store's thread then determines the store's status and makes the new incarnation durable
+before it does anything else.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 from slipbay.store.engine import Store
 from slipbay.store.errors import DamagedStoreError
 from slipbay.store.marker import Marker
-from slipbay.store.writer import SWITCH_S, Writer
+from slipbay.store.writer import THREAD_SWITCH_S, Writer
 
 if TYPE_CHECKING:
     from slipbay.idempotency.witnesses import StoreWitnesses
     from slipbay.peer_channel.interfaces import Send
 
-WITNESS_TIMEOUT_US = 3_000_000  # for witnesses to answer; without them the store is uncertain for hours
+WITNESS_TIMEOUT_US = 3_000_000  # for the witnesses' answers; without them the store is uncertain for hours
 
 
 def retention_limits(config: StoreConfig) -> RetentionLimits:
@@ -44,43 +44,44 @@
 
 
 def open_writer(config: StoreConfig, loop: asyncio.AbstractEventLoop) -> Writer:
-    """The store's thread, which answers in the event loop; its ``start`` opens the store."""
+    """Create the store's thread, which calls back in the event loop; its ``start`` opens the store."""
 
     def post(call: Callable[[], None]) -> None:
         loop.call_soon_threadsafe(call)
 
-    sys.setswitchinterval(SWITCH_S)  # the event loop must not wait long for the store's thread
+    sys.setswitchinterval(THREAD_SWITCH_S)  # the event loop must not wait long for the store's thread
     bounds = plan.Bounds(config.segment_bytes, config.most_bytes)
     grouping = Grouping(config.group_records, config.group_bytes, config.group_wait_us, config.retry_us)
     return Writer(lambda: Store.open(Folder(config.folder), bounds), grouping, post)
 
 
 class Incarnation(NamedTuple):
-    """A new incarnation on a store."""
+    """A new incarnation that has opened a store."""
 
-    status: StoreStatus  # of the store when it opened
+    status: StoreStatus  # of the store when it was opened
     identity: StoreIdentity
-    marker_damage: str  # why the marker could not be read; "" if it could
+    marker_damage: str  # why the marker could not be read; empty if it could be
 
 
 @dataclass(slots=True, frozen=True)
 class StoreContents:
-    """What the store held when it was opened, read in its thread."""
+    """The contents of the store when it was opened, read in its thread."""
 
     ledger: Ledger
-    open_records: list[KeyRecord]  # their outcomes are not known
+    open_records: list[KeyRecord]  # records whose outcome is unknown
     retry_budget: bytes | None
-    snapshots: dict[bytes, bytes]  # by the name of their owner
-    incarnation: Incarnation | None  # None: incarnations are not told apart
+    snapshots: dict[bytes, bytes]  # by owner
+    incarnation: Incarnation | None  # None: detection of store loss is disabled
 
 
 def begin_incarnation(
     store: Store, loss: LossConfig, writer: Writer, witness: StoreWitness | None
 ) -> Incarnation:
-    """Judge the store and make the new incarnation durable, in it and at the marker.
+    """Determine the store's status and make the new incarnation durable, in the store and in the marker.
 
-    Runs in the store's thread, before anything else. ``witness``: of the other routers; a marker takes its
-    place. ``DamagedStoreError`` where the store's identity can't be read; ``OSError`` where the marker fails.
+    Runs in the store's thread, before anything else. ``witness`` is the state that other routers recorded; a
+    configured marker replaces it. Raises ``DamagedStoreError`` if the store's identity cannot be decoded, and
+    ``OSError`` if the marker cannot be read or written.
     """
     value = store.get(IDENTITY_KEY)
     try:
@@ -94,7 +95,7 @@
             witness = marker.read()
         except DamagedStoreError as error:
             marker_damage = str(error)
-    status = store_generation.judge(found, store.sequence, witness)
+    status = store_generation.determine_status(found, store.sequence, witness)
     new_id = secrets.token_bytes(store_generation.ID_BYTES)
     identity = store_generation.begin(found, status, loss.window_us, new_id)
     store.commit([(IDENTITY_KEY, store_generation.encode(identity))], use_reserve=True)
@@ -104,7 +105,7 @@
 
 
 def _attach_marker(store: Store, marker: Marker, identity: StoreIdentity, writer: Writer) -> None:
-    """Write the marker now, and after each commit with an intent."""
+    """Write the marker now, and after each commit that contains an intent."""
 
     def write_witness(store: Store) -> None:
         marker.write(StoreWitness(identity.store_id, identity.generation, store.sequence))
@@ -114,7 +115,7 @@
 
 
 class StoreOpening:
-    """Opens the store in its thread, after the witnesses of other routers were asked."""
+    """Opens the store in its thread, after the witnesses were queried."""
 
     def __init__(
         self,
@@ -125,7 +126,7 @@
         witnesses: StoreWitnesses | None,
         publish: Callable[[list[Send]], None],
     ) -> None:
-        """``witnesses``: what other routers record of the store; ``publish`` sends them messages."""
+        """``witnesses``: what other routers record about the store; ``publish`` sends messages to them."""
         self.config = config
         self._clock = clock
         self._timers = timers
@@ -133,13 +134,13 @@
         self._witnesses = witnesses
         self._publish = publish
         self._started_us = clock.now()
-        self._is_acknowledged = False  # by a majority of the witnesses
-        self._timeout: Timer | None = None  # while the witnesses are asked
+        self._is_acknowledged = False  # a majority of the witnesses records this incarnation as open
+        self._timeout: Timer | None = None  # set while the witnesses' answers are awaited
         self._snapshot_owners: Collection[bytes] = ()
         self._opened: Callable[[object, str], None] = lambda _contents, _error: None
 
     def start(self, snapshot_owners: Collection[bytes], opened: Callable[[object, str], None]) -> None:
-        """Open the store; ``opened`` is called with a ``StoreContents``, or with why it can't be opened."""
+        """Open the store; ``opened`` gets a ``StoreContents``, or None and the error."""
         self._snapshot_owners = snapshot_owners
         self._opened = opened
         if self._witnesses is not None:
@@ -150,16 +151,16 @@
 
     @property
     def permits_client_keys(self) -> bool:
-        """Whether requests with a client's key may run: the witnesses, if any, record this incarnation."""
+        """Whether requests with a client's key may run: enough witnesses, if any, record this incarnation."""
         return self._witnesses is None or self._witnesses.is_open
 
     def announce(self, identity: StoreIdentity) -> None:
-        """Have the witnesses record this incarnation as open."""
+        """Request the witnesses to record this incarnation as open."""
         if self._witnesses is not None:
             self._publish(self._witnesses.begin(identity.store_id, identity.generation))
 
     def close(self) -> None:
-        """Close the store, and have the witnesses record that it was closed in order."""
+        """Close the store, and request the witnesses to record that it was closed properly."""
         if self._timeout is not None:  # the store was never opened
             self._timeout.cancel()
             return
@@ -170,7 +171,7 @@
     def _witnesses_changed(self) -> None:
         if self._witnesses is None:
             return
-        if self._witnesses.is_settled and self._timeout is not None:
+        if self._witnesses.is_decided and self._timeout is not None:
             self._open()
         if self._witnesses.is_open and not self._is_acknowledged:
             self._is_acknowledged = True
@@ -182,7 +183,7 @@
             )
 
     def _open(self) -> None:
-        """No more is expected of the witnesses."""
+        """Open the store with the answers that the witnesses have sent so far."""
         if self._timeout is not None:
             self._timeout.cancel()
             self._timeout = None
--- a/slipbay/idempotency/witnesses.py
+++ b/slipbay/idempotency/witnesses.py
@@ -1,19 +1,21 @@
-"""Incarnations of a store as other routers record them, in memory: an endpoint of the peer channel.
-
-Each router has up to three *witnesses*, the routers with the next numbers. Before an incarnation runs any
-request a majority of them records it as *open*; when it ends in order it sends them its last sequence, and
-they record it as *closed*. The next incarnation asks first: where a majority records one and the same closed
-incarnation, no later one has run anything, as its opening would have reached one of them. An incarnation that
-was killed leaves no closed record, and a witness that was restarted records nothing: then nobody can tell
-(docs/store-loss.md).
-
-Messages name an incarnation of both ends by random numbers, so one that is late or duplicated counts for no
-other incarnation. A witness never goes back: not to an earlier generation, nor to a store that another has
-replaced. No clock is relied on. Little-endian: type u8, incarnation of the owner u32, of the witness u32;
-where a store is named also 8s (of its id) and generation u32; where it was closed also its last sequence,
-i64. With head and checksum 24, 36 or 43 bytes (4 more with a key): a start costs its router 180 bytes and its
-witnesses 48 to 67 each, an orderly end 129. What finds no room in the channel's budget waits here until it
-has some.
+"""Store witnesses: each router records in memory the incarnations of other routers' stores.
+
+Each router has up to three *witnesses*: the routers with the next numbers. Before an incarnation runs any
+request, a majority of its witnesses records it as *open*. When it shuts down properly, it sends its last
+sequence to the witnesses, which record it as *closed*. The next incarnation queries them first. If a majority
+records the same closed incarnation, no later incarnation has run a request, because its opening would have
+reached at least one of these witnesses. An incarnation that was killed leaves no closed record, and a
+restarted witness has no records: then the state of the store is unknown (docs/store-loss.md).
+
+Messages identify the incarnations of sender and receiver by random numbers, so a delayed or duplicated
+message has no effect on any other incarnation. A witness never replaces a record by one of an earlier
+generation, or by one of a store that another store has replaced. The protocol does not depend on clocks.
+
+Message format, little-endian: type u8, incarnation of the owner u32, incarnation of the witness u32. A
+message that names a store adds 8s (the first bytes of its id) and generation u32; if the store was closed,
+also its last sequence, i64. With head and checksum a message has 24, 36 or 43 bytes (4 more with a key). A
+start costs its router 180 bytes and each of its witnesses 48 to 67 bytes, a proper shutdown 129 bytes. A
+message that exceeds the channel's budget is kept here and sent later.
 """
 
 from __future__ import annotations
@@ -35,22 +37,22 @@
 OPEN_BYTES = BARE_BYTES + NAMED.size
 CLOSED_BYTES = OPEN_BYTES + SEQUENCE.size
 MAX_WITNESSES = 3
-MAX_REPLACED_STORES = 8  # of one router that a witness keeps out
-RESEND_US = 1_000_000  # until what is unanswered is sent again; sooner would spend the budget of a start
-RETRY_UNSENT_US = 50_000  # until what had no room is tried again
-REFRESH_US = 5_000_000  # between queries that find witnesses which were restarted
-ID_BYTES = 8  # of a store's id
+MAX_REPLACED_STORES = 8  # ids of replaced stores that a witness remembers for each router
+RESEND_US = 1_000_000  # until an unanswered message is resent; a shorter time would exceed the start's budget
+RETRY_UNSENT_US = 50_000  # until a message that exceeded the channel's budget is sent again
+REFRESH_US = 5_000_000  # between queries that detect restarted witnesses
+ID_BYTES = 8  # leading bytes of a store's id that messages contain
 NO_WITNESS = StoreWitness(bytes(ID_BYTES), 0, None)
 
 
 class WitnessMessage(IntEnum):
     """Types of messages between a store's owner and its witnesses."""
 
-    QUERY = 1  # the owner asks what a witness records
-    RECORD = 2  # the witness's answer
-    OPEN = 3  # the owner has begun an incarnation
-    OPENED = 4  # the witness records it as open
-    CLOSED = 5  # the owner ends in order
+    QUERY = 1  # from the owner: requests the record of the witness
+    RECORD = 2  # from the witness: its record, in answer to QUERY
+    OPEN = 3  # from the owner: an incarnation has begun
+    OPENED = 4  # from the witness: it records the incarnation as open
+    CLOSED = 5  # from the owner: the store was closed properly
 
 
 SIZES = {
@@ -60,11 +62,11 @@
     WitnessMessage.OPENED: (BARE_BYTES,),
     WitnessMessage.CLOSED: (CLOSED_BYTES,),
 }
-"""Lengths that a message of each type may have, in bytes."""
+"""Valid lengths of each message type, in bytes."""
 
 
-class Decoded(NamedTuple):
-    """A message as it was received."""
+class DecodedMessage(NamedTuple):
+    """A received message."""
 
     kind: WitnessMessage
     owner_incarnation: int
@@ -73,7 +75,7 @@
 
 
 def encode(kind: WitnessMessage, owner: int, witness: int, store: StoreWitness) -> bytes:
-    """A message; ``owner`` and ``witness`` are the incarnations of both ends."""
+    """Encode a message; ``owner`` and ``witness`` are the incarnations of the two routers."""
     body = HEAD.pack(kind, owner, witness)
     if kind not in (WitnessMessage.QUERY, WitnessMessage.OPENED) and store != NO_WITNESS:
         body += NAMED.pack(store.store_id, store.generation)
@@ -82,8 +84,8 @@
     return body
 
 
-def decode(body: bytes) -> Decoded | None:
-    """None where it is none of ours."""
+def decode(body: bytes) -> DecodedMessage | None:
+    """Decode a message; None if it is invalid."""
     if len(body) not in (BARE_BYTES, OPEN_BYTES, CLOSED_BYTES):
         return None
     number, owner, witness = HEAD.unpack_from(body)
@@ -94,18 +96,18 @@
         store_id, generation = NAMED.unpack_from(body, BARE_BYTES)
         sequence = SEQUENCE.unpack_from(body, OPEN_BYTES)[0] if len(body) > OPEN_BYTES else None
         store = StoreWitness(store_id, generation, sequence)
-    return Decoded(WitnessMessage(number), owner, witness, store)
+    return DecodedMessage(WitnessMessage(number), owner, witness, store)
 
 
 @dataclass(slots=True)
 class WitnessRecord:
-    """What a witness records of another router's store."""
+    """The record that a witness holds about another router's store."""
 
     witness: StoreWitness
     replaced_stores: tuple[bytes, ...] = ()  # ids
 
     def open(self, store: StoreWitness) -> bool:
-        """Record an opening; False where a later one is recorded already."""
+        """Record an opening; False if a later one is recorded already."""
         held = self.witness
         if store.store_id in self.replaced_stores:
             return False
@@ -121,31 +123,33 @@
 
 
 class StoreWitnesses:
-    """One router's end: it asks for its own store, and is a witness of others'. A ``ChannelEndpoint``."""
+    """The ``ChannelEndpoint`` of one router: owner of its own store, and witness of other routers' stores."""
 
-    def __init__(self, router: int, size: int, incarnation: int, now: int) -> None:
-        """``size``: routers of the fleet; ``incarnation``: 32 random bits, new with each start."""
+    def __init__(self, router: int, fleet_size: int, incarnation: int, now: int) -> None:
+        """``fleet_size`` counts routers; ``incarnation`` is a 32-bit random number, new with each start."""
         self.router = router
         self._incarnation = incarnation
         self._now = now
         self._due = now
-        self._unsent: dict[tuple[int, int], bytes] = {}  # what had no room, by receiver and type
-        self.witnesses = tuple((router + step) % size for step in range(1, min(MAX_WITNESSES, size - 1) + 1))
+        self._unsent: dict[tuple[int, int], bytes] = {}  # messages over budget, by receiver and type
+        self.witnesses = tuple(
+            (router + step) % fleet_size for step in range(1, min(MAX_WITNESSES, fleet_size - 1) + 1)
+        )
         self.majority = len(self.witnesses) // 2 + 1
         self.records: dict[int, WitnessRecord] = {}  # of other routers' stores, by router
-        self._answers: dict[int, StoreWitness] = {}  # by witness, its record when this incarnation asked
+        self._answers: dict[int, StoreWitness] = {}  # records that witnesses sent to this incarnation
         self._witness_incarnations: dict[int, int] = {}
-        self._own: StoreWitness | None = None  # the own store, once it is open
-        self._acknowledged: set[int] = set()  # witnesses that record it as open
+        self._own: StoreWitness | None = None  # this router's store, once it is open
+        self._acknowledged: set[int] = set()  # witnesses that record this router's store as open
         self._was_opened = False
         self._is_closed = False
-        self._has_asked = False
+        self._has_queried = False
         self.on_change: Callable[[], None] = lambda: None
-        """Called at each change of ``is_settled`` and ``is_open``; it must not call back."""
+        """Called when ``is_decided`` or ``is_open`` may have changed; must not send or receive messages."""
 
     @property
-    def is_settled(self) -> bool:
-        """Whether a majority has answered, and the other answers could not change ``last_known``."""
+    def is_decided(self) -> bool:
+        """Whether a majority has answered, and further answers cannot change ``last_known``."""
         closed = Counter(store for store in self._answers.values() if store.sequence is not None)
         most = max(closed.values(), default=0)
         missing = len(self.witnesses) - len(self._answers)
@@ -157,7 +161,7 @@
         return self._was_opened and not self._is_closed
 
     def last_known(self) -> StoreWitness | None:
-        """What is known of the store's last incarnation before this one, by the answers so far."""
+        """The last state of the store before this incarnation, from the answers received so far."""
         held = Counter(store for store in self._answers.values() if store != NO_WITNESS)
         for store, count in held.items():
             if count >= self.majority and store.sequence is not None:
@@ -166,14 +170,14 @@
         return replace(newest, sequence=None) if newest is not None else None
 
     def begin(self, store_id: bytes, generation: int) -> list[Send]:
-        """The incarnation begins: the messages by which the witnesses record it as open."""
+        """Begin the incarnation; returns the messages that request the witnesses to record it as open."""
         self._own = StoreWitness(store_id[:ID_BYTES], generation, None)
         return [
             self._open_message(to, self._own) for to in self.witnesses if to in self._witness_incarnations
         ]
 
     def close(self, sequence: int) -> list[Send]:
-        """The store was closed in order; nothing is sent after these messages."""
+        """The store was closed properly; returns the last messages of this incarnation."""
         if self._own is None or not self.is_open:
             return []
         self._is_closed = True
@@ -187,11 +191,11 @@
         ]
 
     def unsent(self, _now: int, to: int, body: bytes) -> None:
-        """Send again a message that had no room in the channel's budget; else the other end asks anew."""
+        """Keep a message that exceeded the channel's budget, to send it again at a later tick."""
         self._unsent[to, body[0]] = body
 
     def tick(self, now: int) -> list[Send]:
-        """Send again what had no room, and what was not answered in time."""
+        """Send the messages that exceeded the budget before, and resend those that were not answered."""
         self._now = now
         unsent = self._unsent
         self._unsent = {}
@@ -201,11 +205,11 @@
         return sends
 
     def next_tick(self) -> int:
-        """When ``tick`` is due, us."""
+        """When ``tick`` is due, in us."""
         return min(self._due, self._now + RETRY_UNSENT_US) if self._unsent else self._due
 
-    def receive(self, now: int, sender: int, _life: int, body: bytes) -> list[Send]:
-        """A message of another router; returns the answer."""
+    def receive(self, now: int, sender: int, _sender_incarnation: int, body: bytes) -> list[Send]:
+        """Handle a message of another router; returns the answers."""
         self._now = now
         message = decode(body)
         if message is None:
@@ -214,8 +218,8 @@
             return self._receive_answer(now, sender, message)
         return self._answer_owner(sender, message)
 
-    def _answer_owner(self, sender: int, message: Decoded) -> list[Send]:
-        """As a witness."""
+    def _answer_owner(self, sender: int, message: DecodedMessage) -> list[Send]:
+        """Answer a message as a witness."""
         owner = message.owner_incarnation
         store = message.store
         record = self.records.get(sender)
@@ -232,13 +236,13 @@
             return []
         return [(sender, encode(WitnessMessage.OPENED, owner, self._incarnation, store))]
 
-    def _receive_answer(self, now: int, sender: int, message: Decoded) -> list[Send]:
-        """As the owner of a store."""
+    def _receive_answer(self, now: int, sender: int, message: DecodedMessage) -> list[Send]:
+        """Handle a witness's answer as the owner of a store."""
         if message.owner_incarnation != self._incarnation or sender not in self.witnesses or self._is_closed:
             return []
         sends: list[Send] = []
         if self._witness_incarnations.get(sender) != message.witness_incarnation:
-            # the witness was restarted, and records nothing of ours
+            # the witness was restarted and has no record of this router's store
             self._witness_incarnations[sender] = message.witness_incarnation
             self._acknowledged.discard(sender)
             if self._own is not None:
@@ -254,19 +258,19 @@
         self._acknowledged.add(witness)
         if not self._was_opened and len(self._acknowledged) >= self.majority:
             self._was_opened = True
-            self._due = now + REFRESH_US  # others may start now and need the channel's budget
+            self._due = now + REFRESH_US  # leaves the channel's budget to other routers that start now
 
     def _send_round(self, now: int) -> list[Send]:
         is_quiet = len(self._acknowledged) == len(self.witnesses) or self._is_closed
         self._due = now + (REFRESH_US if is_quiet else RESEND_US)
         if self._is_closed:
             return []
-        # a majority will do at first; the other witnesses are asked later
-        needs_majority_only = not self._was_opened and (self.is_settled or not self._has_asked)
-        asked = self.witnesses[: self.majority] if needs_majority_only else self.witnesses
+        # the first round queries only a majority; later rounds query the other witnesses too
+        needs_majority_only = not self._was_opened and (self.is_decided or not self._has_queried)
+        queried = self.witnesses[: self.majority] if needs_majority_only else self.witnesses
         query = encode(WitnessMessage.QUERY, self._incarnation, 0, NO_WITNESS)
-        sends = [(to, query) for to in asked if is_quiet or to not in self._witness_incarnations]
-        self._has_asked = True
+        sends = [(to, query) for to in queried if is_quiet or to not in self._witness_incarnations]
+        self._has_queried = True
         if self._own is not None:
             sends += [
                 self._open_message(to, self._own)
--- a/slipbay/store/writer.py
+++ b/slipbay/store/writer.py
@@ -14,7 +14,9 @@
 from slipbay.store.engine import Change, Store, StoreState
 from slipbay.store.errors import StoreError, StoreFullError, StoreWriteError, disk_error_text
 
-SWITCH_S = 0.0005  # after which a thread that waits for the interpreter gets it (``sys.setswitchinterval``)
+THREAD_SWITCH_S = (
+    0.0005  # after which a thread that waits for the interpreter gets it (``sys.setswitchinterval``)
+)
 CLOSE_S = 5  # that closing waits for the last commits
 
 Post: TypeAlias = Callable[[Callable[[], None]], None]
--- a/tests/test_store_generation.py
+++ b/tests/test_store_generation.py
@@ -57,7 +57,7 @@
     @rule(witness_lost=st.booleans())
     def start(self, witness_lost: bool) -> None:
         """A death between the two writes of a start is one that comes before the witness was written."""
-        status = store_generation.judge(self.identity, self.sequence, self.witness)
+        status = store_generation.determine_status(self.identity, self.sequence, self.witness)
         self.ids += 1
         self.identity = store_generation.begin(self.identity, status, WINDOW, self.ids.to_bytes(16, "big"))
         self.sequence += 1
@@ -219,7 +219,7 @@
 def test_a_store_is_judged_by_its_identity_and_its_witness(
     found: StoreIdentity | None, sequence: int, witness: StoreWitness | None, status: StoreStatus
 ) -> None:
-    assert store_generation.judge(found, sequence, witness) is status
+    assert store_generation.determine_status(found, sequence, witness) is status
 
 
 def test_a_key_that_proved_new_may_come_back_and_one_without_a_mark_waits_the_window_out() -> None:
--- a/tests/test_witnesses.py
+++ b/tests/test_witnesses.py
@@ -70,10 +70,10 @@
         routers.start([0])
         witnesses = cast(StoreWitnesses, routers.party(0, FrameKind.LIVES))
         for _ in range(10):
-            if not witnesses.is_settled:
+            if not witnesses.is_decided:
                 routers.run(0.1)
         witness = witnesses.last_known()
-        status = store_generation.judge(self.identity, self.sequence, witness)
+        status = store_generation.determine_status(self.identity, self.sequence, witness)
         self.statuses.append(status)
         if status is StoreStatus.CURRENT:
             if not self.ran <= self.held:
@@ -189,7 +189,7 @@
         routers.run(0.05)
         took += 0.05
         for me, witnesses in enumerate(found):
-            if witnesses.is_settled and me not in begun:
+            if witnesses.is_decided and me not in begun:
                 begun.add(me)
                 routers.say(me, FrameKind.LIVES, witnesses.begin(bytes([me]) * 8, 1))
     assert least_s < took < most_s
@@ -233,7 +233,7 @@
     third = StoreWitnesses(0, 3, 4, 0)
     third.receive(0, 1, 1, before[0])
     third.receive(0, 2, 1, before[0])
-    assert not third.is_settled
+    assert not third.is_decided
     assert third.last_known() is None
     anew = StoreWitnesses(
         1, 3, 5, 0
@@ -258,7 +258,7 @@
     ):
         assert witnesses.receive(0, 1, 1, body) == []
         assert not witnesses.records
-        assert not witnesses.is_settled
+        assert not witnesses.is_decided
 
 
 def tier(folder: Path, count: int, engine: int) -> list[RouterProcess]:
