--- a/slipbay/idempotency/ledger_writer.py
+++ b/slipbay/idempotency/ledger_writer.py
@@ -32,7 +32,7 @@
     def write(self, changes: list[Change]) -> None:
         """Write changes within ``MAX_DELAY_US``."""
         if changes:
-            self._writer.append_late(changes, partial(self._written, changes))
+            self._writer.append_deferred(changes, partial(self._written, changes))
             if not self._is_flush_scheduled:
                 self._is_flush_scheduled = True
                 self._timers.after(MAX_DELAY_US, self._flush)
--- a/slipbay/store/__init__.py
+++ b/slipbay/store/__init__.py
@@ -1,6 +1,7 @@
-"""A small embedded store: append-only segments, an index in memory, group commit, compaction.
+"""A small embedded key-value store: append-only segments, an in-memory index, group commit, compaction.
 
-``frame``, ``manifest``, ``index`` and ``plan`` hold its rules and do no I/O; ``disk`` reaches files;
-``segment_log``, ``opening``, ``reader`` and ``compaction`` each do one thing with them; ``engine`` joins them
-into one store for one thread; ``writer`` runs that store in a thread of its own, beside an event loop.
+``frame``, ``manifest``, ``index`` and ``plan`` define formats and decisions and do no I/O; ``disk`` accesses
+files. ``segment_log``, ``opening``, ``reader`` and ``compaction`` each implement one task on the files.
+``engine`` combines them into a store for a single thread; ``writer`` runs that store in a dedicated thread
+next to an event loop.
 """
--- a/slipbay/store/compaction.py
+++ b/slipbay/store/compaction.py
@@ -1,4 +1,4 @@
-"""Compaction: copies the live records of the oldest segments into a new one, step by step."""
+"""Compaction: copies the live records of the oldest segments into a new segment, in small steps."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 from slipbay.store import frame, plan
 from slipbay.store.disk import Disk, Handle
-from slipbay.store.index import INNER_AT, Index, Move, pack_place
+from slipbay.store.index import INNER_SHIFT, Index, Move, pack_location
 from slipbay.store.manifest import Segment, segment_name
 from slipbay.store.reader import LiveFrame, live_frames
 from slipbay.store.segment_log import SegmentLog
 from slipbay.store.totals import Totals
 
-MOVES_AT_ONCE = 1000  # entries of the index that a step moves
-SYNC_BYTES = 1024 * 1024  # of the new segment, after which it is synced
+MOVES_PER_STEP = 1000  # index entries that one step moves
+SYNC_BYTES = 1024 * 1024  # bytes written to the new segment between two syncs
 
 
 class Compaction:
     """Merges the oldest ``count`` segments into one.
 
-    Each step handles some frames, so that commits between steps wait for little. Errors are
-    ``DamagedStoreError`` and ``OSError``; then what was there stays.
+    Each step handles a few frames, so that commits between steps are not delayed for long. Raises
+    ``DamagedStoreError`` and ``OSError``; the store is then unchanged.
     """
 
     def __init__(
@@ -34,19 +34,19 @@
         self._count = count
         self._merged = log.manifest.segments[:count]
         self._number = 0
-        self._end = frame.HEAD_BYTES  # bytes of the new segment
-        self._raw = 0  # bytes of its frames, before compression
+        self._end = frame.HEAD_BYTES  # size of the new segment in bytes
+        self._uncompressed_bytes = 0  # of its frames
         self._moves: list[Move] = []
         self._steps = self._run()
-        self.switched = False  # manifests were switched, but the index still names the old segments
+        self.is_switched = False  # the new manifest is valid, but the index refers to the old segments
 
     def step(self) -> bool:
-        """Do a little; false once there was no more to do."""
+        """Run one step; False if the compaction was complete before."""
         return next(self._steps, self) is not self
 
     def abandon(self) -> None:
-        """Stop. One that has switched manifests only has to move the index, and is finished."""
-        while self.switched and self.step():
+        """Stop the compaction, or complete it if only the index is left to move."""
+        while self.is_switched and self.step():
             pass
         self._steps.close()
 
@@ -62,12 +62,14 @@
             handle.close()
         base = self._merged[0].base
         last = self._merged[-1].last
-        into = Segment(self._number, base, self._end, last, self._raw, compacted=True)
+        into = Segment(self._number, base, self._end, last, self._uncompressed_bytes, compacted=True)
         self._index.add_segment(self._number)
-        self._log.switch(self._log.manifest.merged(self._count, into if self._moves else None))
-        self.switched = True  # from here on it must be finished: the index names files that no longer count
+        self._log.switch(self._log.manifest.with_merged(self._count, into if self._moves else None))
+        self.is_switched = (
+            True  # must be completed from here on: the index refers to files that the manifest does not name
+        )
         yield from self._move_index()
-        self.switched = False
+        self.is_switched = False
         dropped = self._merged if self._moves else (*self._merged, into)
         for segment in dropped:
             self._index.drop_segment(segment.number)
@@ -77,34 +79,34 @@
     def _copy(self, handle: Handle) -> Iterator[None]:
         handle.append(frame.encode_head(self._number, self._merged[0].base))
         unsynced = 0
-        at_once = plan.copies(self._log.used_bytes, self._bounds)
-        for frames in live_frames(self._disk, self._index, self._merged, at_once):
+        batch_size = plan.records_per_step(self._log.used_bytes, self._bounds)
+        for frames in live_frames(self._disk, self._index, self._merged, batch_size):
             if frames:
                 unsynced += self._copy_block(handle, frames)
-            if unsynced >= SYNC_BYTES:  # in between: one sync of all would hold up the commits' own
+            if unsynced >= SYNC_BYTES:  # a single sync at the end would delay the syncs of commits
                 handle.sync()
                 unsynced = 0
             yield
 
     def _copy_block(self, handle: Handle, frames: list[LiveFrame]) -> int:
-        """Write one block; returns its bytes."""
+        """Write one block; returns its size in bytes."""
         data = frame.encode_block(b"".join(item for _, _, item in frames))
-        block = pack_place(self._number, self._end, 0, 0)
+        block = pack_location(self._number, self._end, 0, 0)
         moves = self._moves
-        inner = 0
+        inner_offset = 0
         for key, old, item in frames:
             length = len(item)
-            moves.append((key, old, block + (inner << INNER_AT) + length))
-            inner += length
+            moves.append((key, old, block + (inner_offset << INNER_SHIFT) + length))
+            inner_offset += length
         handle.append(data)
         self._end += len(data)
-        self._raw += inner
+        self._uncompressed_bytes += inner_offset
         self._totals.bytes_copied += len(data)
         return len(data)
 
     def _move_index(self) -> Iterator[None]:
-        for start in range(0, len(self._moves), MOVES_AT_ONCE):
-            part = self._moves[start : start + MOVES_AT_ONCE]
-            self._index.move(part)
-            if len(part) == MOVES_AT_ONCE:
+        for start in range(0, len(self._moves), MOVES_PER_STEP):
+            batch = self._moves[start : start + MOVES_PER_STEP]
+            self._index.move(batch)
+            if len(batch) == MOVES_PER_STEP:
                 yield
--- a/slipbay/store/config_schema.py
+++ b/slipbay/store/config_schema.py
@@ -1,4 +1,4 @@
-"""The form of ``deploy/store.toml``. Loaded only where the store is on."""
+"""The schema of ``deploy/store.toml``. Imported only if the store is enabled."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 
 
 class RetentionTable(Struct, forbid_unknown_fields=True, frozen=True):
-    """How much is kept of a request, and for how long."""
+    """What is stored of a request, and for how long."""
 
     retention_h: Annotated[float, Meta(ge=0.001)] = 24
     answer_kb: NotNegative = 64
-    most_keys: AtLeastOne | None = None  # as many as fit in half of the memory limit
+    most_keys: AtLeastOne | None = None  # None: as many as fit into half of the memory limit
 
 
 class RecoveryTable(Struct, forbid_unknown_fields=True, frozen=True):
-    """How long a start may take to resolve open requests."""
+    """The time for which a start may query the outcomes of open requests."""
 
     most_s: Annotated[float, Meta(ge=0.1)] = 10
 
 
 class LossTable(Struct, forbid_unknown_fields=True, frozen=True):
-    """How the loss of a store is found out."""
+    """How the loss of a store is detected."""
 
     enabled: bool = False
-    repeat_window_s: Annotated[float, Meta(ge=0.1)] | None = None  # keep.retention_h
+    repeat_window_s: Annotated[float, Meta(ge=0.1)] | None = None  # None: as ``keep.retention_h``
     marked: tuple[Literal["jsonrpc", "mysql"], ...] = ()
     anywhere: bool = False
     marker: str | None = None
@@ -45,7 +45,7 @@
 
 
 class StoreFile(Struct, forbid_unknown_fields=True, frozen=True):
-    """The keys of the file, with the values that hold where it has none."""
+    """The keys of the file and their default values."""
 
     folder: str
     segment_mb: Annotated[float, Meta(ge=0.01)] = 8
--- a/slipbay/store/disk.py
+++ b/slipbay/store/disk.py
@@ -1,4 +1,4 @@
-"""The one interface by which a store reaches its files, and the ordinary folder behind it."""
+"""The interface through which a store accesses its files, and its implementation for a directory."""
 
 from __future__ import annotations
 
@@ -13,48 +13,48 @@
 
 
 class Handle(Protocol):
-    """A file that is appended to."""
+    """A file opened for appending."""
 
     def append(self, data: bytes) -> None:
         """Append all of ``data``, or raise ``OSError``."""
 
     def sync(self) -> None:
-        """Returns once what was appended outlives a loss of power; ``OSError`` where that is not known."""
+        """Return once the appended data survives a loss of power; raise ``OSError`` if that is uncertain."""
 
     def close(self) -> None:
         """Close the file; a second call does nothing."""
 
 
 class Disk(Protocol):
-    """A folder. Errors are ``OSError``."""
+    """A directory of files. All methods raise ``OSError`` on failure."""
 
     def names(self) -> list[str]:
         """Names of the files, sorted."""
 
     def read(self, name: str, offset: int = 0, length: int = -1) -> bytes:
-        """At most ``length`` bytes of a file from ``offset`` on; -1: up to its end."""
+        """Read at most ``length`` bytes of a file from ``offset``; -1: up to the end of the file."""
 
     def create(self, name: str) -> Handle:
-        """A new, empty file; one of that name is replaced."""
+        """Create an empty file; an existing file of that name is replaced."""
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file; one of the new name is replaced at once."""
+        """Rename a file; an existing file of the new name is replaced atomically."""
 
     def remove(self, name: str) -> None:
         """Remove a file."""
 
     def sync_folder(self) -> None:
-        """Returns once names made, changed and removed so far outlive a loss of power."""
+        """Return once all creations, renames and removals of files so far survive a loss of power."""
 
     def lock(self) -> None:
-        """Keep other processes out. Raises ``StoreInUseError`` where one has the folder."""
+        """Lock the directory. Raises ``StoreInUseError`` if another process has locked it."""
 
     def unlock(self) -> None:
-        """Let other processes in; does nothing where there is no lock."""
+        """Release the lock; does nothing if the directory is not locked."""
 
 
 class FileHandle:
-    """A new file of an ordinary folder, readable by its owner alone."""
+    """A new file in a directory, readable only by its owner."""
 
     def __init__(self, path: Path) -> None:
         self._fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
@@ -66,8 +66,8 @@
             view = view[os.write(self._fd, view) :]
 
     def sync(self) -> None:
-        """Returns once what was appended outlives a loss of power."""
-        os.fdatasync(self._fd)  # with the size, as it is needed to read what was appended (fdatasync(2))
+        """Return once the appended data survives a loss of power."""
+        os.fdatasync(self._fd)  # also syncs the size, which is needed to read the data (fdatasync(2))
 
     def close(self) -> None:
         """Close the file; a second call does nothing."""
@@ -77,7 +77,7 @@
 
 
 class Folder:
-    """An ordinary folder; made where it is missing, unless ``writable`` is false."""
+    """A directory of the file system; it is created if it is missing, unless ``writable`` is false."""
 
     def __init__(self, path: Path, writable: bool = True) -> None:
         self.path = path
@@ -90,24 +90,26 @@
         return sorted(entry.name for entry in os.scandir(self.path) if entry.is_file(follow_symlinks=False))
 
     def read(self, name: str, offset: int = 0, length: int = -1) -> bytes:
-        """At most ``length`` bytes of a file from ``offset`` on; -1: up to its end."""
+        """Read at most ``length`` bytes of a file from ``offset``; -1: up to the end of the file."""
         fd = os.open(self.path / name, os.O_RDONLY | os.O_CLOEXEC)
-        try:  # in one call where it can be: joining pieces would hold up the other threads
+        try:  # in one call if possible: joining pieces would block the other threads
             size = max(0, os.fstat(fd).st_size - offset)
-            wanted = size if length < 0 else min(length, size)
-            data = os.pread(fd, wanted, offset)
-            while len(data) < wanted and (more := os.pread(fd, wanted - len(data), offset + len(data))):
+            wanted_bytes = size if length < 0 else min(length, size)
+            data = os.pread(fd, wanted_bytes, offset)
+            while len(data) < wanted_bytes and (
+                more := os.pread(fd, wanted_bytes - len(data), offset + len(data))
+            ):
                 data += more
             return data
         finally:
             os.close(fd)
 
     def create(self, name: str) -> Handle:
-        """A new, empty file; one of that name is replaced."""
+        """Create an empty file; an existing file of that name is replaced."""
         return FileHandle(self.path / name)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file; one of the new name is replaced at once."""
+        """Rename a file; an existing file of the new name is replaced atomically."""
         os.rename(self.path / old, self.path / new)
 
     def remove(self, name: str) -> None:
@@ -115,7 +117,7 @@
         os.remove(self.path / name)
 
     def sync_folder(self) -> None:
-        """Returns once names made, changed and removed so far outlive a loss of power."""
+        """Return once all creations, renames and removals of files so far survive a loss of power."""
         fd = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
@@ -123,7 +125,7 @@
             os.close(fd)
 
     def lock(self) -> None:
-        """Lock the file ``LOCK``. Raises ``StoreInUseError`` where another process has it."""
+        """Lock the file ``LOCK``. Raises ``StoreInUseError`` if another process has locked it."""
         fd = os.open(self.path / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -136,7 +138,7 @@
         self._lock = fd
 
     def unlock(self) -> None:
-        """Close the lock; does nothing where there is none."""
+        """Release the lock; does nothing if there is none."""
         if self._lock >= 0:
             os.close(self._lock)
             self._lock = -1
--- a/slipbay/store/errors.py
+++ b/slipbay/store/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the store. Their texts are sentences for the operator."""
+"""Errors of the store. Their texts are shown to operators."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class StoreError(SlipbayError):
-    """Base of the store's errors.
+    """Base class of the store's errors.
 
     Attributes:
         reason: what is wrong.
-        file: the file at fault; empty where it is the store as a whole.
+        file: the name of the faulty file; empty if the error concerns the whole store.
     """
 
     def __init__(self, reason: str, file: str = "") -> None:
@@ -20,18 +20,20 @@
 
 
 class DamagedStoreError(StoreError):
-    """What was on the disk for certain is no longer there or no longer sound."""
+    """Data that was durable is missing or corrupt."""
 
 
 class NewerFormatError(StoreError):
     """A file was written by a later version of this program.
 
     Attributes:
-        format_version: that of the file.
+        format_version: the format version of the file.
     """
 
-    def __init__(self, file: str, format_version: int, newest_known: int) -> None:
-        super().__init__(f"format {format_version}; this program reads formats up to {newest_known}", file)
+    def __init__(self, file: str, format_version: int, newest_supported: int) -> None:
+        super().__init__(
+            f"format {format_version}; this program reads formats up to {newest_supported}", file
+        )
         self.format_version = format_version
 
 
@@ -40,7 +42,9 @@
 
 
 class StoreWriteError(StoreError):
-    """Nothing of the commit was accepted. It may still be found after a crash, once, if its write had begun.
+    """No change of the commit was accepted.
+
+    The next opening after a crash may still find the commit if its write had begun.
 
     Attributes:
         cause: the error of the disk, if there was one.
@@ -52,19 +56,19 @@
 
 
 class StoreFullError(StoreWriteError):
-    """The most bytes that the store may have would be passed; room comes as records are deleted.
+    """The commit would exceed the maximum size of the store; deleting records frees space.
 
     Attributes:
-        used_bytes: of all segments that count.
-        most_bytes: that the store may have.
+        used_bytes: size of all segments that the manifest names.
+        max_bytes: maximum size of the store.
     """
 
-    def __init__(self, used_bytes: int, most_bytes: int) -> None:
-        super().__init__(f"the store holds {used_bytes} of at most {most_bytes} bytes")
+    def __init__(self, used_bytes: int, max_bytes: int) -> None:
+        super().__init__(f"the store holds {used_bytes} of at most {max_bytes} bytes")
         self.used_bytes = used_bytes
-        self.most_bytes = most_bytes
+        self.max_bytes = max_bytes
 
 
 def disk_error_text(problem: OSError) -> str:
-    """What the operating system says of an error, without its number."""
+    """The operating system's text of an error, without the error number."""
     return str(problem.strerror or problem)
--- a/slipbay/store/frame.py
+++ b/slipbay/store/frame.py
@@ -1,15 +1,15 @@
-"""Framing of records: bytes in, bytes out, no I/O.
+"""Encoding and decoding of segments and frames; no I/O.
 
-A segment is a head and then frames. A frame is
+A segment is a head followed by frames. A frame is
 
     crc32c u32 | length u32 | sequence u64 | key length u16 | kind u8 | key | value
 
-little-endian; the CRC (Castagnoli's polynomial, as in RFC 3720) covers all that follows it, and the length is
-that of key and value. Sequences count single changes since the store was made. There are three kinds:
-``PUT``, ``DELETE``, and ``BLOCK``, which holds frames of a compacted segment, compressed with
-zstd (RFC 8878). The first frame of each commit bears the flag ``FIRST``: a commit begins only once the one
-before it is on the disk, so a sound ``FIRST`` behind a corrupt frame proves damage, where a corrupt end alone
-proves no more than a cut in the last commit.
+in little-endian order. The CRC (Castagnoli polynomial, as in RFC 3720) covers all bytes that follow it; the
+length is that of key and value together. Sequence numbers count single changes since the store was created.
+There are three kinds: ``PUT``, ``DELETE``, and ``BLOCK``, which contains frames of a compacted segment,
+compressed with zstd (RFC 8878). The first frame of each commit has the flag ``FIRST``. A commit begins only
+after the previous one is durable. A valid ``FIRST`` frame after a corrupt frame therefore proves damage,
+whereas a corrupt end alone proves only that the last commit was interrupted.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 
 from slipbay.store.errors import DamagedStoreError, NewerFormatError
 
-FORMAT = 1  # of segments and manifest; a newer one is refused by name
+FORMAT = 1  # version of segments and manifest; a newer version raises ``NewerFormatError``
 MAGIC = b"slipseg\0"
-HEAD = Struct("<8sHQQ")  # magic, format, number of the segment, sequence before its first record
+HEAD = Struct("<8sHQQ")  # magic, format, segment number, sequence before the segment's first record
 CRC = Struct("<I")
 CRC_BYTES = CRC.size
 HEAD_BYTES = HEAD.size + CRC.size
@@ -36,12 +36,12 @@
 DELETE = 1
 BLOCK = 2
 FIRST = 0x80
-MOST_KEY_BYTES = 1024
-MOST_VALUE_BYTES = 4 * 1024 * 1024
-MOST_SEQUENCES = 2**32  # that a segment can hold
-BLOCK_BYTES = 16 * 1024  # of frames in a block, about; one frame alone may be longer
-MOST_BLOCK_BYTES = BLOCK_BYTES + FRAME_BYTES + MOST_KEY_BYTES + MOST_VALUE_BYTES
-MOST_CONTENT_BYTES = MOST_KEY_BYTES + MOST_BLOCK_BYTES  # key and value of a frame
+MAX_KEY_BYTES = 1024
+MAX_VALUE_BYTES = 4 * 1024 * 1024
+MAX_SEQUENCES = 2**32  # in one segment
+BLOCK_BYTES = 16 * 1024  # approximate size of a block's frames; a single frame may be longer
+MAX_BLOCK_BYTES = BLOCK_BYTES + FRAME_BYTES + MAX_KEY_BYTES + MAX_VALUE_BYTES
+MAX_CONTENT_BYTES = MAX_KEY_BYTES + MAX_BLOCK_BYTES  # key and value of a frame
 
 _checksum = google_crc32c.value
 _compressor = zstandard.ZstdCompressor(level=1)
@@ -49,89 +49,90 @@
 
 
 def checksum(data: bytes) -> int:
-    """CRC32C of ``data`` as an unsigned number of 32 bits."""
+    """The CRC32C of ``data`` as an unsigned 32-bit number."""
     return int(_checksum(data))
 
 
 def encode_head(number: int, base: int) -> bytes:
-    """The head of segment ``number``, whose first record has the sequence ``base + 1``."""
+    """Encode the head of segment ``number``, whose first record has the sequence ``base + 1``."""
     body = HEAD.pack(MAGIC, FORMAT, number, base)
     return body + CRC.pack(checksum(body))
 
 
 def decode_head(data: bytes, name: str) -> tuple[int, int]:
-    """Number and base of the segment in file ``name``.
+    """Decode the number and the base of the segment in file ``name``.
 
-    Raises ``DamagedStoreError`` or ``NewerFormatError`` where it has no head that this program knows.
+    Raises ``DamagedStoreError`` if the head is invalid, and ``NewerFormatError`` if its format is newer.
     """
     if len(data) < HEAD_BYTES:
-        raise DamagedStoreError("the head is cut off", name)
+        raise DamagedStoreError("the segment head is truncated", name)
     magic, version, number, base = HEAD.unpack_from(data)
     if magic != MAGIC:
-        raise DamagedStoreError("this is no segment of a store", name)
+        raise DamagedStoreError("the file is not a segment of a store", name)
     if version > FORMAT:
         raise NewerFormatError(name, version, FORMAT)
     if CRC.unpack_from(data, HEAD.size)[0] != checksum(data[: HEAD.size]):
-        raise DamagedStoreError("the head is spoilt", name)
+        raise DamagedStoreError("the segment head has a wrong checksum", name)
     return number, base
 
 
 def encode_frame(sequence: int, key: bytes, value: bytes, kind: int = PUT) -> bytes:
-    """The bytes of one frame. Raises ``ValueError`` where key or value are longer than a frame may hold."""
-    if len(key) > MOST_KEY_BYTES or len(value) > MOST_BLOCK_BYTES:
+    """Encode one frame. Raises ``ValueError`` if key or value exceeds its maximum length."""
+    if len(key) > MAX_KEY_BYTES or len(value) > MAX_BLOCK_BYTES:
         raise ValueError(
-            f"want keys of at most {MOST_KEY_BYTES} and values of at most {MOST_VALUE_BYTES} bytes"
+            f"want keys of at most {MAX_KEY_BYTES} and values of at most {MAX_VALUE_BYTES} bytes"
         )
     body = FRAME.pack(0, len(key) + len(value), sequence, len(key), kind)[CRC.size :] + key + value
     return CRC.pack(checksum(body)) + body
 
 
 class Record(NamedTuple):
-    """A change, and where its frame stands."""
+    """A change and the position of its frame."""
 
     sequence: int
     key: bytes
     value: bytes | None  # None: the key was deleted
-    offset: int  # of the frame, or of the block that holds it, in its segment
-    inner: int  # of the frame in its block; -1 where it stands alone
+    offset: int  # of the frame in its segment, or of the block that contains it
+    inner_offset: int  # of the frame in its block; -1 if it is not in a block
     length: int  # of the frame, in bytes
 
 
 @dataclass(slots=True, frozen=True)
 class Scan:
-    """What a stretch of frames holds."""
+    """The result of scanning a range of frames."""
 
     records: list[Record]
-    end: int  # where the last sound frame ends
-    last: int  # its sequence
-    fault: str  # why the next one is none; "" where the stretch ends with a whole frame
-    more: bool = False  # it stopped only because it has enough records
+    end: int  # offset of the end of the last valid frame
+    last: int  # sequence of that frame
+    fault: str  # why the next frame is invalid; empty if there is none
+    has_more: bool = False  # the scan stopped because it had enough records
 
 
-def scan(data: bytes, at: int, end: int, last: int, consecutive: bool, enough: int = 2**62) -> Scan:
-    """Read frames of ``data`` from ``at`` until ``end`` or until one is corrupt.
+def scan(data: bytes, at: int, end: int, last: int, consecutive: bool, max_records: int = 2**62) -> Scan:
+    """Read frames of ``data`` from ``at`` until ``end`` or until a frame is corrupt.
 
-    It stops once it has ``enough`` records. ``last`` is the sequence before the first. ``consecutive``: each
-    sequence follows the one before, as in a log; else they rise, as after compaction.
+    The scan stops at the first frame after which it has ``max_records`` records. ``last`` is the sequence
+    before the first frame. If ``consecutive``, each sequence is the previous one plus 1, as in a log; if not,
+    sequences only increase, as after compaction.
     """
     records: list[Record] = []
     fault = ""
-    # names of this function's own: the loop runs for every record
+    # local names, as the loop runs for every record
     unpack = FRAME.unpack_from
     add = records.append
     new = Record._make
-    while at < end and len(records) < enough:
+    while at < end and len(records) < max_records:
         if end - at < FRAME_BYTES:
-            fault = "a frame is cut off"
+            fault = "a frame is truncated"
             break
         crc, length, sequence, key_length, kind = unpack(data, at)
         key_start = at + FRAME_BYTES
         stop = key_start + length
-        if length > MOST_CONTENT_BYTES or key_length > length or stop > end:
-            fault = "a frame is cut off or its length is spoilt"
+        if length > MAX_CONTENT_BYTES or key_length > length or stop > end:
+            fault = "a frame is truncated or its length is invalid"
             break
         if _checksum(data[at + CRC_BYTES : stop]) != crc:
-            fault = "a checksum does not fit"
+            fault = "a frame has a wrong checksum"
             break
         kind &= ~FIRST
         if kind == BLOCK:
@@ -146,18 +147,18 @@
         if fault:
             break
         at = stop
-    return Scan(records, at, last, fault, more=not fault and at < end)
+    return Scan(records, at, last, fault, has_more=not fault and at < end)
 
 
 def _order_fault(sequence: int, last: int, consecutive: bool, kind: int) -> str:
-    """What is wrong with a record's sequence or kind; "" for nothing."""
+    """Describe what is wrong with a record's sequence or kind; empty if nothing is."""
     if sequence != last + 1 if consecutive else sequence <= last:
         return f"sequence {sequence} follows {last}"
-    return f"kind {kind} is not known" if kind > DELETE else ""
+    return f"frame kind {kind} is unknown" if kind > DELETE else ""
 
 
 def _add_block(records: list[Record], payload: bytes, at: int, last: int) -> tuple[int, str]:
-    """Add the records of a block; returns the last sequence, and what is wrong with the block."""
+    """Add the records of a block; returns the last sequence and what is wrong with the block, if anything."""
     try:
         for record in block_records(payload, at, last):
             records.append(record)
@@ -168,22 +169,23 @@
 
 
 def encode_block(frames: bytes) -> bytes:
-    """A ``BLOCK`` frame that holds frames, compressed."""
+    """Encode frames as a compressed ``BLOCK`` frame."""
     return encode_frame(0, b"", _compressor.compress(frames), BLOCK)
 
 
 def decompress_block(payload: bytes) -> bytes:
-    """The frames in the payload of a block. Raises ``DamagedStoreError``."""
+    """Decompress the frames in a block's payload. Raises ``DamagedStoreError``."""
     try:
-        return _decompressor.decompress(payload, max_output_size=MOST_BLOCK_BYTES)
+        return _decompressor.decompress(payload, max_output_size=MAX_BLOCK_BYTES)
     except zstandard.ZstdError as problem:
-        raise DamagedStoreError(f"a block cannot be opened: {problem}") from None
+        raise DamagedStoreError(f"a block cannot be decompressed: {problem}") from None
 
 
 def block_records(payload: bytes, offset: int, last: int) -> Iterator[Record]:
-    """The records of a block at ``offset``. The block's own checksum covers them, so theirs are not checked.
+    """The records of the block at ``offset``.
 
-    Raises ``DamagedStoreError``.
+    The checksum of the block covers its records, so their own checksums are not checked. Raises
+    ``DamagedStoreError``.
     """
     frames = decompress_block(payload)
     at = 0
@@ -194,7 +196,7 @@
             start = at + FRAME_BYTES
             stop = at + FRAME_BYTES + length
             if stop > end or sequence <= last:
-                raise DamagedStoreError("a block holds what no compaction writes")
+                raise DamagedStoreError("a block holds invalid frames")
             key_end = start + key_length
             yield Record(
                 sequence,
@@ -207,19 +209,19 @@
             last = sequence
             at = stop
     except error:
-        raise DamagedStoreError("a block holds what no compaction writes") from None
+        raise DamagedStoreError("a block holds invalid frames") from None
 
 
 def value_of(frame: bytes) -> bytes:
-    """The value in the bytes of one frame."""
+    """Extract the value from the bytes of one frame."""
     key_length: int = FRAME.unpack_from(frame)[3]
     return frame[FRAME_BYTES + key_length :]
 
 
-def later_commit(data: bytes, at: int, end: int, last: int) -> int:
-    """Where a sound first frame of a commit stands behind the corrupt frame at ``at``; -1 for nowhere.
+def find_later_commit(data: bytes, at: int, end: int, last: int) -> int:
+    """Offset of a valid first frame of a commit after the corrupt frame at ``at``; -1 if there is none.
 
-    Such a frame proves that what stands before it was on the disk, so that the corrupt one is damage.
+    Such a frame proves that all data before it was durable, so the corrupt frame is damage.
     """
     for offset in range(at + 1, end - FRAME_BYTES + 1):
         crc, length, sequence, key_length, kind = FRAME.unpack_from(data, offset)
@@ -228,7 +230,7 @@
             kind & FIRST
             and stop <= end
             and key_length <= length
-            and last < sequence < last + MOST_SEQUENCES
+            and last < sequence < last + MAX_SEQUENCES
             and _checksum(data[offset + CRC_BYTES : stop]) == crc
         ):
             return offset
--- a/slipbay/store/manifest.py
+++ b/slipbay/store/manifest.py
@@ -1,6 +1,7 @@
-"""The manifest: which segments a store has, in order, and up to where each counts. No I/O.
+"""The manifest: lists the segments of a store in order, with the number of valid bytes in each. No I/O.
 
-It is one file, written anew and switched by a rename, so that a crash leaves the old one or the new one.
+It is a single file. A new manifest is written to a temporary file, which is then renamed, so that a crash
+leaves either the old or the new manifest.
 """
 
 from __future__ import annotations
@@ -14,10 +15,10 @@
 from slipbay.store.frame import FORMAT, checksum
 
 NAME = "MANIFEST"
-UNFINISHED_NAME = "MANIFEST.new"  # until it is renamed
-NUMBER_DIGITS = 8  # of a segment, in the name of its file
+UNFINISHED_NAME = "MANIFEST.new"  # name of a new manifest until it is renamed
+NUMBER_DIGITS = 8  # of a segment's number in its file name
 MAGIC = b"slipman\0"
-HEAD = Struct("<8sHII")  # magic, format, length of what follows, its CRC32C
+HEAD = Struct("<8sHII")  # magic, format, length of the body, CRC32C of the body
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,35 +26,36 @@
     """A segment of the store."""
 
     number: int
-    base: int  # the sequence before its first record
-    end: int = 0  # bytes that count; 0 while it is written to
-    last: int = 0  # the last sequence that counts
-    raw: int = 0  # bytes of its frames, before compression
-    compacted: bool = False  # holds blocks, not a log
+    base: int  # sequence before the first record
+    end: int = 0  # number of valid bytes; 0 for the active segment
+    last: int = 0  # last valid sequence
+    raw: int = 0  # bytes of the frames before compression
+    compacted: bool = False  # contains blocks instead of a log
 
     @property
     def name(self) -> str:
-        """Of its file."""
+        """The name of the segment's file."""
         return segment_name(self.number)
 
 
 @dataclass(slots=True, frozen=True)
 class Manifest:
-    """All that must be known to open a store. The last segment is the one that is written to."""
+    """The information needed to open a store. The last segment is active: commits are appended to it."""
 
-    generation: int = 0  # counts switches
-    next_number: int = 1  # for the next segment; numbers are never used again
+    generation: int = 0  # number of manifest switches so far
+    next_number: int = 1  # of the next segment; numbers are never reused
     segments: tuple[Segment, ...] = ()
 
     @property
     def active(self) -> Segment:
-        """The segment that is written to."""
+        """The segment that commits are appended to."""
         return self.segments[-1]
 
-    def begun(self, number: int, sequence: int, end: int) -> Manifest:
-        """The manifest with a new active segment; the old one counts up to ``end`` bytes and ``sequence``.
+    def with_new_segment(self, number: int, sequence: int, end: int) -> Manifest:
+        """The manifest with a new active segment.
 
-        One that holds no record is left out.
+        The previous active segment is sealed with ``end`` valid bytes and the last sequence ``sequence``, or
+        dropped if it holds no record.
         """
         sealed = self.segments
         if sealed:
@@ -62,20 +64,19 @@
             sealed = sealed[:-1]
         return Manifest(self.generation + 1, number + 1, (*sealed, Segment(number, sequence)))
 
-    def merged(self, count: int, into: Segment | None) -> Manifest:
-        """The manifest with the first ``count`` segments replaced by one, or by none where no record is
-        left."""
+    def with_merged(self, count: int, into: Segment | None) -> Manifest:
+        """The manifest with the first ``count`` segments replaced by ``into``; None: by no segment."""
         first = () if into is None else (into,)
         return Manifest(self.generation + 1, self.next_number, (*first, *self.segments[count:]))
 
 
 def segment_name(number: int) -> str:
-    """The file of a segment."""
+    """The file name of a segment."""
     return f"{number:0{NUMBER_DIGITS}d}.seg"
 
 
 def is_store_file(name: str) -> bool:
-    """Whether a file's name is one that stores give to segments and unfinished manifests."""
+    """Whether a file name is that of a segment or of an unfinished manifest."""
     stem, dot, ending = name.partition(".")
     return name == UNFINISHED_NAME or (
         dot == "." and ending == "seg" and len(stem) == NUMBER_DIGITS and stem.isdigit()
@@ -83,7 +84,7 @@
 
 
 def encode(manifest: Manifest) -> bytes:
-    """The bytes of the file."""
+    """Encode a manifest as the contents of its file."""
     body: bytes = msgpack.packb(
         [
             manifest.generation,
@@ -98,18 +99,18 @@
 
 
 def decode(data: bytes) -> Manifest:
-    """The manifest in the bytes of its file.
+    """Decode the contents of a manifest file.
 
-    Raises ``DamagedStoreError`` or ``NewerFormatError`` where it is none that this program knows.
+    Raises ``DamagedStoreError`` if they are invalid, and ``NewerFormatError`` if their format is newer.
     """
     if len(data) < HEAD.size or data[: len(MAGIC)] != MAGIC:
-        raise DamagedStoreError("this is no manifest of a store", NAME)
+        raise DamagedStoreError("the file is not a manifest of a store", NAME)
     _, version, length, crc = HEAD.unpack_from(data)
     if version > FORMAT:
         raise NewerFormatError(NAME, version, FORMAT)
     body = data[HEAD.size :]
     if len(body) != length or checksum(body) != crc:
-        raise DamagedStoreError("it is cut off or spoilt", NAME)
+        raise DamagedStoreError("the file is truncated or corrupt", NAME)
     try:
         generation, next_number, segments = msgpack.unpackb(body)
         found = Manifest(
@@ -123,5 +124,5 @@
     except (ValueError, TypeError) as problem:
         raise DamagedStoreError(str(problem), NAME) from None
     if not found.segments:
-        raise DamagedStoreError("it names no segment", NAME)
+        raise DamagedStoreError("the manifest names no segment", NAME)
     return found
--- a/slipbay/store/marker.py
+++ b/slipbay/store/marker.py
@@ -1,11 +1,12 @@
-"""A file outside of the store's folder, best on another disk, that holds the store's id, generation and last
-sequence, so that a store that was lost, cut or restored from a copy is found out.
+"""The marker: a file outside of the store's directory that holds the id, generation and last sequence.
 
-Two slots are written in turn and synced, so that a cut leaves the one before. A slot is
+It allows the router to detect a store that was lost, truncated or restored from a copy, and is best placed on
+another disk. The file has two slots, which are written alternately and synced, so that an interrupted write
+leaves the previous slot intact. A slot is
 
-    magic 8s | turn u64 | id 16s | generation u64 | sequence u64 | crc32c u32
+    magic 8s | write count u64 | id 16s | generation u64 | sequence u64 | crc32c u32
 
-little-endian; the sound one with the higher turn counts.
+in little-endian order. The valid slot with the higher write count is the current one.
 """
 
 from __future__ import annotations
@@ -21,21 +22,21 @@
 MAGIC = b"slipmrk\0"
 SLOT = Struct("<8sQ16sQQ")
 CRC = Struct("<I")
-SLOT_BYTES = 512  # a sector each
+SLOT_BYTES = 512  # one disk sector
 
 
 class Marker:
-    """Reads and writes the file. Its methods raise ``OSError`` where the disk does."""
+    """Reads and writes the marker file. Methods raise ``OSError`` if the disk fails."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self._turn = 0
+        self._write_count = 0
         self._fd = -1
 
     def read(self) -> StoreWitness | None:
-        """What was written last; ``None`` where there is no file.
+        """Read what was last written; ``None`` if the file does not exist.
 
-        Raises ``DamagedStoreError`` where neither slot is sound.
+        Raises ``DamagedStoreError`` if neither slot is valid.
         """
         try:
             data = self.path.read_bytes()
@@ -47,29 +48,29 @@
             crc = data[at + SLOT.size : at + SLOT.size + CRC.size]
             if len(crc) < CRC.size or CRC.unpack(crc)[0] != checksum(slot):
                 continue
-            magic, turn, store, generation, sequence = SLOT.unpack(slot)
-            if magic == MAGIC and turn > self._turn:
-                self._turn = turn
-                found = StoreWitness(store, generation, sequence)
+            magic, write_count, store_id, generation, sequence = SLOT.unpack(slot)
+            if magic == MAGIC and write_count > self._write_count:
+                self._write_count = write_count
+                found = StoreWitness(store_id, generation, sequence)
         if found is None:
-            raise DamagedStoreError("it holds no sound word of a store", self.path.name)
+            raise DamagedStoreError("the marker has no valid slot", self.path.name)
         return found
 
     def write(self, witness: StoreWitness) -> None:
-        """Write the slot that is older; returns once it is durable."""
+        """Overwrite the older slot; returns once the write is durable."""
         if witness.sequence is None:
-            raise ValueError("a marker names the last sequence of its store")
+            raise ValueError("a marker needs the last sequence of its store")
         if self._fd < 0:
             self._open()
-        self._turn += 1
-        slot = SLOT.pack(MAGIC, self._turn, witness.store_id, witness.generation, witness.sequence)
+        self._write_count += 1
+        slot = SLOT.pack(MAGIC, self._write_count, witness.store_id, witness.generation, witness.sequence)
         data = slot + CRC.pack(checksum(slot))
-        if os.pwrite(self._fd, data, self._turn % 2 * SLOT_BYTES) != len(data):
-            raise OSError("the marker was written in part")
+        if os.pwrite(self._fd, data, self._write_count % 2 * SLOT_BYTES) != len(data):
+            raise OSError("the marker was written only partly")
         os.fdatasync(self._fd)
 
     def _open(self) -> None:
-        """Open or make the file, and sync its name."""
+        """Open or create the file, and sync its directory entry."""
         self._fd = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, 0o600)
         folder = os.open(self.path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
--- a/slipbay/store/plan.py
+++ b/slipbay/store/plan.py
@@ -1,21 +1,21 @@
-"""What to compact and when, and how much may still be written. Pure functions, no I/O."""
+"""Decides which segments to compact and how much may still be written. Pure functions, no I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-DEAD_SHARE = 0.5  # of sealed bytes, from which on merging pays: it then writes no more than it frees
-MOST_SEALED = 64  # segments, from which on they are merged whatever they hold: each costs time at the start
-FEW = 24  # records in a step of compaction; measured: more than that shows in the p99 of commits beside it
-HALF_FULL = 0.5  # share of the most bytes from which on steps are longer
-THREE_QUARTERS_FULL = 0.75  # and from which on they are longest
-RESERVE_SHARE = 0.125  # of the most bytes, kept for ends and deletions, which make room in time
+MIN_DEAD_SHARE = 0.5  # of sealed bytes; from this share on, a merge writes no more bytes than it frees
+MAX_SEALED = 64  # segments; if there are more, all are merged, because each one slows down the start
+RECORDS_PER_STEP = 24  # in a compaction step; more would raise the p99 latency of concurrent commits
+HALF_FULL = 0.5  # share of the store's maximum size from which on steps are longer
+THREE_QUARTERS_FULL = 0.75  # share from which on steps are longest
+RESERVE_SHARE = 0.125  # of the maximum size, reserved for ends and deletions of records, which free space
 
 
 @dataclass(slots=True, frozen=True)
-class Sizes:
-    """A sealed segment: bytes of its frames before compression, and how many belong to live records."""
+class SegmentSizes:
+    """A sealed segment: bytes of its frames before compression, in total and of live records."""
 
     total: int
     live: int
@@ -26,14 +26,15 @@
     """Limits of a store, from its configuration."""
 
     segment_bytes: int = 8 * 1024 * 1024
-    most_bytes: int = 512 * 1024 * 1024
+    max_bytes: int = 512 * 1024 * 1024
 
 
-def merge(sealed: Sequence[Sizes], used: int, bounds: Bounds) -> int:
-    """How many of the oldest sealed segments to merge into one; 0 for none. ``used``: bytes on the disk.
+def choose_merge_count(sealed: Sequence[SegmentSizes], used_bytes: int, bounds: Bounds) -> int:
+    """How many of the oldest sealed segments to merge into one; 0 for none.
 
-    Merging always begins with the oldest: a deletion may be dropped only once no older record is left that it
-    takes back. The stretch chosen is the one with the largest share of dead bytes, the longer of equal ones.
+    A merge always starts with the oldest segment, because a deletion may be dropped only if no older record
+    of its key remains. The function chooses the number of segments with the largest share of dead bytes, and
+    the larger number if shares are equal.
     """
     if not sealed:
         return 0
@@ -48,20 +49,20 @@
         if share >= best_share:
             best = count
             best_share = share
-    tight = used > bounds.most_bytes * (1 - 2 * RESERVE_SHARE)
-    if best_share >= DEAD_SHARE or (tight and best_share > RESERVE_SHARE):
+    is_nearly_full = used_bytes > bounds.max_bytes * (1 - 2 * RESERVE_SHARE)
+    if best_share >= MIN_DEAD_SHARE or (is_nearly_full and best_share > RESERVE_SHARE):
         return best
-    return len(sealed) if len(sealed) > MOST_SEALED else 0
+    return len(sealed) if len(sealed) > MAX_SEALED else 0
 
 
-def copies(used: int, bounds: Bounds) -> int:
-    """Records that a step of compaction looks at: few, as commits wait for it, but more as room runs out."""
-    filled = used / bounds.most_bytes
-    if filled < HALF_FULL:
-        return FEW
-    return 4 * FEW if filled < THREE_QUARTERS_FULL else 16 * FEW
+def records_per_step(used_bytes: int, bounds: Bounds) -> int:
+    """Records per compaction step: few, because commits wait for a step, but more as space runs out."""
+    used_share = used_bytes / bounds.max_bytes
+    if used_share < HALF_FULL:
+        return RECORDS_PER_STEP
+    return 4 * RECORDS_PER_STEP if used_share < THREE_QUARTERS_FULL else 16 * RECORDS_PER_STEP
 
 
-def room(used: int, more: int, use_reserve: bool, bounds: Bounds) -> bool:
-    """Whether ``more`` bytes may be written where ``used`` are; new work leaves a reserve."""
-    return used + more <= bounds.most_bytes * (1 if use_reserve else 1 - RESERVE_SHARE)
+def has_room(used_bytes: int, added_bytes: int, use_reserve: bool, bounds: Bounds) -> bool:
+    """Whether ``added_bytes`` may be written; only with ``use_reserve`` may they use the reserved space."""
+    return used_bytes + added_bytes <= bounds.max_bytes * (1 if use_reserve else 1 - RESERVE_SHARE)
--- a/slipbay/store/reader.py
+++ b/slipbay/store/reader.py
@@ -1,4 +1,4 @@
-"""Reads records of a store from its segments."""
+"""Reads the records of a store from its segments."""
 
 from __future__ import annotations
 
@@ -9,66 +9,66 @@
 from slipbay.store.disk import Disk
 from slipbay.store.errors import DamagedStoreError
 from slipbay.store.frame import Record
-from slipbay.store.index import Index, place_of, unpack_place
+from slipbay.store.index import Index, location_of, unpack_location
 from slipbay.store.manifest import Segment, segment_name
 
 LiveFrame: TypeAlias = tuple[bytes, int, bytes]
-"""A live record: its key, its place in the index, its frame as it was written. A plain tuple, as one is
-made for each
-record that compaction copies."""
+"""A live record: its key, its location in the index, its frame as written. A plain tuple, because one is
+created for each record that compaction copies."""
 
 
 class FrameReader:
-    """Reads frames; the last stretch and the last block read are kept, as neighbours follow each other."""
+    """Reads frames; caches the last log bytes and the last block read, as adjacent frames are often next."""
 
     def __init__(self, disk: Disk) -> None:
         self._disk = disk
-        # bytes of a log, and their segment and offset
-        self._stretch = b""
-        self._stretch_at = (-1, -1)
-        # the frames of a block, and where it stands
-        self._frames = b""
-        self._block_at = (-1, -1)
+        # cached bytes of a log, and their segment and offset
+        self._log_bytes = b""
+        self._log_position = (-1, -1)
+        # cached frames of a block, and its segment and offset
+        self._block_frames = b""
+        self._block_position = (-1, -1)
 
-    def frame(self, place: int) -> bytes:
-        """The frame at a place of the index. Raises ``DamagedStoreError`` where it is not sound."""
-        segment, offset, inner, length = unpack_place(place)
-        if inner < 0:
+    def frame(self, location: int) -> bytes:
+        """Read the frame at a location of the index. Raises ``DamagedStoreError`` if it is corrupt."""
+        segment, offset, inner_offset, length = unpack_location(location)
+        if inner_offset < 0:
             return self._from_log(segment, offset, length)
-        if self._block_at != (segment, offset):
-            self._frames = self._block(segment, offset)
-            self._block_at = (segment, offset)
-        return self._frames[inner : inner + length]
+        if self._block_position != (segment, offset):
+            self._block_frames = self._block(segment, offset)
+            self._block_position = (segment, offset)
+        return self._block_frames[inner_offset : inner_offset + length]
 
     def _from_log(self, segment: int, offset: int, length: int) -> bytes:
-        start = offset - self._stretch_at[1]
-        if self._stretch_at[0] != segment or start < 0 or start + length > len(self._stretch):
-            self._stretch = self._disk.read(segment_name(segment), offset, max(length, frame.BLOCK_BYTES))
-            self._stretch_at = (segment, offset)
+        start = offset - self._log_position[1]
+        if self._log_position[0] != segment or start < 0 or start + length > len(self._log_bytes):
+            self._log_bytes = self._disk.read(segment_name(segment), offset, max(length, frame.BLOCK_BYTES))
+            self._log_position = (segment, offset)
             start = 0
-        found = self._stretch[start : start + length]
+        found = self._log_bytes[start : start + length]
         if len(found) < length or frame.checksum(found[frame.CRC_BYTES :]) != frame.CRC.unpack_from(found)[0]:
-            raise DamagedStoreError(f"the frame at byte {offset} is spoilt", segment_name(segment))
+            raise DamagedStoreError(f"the frame at byte {offset} is corrupt", segment_name(segment))
         return found
 
     def _block(self, segment: int, offset: int) -> bytes:
         name = segment_name(segment)
         head = self._disk.read(name, offset, frame.FRAME_BYTES)
         if len(head) < frame.FRAME_BYTES:
-            raise DamagedStoreError(f"the block at byte {offset} is cut off", name)
+            raise DamagedStoreError(f"the block at byte {offset} is truncated", name)
         crc, size, *_ = frame.FRAME.unpack(head)
-        payload = self._disk.read(name, offset + frame.FRAME_BYTES, min(size, frame.MOST_BLOCK_BYTES))
+        payload = self._disk.read(name, offset + frame.FRAME_BYTES, min(size, frame.MAX_BLOCK_BYTES))
         if frame.checksum(head[frame.CRC_BYTES :] + payload) != crc:
-            raise DamagedStoreError(f"the block at byte {offset} is spoilt", name)
+            raise DamagedStoreError(f"the block at byte {offset} is corrupt", name)
         return frame.decompress_block(payload)
 
 
 def live_frames(
-    disk: Disk, index: Index, segments: tuple[Segment, ...], at_once: int
+    disk: Disk, index: Index, segments: tuple[Segment, ...], batch_size: int
 ) -> Iterator[list[LiveFrame]]:
-    """The live records of segments, in order; each list is of a stretch of ``at_once`` records or some more.
+    """Read the live records of segments in order.
 
-    Raises ``DamagedStoreError`` and ``OSError``.
+    Each list holds the live records among at least ``batch_size`` consecutive records. Raises
+    ``DamagedStoreError`` and ``OSError``.
     """
     for segment in segments:
         last = segment.base
@@ -76,7 +76,7 @@
         data = disk.read(segment.name, 0, segment.end)
         at = frame.HEAD_BYTES
         while at < segment.end:
-            scan = frame.scan(data, at, segment.end, last, not segment.compacted, at_once)
+            scan = frame.scan(data, at, segment.end, last, not segment.compacted, batch_size)
             if scan.fault:
                 raise DamagedStoreError(f"byte {scan.end}: {scan.fault}", segment.name)
             at = scan.end
@@ -87,13 +87,15 @@
 def _live_of(
     index: Index, segment: int, records: list[Record], data: bytes, reader: FrameReader
 ) -> list[LiveFrame]:
-    """The live ones of records of a segment, whose bytes are ``data``."""
+    """Select the live records of a segment; ``data`` are the segment's bytes."""
     find = index.find
     found = []
     for record in records:
-        place = place_of(segment, record)
-        if find(record.key) == place:
-            alone = record.inner < 0
-            whole = data[record.offset : record.offset + record.length] if alone else reader.frame(place)
-            found.append((record.key, place, whole))
+        location = location_of(segment, record)
+        if find(record.key) == location:
+            is_in_log = record.inner_offset < 0
+            frame_bytes = (
+                data[record.offset : record.offset + record.length] if is_in_log else reader.frame(location)
+            )
+            found.append((record.key, location, frame_bytes))
     return found
--- a/slipbay/store/segment_log.py
+++ b/slipbay/store/segment_log.py
@@ -1,12 +1,12 @@
-"""The segments of a store, the manifest that names them, and the one that is written to.
+"""Manages the segments of a store, the manifest that names them, and the active segment.
 
-The order of the calls on the disk is what the properties P1 to P7 (docs/store.md) rest on:
+The properties P1 to P7 (docs/store.md) depend on the order of the calls on the disk:
 
-- a segment is named by a manifest only once its head, and its name in the folder, are synced;
-- a manifest is written aside, synced, renamed, and the folder synced; only then are files removed that it no
-  longer names;
-- nothing on the disk is changed in place: a torn end is cut off by the next manifest, which says up to where
-  a segment counts.
+- A manifest names a segment only after the segment's head and its directory entry are synced.
+- A new manifest is written to a temporary file, synced and renamed, and the directory is synced. Only then
+  are the files removed that the new manifest does not name.
+- No file is changed in place: a torn end is cut off by the next manifest, which states the number of valid
+  bytes of the segment.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 
 
 class SegmentLog:
-    """Appends to the active segment, begins new ones, and switches manifests. Errors are ``OSError``."""
+    """Appends to the active segment, begins new segments and switches manifests. Raises ``OSError``."""
 
     def __init__(self, disk: Disk) -> None:
         self._disk = disk
         self._next_number = 1
         self._handle: Handle | None = None
         self.manifest = Manifest()
-        self.size = 0  # bytes of the active segment that count
+        self.size = 0  # number of valid bytes in the active segment
 
     def load(self, found: Manifest, size: int) -> None:
-        """Go on from a manifest that was read, whose active segment counts up to ``size`` bytes."""
+        """Continue from a manifest that was read; its active segment has ``size`` valid bytes."""
         self.manifest = found
         self.size = size
         self._next_number = found.next_number
@@ -44,16 +44,16 @@
 
     @property
     def readable(self) -> tuple[Segment, ...]:
-        """All segments, the active one up to where it counts."""
+        """All segments with their valid bytes, including the active one."""
         return (*self.sealed, replace(self.manifest.active, end=self.size))
 
     @property
     def used_bytes(self) -> int:
-        """Of all segments that count."""
+        """Valid bytes of all segments."""
         return sum(segment.end for segment in self.sealed) + self.size
 
     def take_number(self) -> int:
-        """The number of a new segment; numbers are never used again."""
+        """Allocate the number of a new segment; numbers are never reused."""
         number = self._next_number
         self._next_number += 1
         return number
@@ -71,7 +71,7 @@
     def begin_segment(self, sequence: int) -> list[Segment]:
         """Seal the active segment, whose last record has ``sequence``, and begin a new one.
 
-        Returns the segments that were dropped, as they held no record.
+        Returns the segments that were dropped because they held no record.
         """
         self.close()
         number = self.take_number()
@@ -80,7 +80,7 @@
         self._handle.sync()
         self._disk.sync_folder()
         old = self.manifest
-        self.switch(old.begun(number, sequence, self.size))
+        self.switch(old.with_new_segment(number, sequence, self.size))
         self.size = frame.HEAD_BYTES
         kept = {segment.number for segment in self.manifest.segments}
         dropped = [segment for segment in old.segments if segment.number not in kept]
@@ -88,7 +88,7 @@
         return dropped
 
     def switch(self, new: Manifest) -> None:
-        """Make a manifest the one that counts."""
+        """Replace the current manifest durably."""
         new = replace(new, next_number=self._next_number)
         handle = self._disk.create(manifest.UNFINISHED_NAME)
         try:
@@ -101,13 +101,13 @@
         self.manifest = new
 
     def remove(self, names: Iterable[str]) -> None:
-        """Remove files that count no more; one that stays is removed by a later opening."""
+        """Remove files that are no longer used; the next opening removes those that could not be removed."""
         for name in names:
             with suppress(OSError):
                 self._disk.remove(name)
 
     def remove_orphans(self) -> None:
-        """Remove files of the store that the manifest does not name."""
+        """Remove the files of the store that the manifest does not name."""
         kept = {manifest.NAME, *(segment.name for segment in self.manifest.segments)}
         self.remove(name for name in self._disk.names() if manifest.is_store_file(name) and name not in kept)
 
--- a/slipbay/store/totals.py
+++ b/slipbay/store/totals.py
@@ -1,4 +1,4 @@
-"""Counts of what a store has done."""
+"""Counters of a store's operations."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 @dataclass(slots=True)
 class Totals:
-    """Counts since the store was opened."""
+    """Counters since the store was opened."""
 
     commits: int = 0
     changes: int = 0
-    bytes_appended: int = 0  # frames of changes
-    bytes_copied: int = 0  # by compaction, as written
+    bytes_appended: int = 0  # by commits
+    bytes_copied: int = 0  # by compaction, after compression
     compactions: int = 0
     failures: int = 0
--- a/tests/kill_sweep.py
+++ b/tests/kill_sweep.py
@@ -151,7 +151,7 @@
         if await self.router.end() != 0:
             self.result.faults.append("the router did not end with 0")
         found = survey(Folder(self._folder / "data"))
-        if found.code:
+        if found.exit_code:
             self.result.faults.append(f"the store is not sound: {found.problem}")
         self.http.server.close()
         self.mysql.server.close()
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -339,7 +339,7 @@
         assert "result" in await client.answer()
         assert engine.loads() == 1
         assert await router.end() == 0
-        assert survey(Folder(tmp_path / "data")).code == 0
+        assert survey(Folder(tmp_path / "data")).exit_code == 0
         engine.server.close()
 
     run(test)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -34,7 +34,7 @@
 from slipbay.store.inspect import survey
 from slipbay.store.writer import Writer
 
-SMALL = plan.Bounds(segment_bytes=400, most_bytes=100_000)
+SMALL = plan.Bounds(segment_bytes=400, max_bytes=100_000)
 Model = dict[bytes, bytes]
 
 
@@ -220,7 +220,7 @@
 
 
 def test_it_never_passes_the_most_bytes_and_deletions_make_room() -> None:
-    bounds = plan.Bounds(segment_bytes=1000, most_bytes=8000)
+    bounds = plan.Bounds(segment_bytes=1000, max_bytes=8000)
     disk = SimDisk()
     store = Store.open(disk, bounds)
     random = Random(1)
@@ -255,7 +255,7 @@
         if at < len(whole) - last:
             with pytest.raises(DamagedStoreError, match=f"{name}: byte"):
                 Store.open(SimDisk(files))
-            assert survey(SimDisk(files)).code == 2
+            assert survey(SimDisk(files)).exit_code == 2
         else:  # in the last commit it can't be told from a torn end
             assert len(Store.open(SimDisk(files))) == 19
 
@@ -269,16 +269,18 @@
         now = {name: data for name, data in {**files, **changed}.items() if data is not None}
         Store.open(SimDisk(now), SMALL)
 
-    with pytest.raises(DamagedStoreError, match=f"{sealed}: the manifest names it, and it is missing"):
+    with pytest.raises(
+        DamagedStoreError, match=f"{sealed}: the segment is missing, but the manifest names it"
+    ):
         opened(**{sealed: None})
-    with pytest.raises(DamagedStoreError, match=f"{sealed}: .* bytes were on the disk"):
+    with pytest.raises(DamagedStoreError, match=f"{sealed}: .* bytes were durable"):
         opened(**{sealed: files[sealed][:-1]})
     middle = len(files[sealed]) // 2
     with pytest.raises(DamagedStoreError, match=sealed):
         opened(**{sealed: files[sealed][:middle] + b"\xff\xff" + files[sealed][middle + 2 :]})
-    with pytest.raises(DamagedStoreError, match="MANIFEST: it is missing"):
+    with pytest.raises(DamagedStoreError, match="MANIFEST: the manifest is missing"):
         opened(MANIFEST=None)
-    with pytest.raises(DamagedStoreError, match="MANIFEST: this is no manifest"):
+    with pytest.raises(DamagedStoreError, match="MANIFEST: the file is not a manifest"):
         opened(MANIFEST=b"x")
     newer = manifest.HEAD.pack(manifest.MAGIC, frame.FORMAT + 1, 0, 0)
     with pytest.raises(NewerFormatError, match="MANIFEST: format 2; this program reads formats up to 1"):
@@ -286,7 +288,7 @@
     head = frame.HEAD.pack(frame.MAGIC, frame.FORMAT + 1, 1, 0)
     with pytest.raises(NewerFormatError, match=f"{sealed}: format 2"):
         opened(**{sealed: head + files[sealed][len(head) :]})
-    with pytest.raises(DamagedStoreError, match="head is that of another"):
+    with pytest.raises(DamagedStoreError, match="has the head of another"):
         opened(**{sealed: files[history.store.segments[-1].name] + b"x" * 1000})
 
 
@@ -356,30 +358,36 @@
 
 def test_compaction_plans_merge_from_the_oldest_where_that_frees_enough() -> None:
     bounds = plan.Bounds(1000, 10_000)
-    sizes = plan.Sizes
-    assert plan.merge([], 0, bounds) == 0
-    assert plan.merge([sizes(1000, 900)] * 3, 3000, bounds) == 0
-    assert plan.merge([sizes(1000, 100), sizes(1000, 900)], 2000, bounds) == 1
-    assert plan.merge([sizes(1000, 0), sizes(1000, 0), sizes(1000, 900)], 3000, bounds) == 2
-    assert plan.merge([sizes(1000, 800)] * 8, 8000, bounds) == 8  # little room is left
-    assert plan.merge([sizes(1000, 900)] * 8, 8000, bounds) == 0  # and nothing to win
-    assert plan.merge([sizes(10, 10)] * (plan.MOST_SEALED + 1), 650, bounds) == plan.MOST_SEALED + 1
-    assert [plan.copies(used, bounds) // plan.FEW for used in (4999, 5000, 7500)] == [1, 4, 16]
-    assert plan.room(8700, 50, False, bounds)
-    assert not plan.room(8700, 51, False, bounds)
-    assert plan.room(9999, 1, True, bounds)
-    assert not plan.room(10_000, 1, True, bounds)
+    sizes = plan.SegmentSizes
+    assert plan.choose_merge_count([], 0, bounds) == 0
+    assert plan.choose_merge_count([sizes(1000, 900)] * 3, 3000, bounds) == 0
+    assert plan.choose_merge_count([sizes(1000, 100), sizes(1000, 900)], 2000, bounds) == 1
+    assert plan.choose_merge_count([sizes(1000, 0), sizes(1000, 0), sizes(1000, 900)], 3000, bounds) == 2
+    assert plan.choose_merge_count([sizes(1000, 800)] * 8, 8000, bounds) == 8  # little room is left
+    assert plan.choose_merge_count([sizes(1000, 900)] * 8, 8000, bounds) == 0  # and nothing to win
+    assert (
+        plan.choose_merge_count([sizes(10, 10)] * (plan.MAX_SEALED + 1), 650, bounds) == plan.MAX_SEALED + 1
+    )
+    assert [plan.records_per_step(used, bounds) // plan.RECORDS_PER_STEP for used in (4999, 5000, 7500)] == [
+        1,
+        4,
+        16,
+    ]
+    assert plan.has_room(8700, 50, False, bounds)
+    assert not plan.has_room(8700, 51, False, bounds)
+    assert plan.has_room(9999, 1, True, bounds)
+    assert not plan.has_room(10_000, 1, True, bounds)
 
 
 def test_a_survey_tells_torn_ends_from_damage_and_writes_nothing() -> None:
     history = scripted()
     files = {name: bytes(file.data) for name, file in history.disk.files.items()}
     active = history.store.segments[-1].name
-    assert survey(SimDisk(files)).code == 0
+    assert survey(SimDisk(files)).exit_code == 0
     assert survey(SimDisk(files)).records == history.states[-1]
     disk = SimDisk({**files, active: files[active][:-1], "x": b"", "00000077.seg": b""})
     found = survey(disk)
-    assert (found.code, found.orphans, found.foreign) == (1, ["00000077.seg"], ["x"])
+    assert (found.exit_code, found.orphans, found.foreign) == (1, ["00000077.seg"], ["x"])
     assert found.torn_bytes
     assert not disk.ops
     assert survey(SimDisk({})).problem == "MANIFEST: it is missing; this folder holds no store"
@@ -455,7 +463,7 @@
     async def test() -> None:
         disk = SimDisk()
         loop = asyncio.get_running_loop()
-        writer = await opened(disk, Grouping(retry_us=1000))
+        writer = await opened(disk, Grouping(retry_delay_us=1000))
 
         async def append(key: bytes) -> StoreError | None:
             answer: asyncio.Future[StoreError | None] = loop.create_future()
