--- a/slipbay/cli/store.py
+++ b/slipbay/cli/store.py
@@ -65,8 +65,8 @@
     click.echo(f"state      {found.problem or ('torn end' if found.torn_bytes else 'sound')}")
     click.echo(f"segments   {len(found.segments)}, {sum(size for _, size in sizes)} bytes")
     for segment, size in sizes:
-        kind = "compacted" if segment.compacted else "log" if segment.end else "log, written to"
-        click.echo(f"  {segment.name}  {size:>12} bytes  after change {segment.base}  {kind}")
+        kind = "compacted" if segment.compacted else "log" if segment.valid_bytes else "log, written to"
+        click.echo(f"  {segment.name}  {size:>12} bytes  after change {segment.base_sequence}  {kind}")
     _show_generation(found)
     click.echo(f"changes    {found.sequence}")
     click.echo(f"records    {len(found.records)}")
--- a/slipbay/store/compaction.py
+++ b/slipbay/store/compaction.py
@@ -60,9 +60,11 @@
             self._disk.sync_folder()
         finally:
             handle.close()
-        base = self._merged[0].base
-        last = self._merged[-1].last
-        into = Segment(self._number, base, self._end, last, self._uncompressed_bytes, compacted=True)
+        base_sequence = self._merged[0].base_sequence
+        last_sequence = self._merged[-1].last_sequence
+        into = Segment(
+            self._number, base_sequence, self._end, last_sequence, self._uncompressed_bytes, compacted=True
+        )
         self._index.add_segment(self._number)
         self._log.switch(self._log.manifest.with_merged(self._count, into if self._moves else None))
         self.is_switched = (
@@ -77,7 +79,7 @@
         self._totals.compactions += 1
 
     def _copy(self, handle: Handle) -> Iterator[None]:
-        handle.append(frame.encode_head(self._number, self._merged[0].base))
+        handle.append(frame.encode_head(self._number, self._merged[0].base_sequence))
         unsynced = 0
         batch_size = plan.records_per_step(self._log.used_bytes, self._bounds)
         for frames in live_frames(self._disk, self._index, self._merged, batch_size):
--- a/slipbay/store/engine.py
+++ b/slipbay/store/engine.py
@@ -84,7 +84,7 @@
         for chunk in scan_segments(self._disk, found, names):
             self._index.apply(chunk.segment.number, chunk.scan.records)
             if not chunk.scan.has_more:
-                self.sequence = chunk.scan.last
+                self.sequence = chunk.scan.last_sequence
                 end = chunk.scan.end
         self._log.load(found, end)
 
@@ -201,7 +201,7 @@
 
     def _merge_count(self) -> int:
         sizes = [
-            plan.SegmentSizes(segment.raw, self._index.live_bytes_of(segment.number))
+            plan.SegmentSizes(segment.uncompressed_bytes, self._index.live_bytes_of(segment.number))
             for segment in self._log.sealed
         ]
         return plan.choose_merge_count(sizes, self.used_bytes, self.bounds)
--- a/slipbay/store/frame.py
+++ b/slipbay/store/frame.py
@@ -53,9 +53,9 @@
     return int(_checksum(data))
 
 
-def encode_head(number: int, base: int) -> bytes:
+def encode_head(number: int, base_sequence: int) -> bytes:
     """Encode the head of segment ``number``, whose first record has the sequence ``base + 1``."""
-    body = HEAD.pack(MAGIC, FORMAT, number, base)
+    body = HEAD.pack(MAGIC, FORMAT, number, base_sequence)
     return body + CRC.pack(checksum(body))
 
 
@@ -66,14 +66,14 @@
     """
     if len(data) < HEAD_BYTES:
         raise DamagedStoreError("the segment head is truncated", name)
-    magic, version, number, base = HEAD.unpack_from(data)
+    magic, version, number, base_sequence = HEAD.unpack_from(data)
     if magic != MAGIC:
         raise DamagedStoreError("the file is not a segment of a store", name)
     if version > FORMAT:
         raise NewerFormatError(name, version, FORMAT)
     if CRC.unpack_from(data, HEAD.size)[0] != checksum(data[: HEAD.size]):
         raise DamagedStoreError("the segment head has a wrong checksum", name)
-    return number, base
+    return number, base_sequence
 
 
 def encode_frame(sequence: int, key: bytes, value: bytes, kind: int = PUT) -> bytes:
@@ -103,17 +103,19 @@
 
     records: list[Record]
     end: int  # offset of the end of the last valid frame
-    last: int  # sequence of that frame
+    last_sequence: int  # sequence of that frame
     fault: str  # why the next frame is invalid; empty if there is none
     has_more: bool = False  # the scan stopped because it had enough records
 
 
-def scan(data: bytes, at: int, end: int, last: int, consecutive: bool, max_records: int = 2**62) -> Scan:
+def scan(
+    data: bytes, at: int, end: int, last_sequence: int, consecutive: bool, max_records: int = 2**62
+) -> Scan:
     """Read frames of ``data`` from ``at`` until ``end`` or until a frame is corrupt.
 
-    The scan stops at the first frame after which it has ``max_records`` records. ``last`` is the sequence
-    before the first frame. If ``consecutive``, each sequence is the previous one plus 1, as in a log; if not,
-    sequences only increase, as after compaction.
+    The scan stops at the first frame after which it has ``max_records`` records. ``last_sequence`` is the
+    sequence before the first frame. If ``consecutive``, each sequence is the previous plus 1, as in a log; if
+    not, sequences only increase, as after compaction.
     """
     records: list[Record] = []
     fault = ""
@@ -136,36 +138,40 @@
             break
         kind &= ~FIRST
         if kind == BLOCK:
-            last, fault = _add_block(records, data[key_start:stop], at, last)
+            last_sequence, fault = _add_block(records, data[key_start:stop], at, last_sequence)
         else:
-            fault = _order_fault(sequence, last, consecutive, kind) if sequence != last + 1 or kind else ""
+            fault = (
+                _order_fault(sequence, last_sequence, consecutive, kind)
+                if sequence != last_sequence + 1 or kind
+                else ""
+            )
             if not fault:
                 key_end = key_start + key_length
                 value = None if kind else data[key_end:stop]
                 add(new((sequence, data[key_start:key_end], value, at, -1, stop - at)))
-                last = sequence
+                last_sequence = sequence
         if fault:
             break
         at = stop
-    return Scan(records, at, last, fault, has_more=not fault and at < end)
+    return Scan(records, at, last_sequence, fault, has_more=not fault and at < end)
 
 
-def _order_fault(sequence: int, last: int, consecutive: bool, kind: int) -> str:
+def _order_fault(sequence: int, last_sequence: int, consecutive: bool, kind: int) -> str:
     """Describe what is wrong with a record's sequence or kind; empty if nothing is."""
-    if sequence != last + 1 if consecutive else sequence <= last:
-        return f"sequence {sequence} follows {last}"
+    if sequence != last_sequence + 1 if consecutive else sequence <= last_sequence:
+        return f"sequence {sequence} follows {last_sequence}"
     return f"frame kind {kind} is unknown" if kind > DELETE else ""
 
 
-def _add_block(records: list[Record], payload: bytes, at: int, last: int) -> tuple[int, str]:
+def _add_block(records: list[Record], payload: bytes, at: int, last_sequence: int) -> tuple[int, str]:
     """Add the records of a block; returns the last sequence and what is wrong with the block, if anything."""
     try:
-        for record in block_records(payload, at, last):
+        for record in block_records(payload, at, last_sequence):
             records.append(record)
-            last = record.sequence
+            last_sequence = record.sequence
     except DamagedStoreError as problem:
-        return last, problem.reason
-    return last, ""
+        return last_sequence, problem.reason
+    return last_sequence, ""
 
 
 def encode_block(frames: bytes) -> bytes:
@@ -181,7 +187,7 @@
         raise DamagedStoreError(f"a block cannot be decompressed: {problem}") from None
 
 
-def block_records(payload: bytes, offset: int, last: int) -> Iterator[Record]:
+def block_records(payload: bytes, offset: int, last_sequence: int) -> Iterator[Record]:
     """The records of the block at ``offset``.
 
     The checksum of the block covers its records, so their own checksums are not checked. Raises
@@ -195,7 +201,7 @@
             _, length, sequence, key_length, kind = FRAME.unpack_from(frames, at)
             start = at + FRAME_BYTES
             stop = at + FRAME_BYTES + length
-            if stop > end or sequence <= last:
+            if stop > end or sequence <= last_sequence:
                 raise DamagedStoreError("a block holds invalid frames")
             key_end = start + key_length
             yield Record(
@@ -206,7 +212,7 @@
                 at,
                 stop - at,
             )
-            last = sequence
+            last_sequence = sequence
             at = stop
     except error:
         raise DamagedStoreError("a block holds invalid frames") from None
@@ -218,7 +224,7 @@
     return frame[FRAME_BYTES + key_length :]
 
 
-def find_later_commit(data: bytes, at: int, end: int, last: int) -> int:
+def find_later_commit(data: bytes, at: int, end: int, last_sequence: int) -> int:
     """Offset of a valid first frame of a commit after the corrupt frame at ``at``; -1 if there is none.
 
     Such a frame proves that all data before it was durable, so the corrupt frame is damage.
@@ -230,7 +236,7 @@
             kind & FIRST
             and stop <= end
             and key_length <= length
-            and last < sequence < last + MAX_SEQUENCES
+            and last_sequence < sequence < last_sequence + MAX_SEQUENCES
             and _checksum(data[offset + CRC_BYTES : stop]) == crc
         ):
             return offset
--- a/slipbay/store/inspect.py
+++ b/slipbay/store/inspect.py
@@ -86,5 +86,5 @@
                 found.records.pop(record.key, None)
             else:
                 found.records[record.key] = record.value
-        found.sequence = chunk.scan.last
+        found.sequence = chunk.scan.last_sequence
         found.torn_bytes += chunk.torn_bytes
--- a/slipbay/store/manifest.py
+++ b/slipbay/store/manifest.py
@@ -26,10 +26,10 @@
     """A segment of the store."""
 
     number: int
-    base: int  # sequence before the first record
-    end: int = 0  # number of valid bytes; 0 for the active segment
-    last: int = 0  # last valid sequence
-    raw: int = 0  # bytes of the frames before compression
+    base_sequence: int  # sequence before the first record
+    valid_bytes: int = 0  # 0 for the active segment
+    last_sequence: int = 0  # last valid sequence
+    uncompressed_bytes: int = 0  # bytes of the frames before compression
     compacted: bool = False  # contains blocks instead of a log
 
     @property
@@ -51,16 +51,24 @@
         """The segment that commits are appended to."""
         return self.segments[-1]
 
-    def with_new_segment(self, number: int, sequence: int, end: int) -> Manifest:
+    def with_new_segment(self, number: int, sequence: int, valid_bytes: int) -> Manifest:
         """The manifest with a new active segment.
 
-        The previous active segment is sealed with ``end`` valid bytes and the last sequence ``sequence``, or
+        The previous active segment is sealed with ``valid_bytes`` and the last sequence ``sequence``, or
         dropped if it holds no record.
         """
         sealed = self.segments
         if sealed:
-            sealed = (*sealed[:-1], replace(sealed[-1], end=end, last=sequence, raw=end))
-        if sealed and sealed[-1].last == sealed[-1].base:
+            sealed = (
+                *sealed[:-1],
+                replace(
+                    sealed[-1],
+                    valid_bytes=valid_bytes,
+                    last_sequence=sequence,
+                    uncompressed_bytes=valid_bytes,
+                ),
+            )
+        if sealed and sealed[-1].last_sequence == sealed[-1].base_sequence:
             sealed = sealed[:-1]
         return Manifest(self.generation + 1, number + 1, (*sealed, Segment(number, sequence)))
 
@@ -90,7 +98,14 @@
             manifest.generation,
             manifest.next_number,
             [
-                [item.number, item.base, item.end, item.last, item.raw, item.compacted]
+                [
+                    item.number,
+                    item.base_sequence,
+                    item.valid_bytes,
+                    item.last_sequence,
+                    item.uncompressed_bytes,
+                    item.compacted,
+                ]
                 for item in manifest.segments
             ],
         ]
@@ -117,8 +132,15 @@
             int(generation),
             int(next_number),
             tuple(
-                Segment(int(number), int(base), int(end), int(last), int(raw), bool(compacted))
-                for number, base, end, last, raw, compacted in segments
+                Segment(
+                    int(number),
+                    int(base_sequence),
+                    int(valid_bytes),
+                    int(last_sequence),
+                    int(raw_bytes),
+                    bool(compacted),
+                )
+                for number, base_sequence, valid_bytes, last_sequence, raw_bytes, compacted in segments
             ),
         )
     except (ValueError, TypeError) as problem:
--- a/slipbay/store/opening.py
+++ b/slipbay/store/opening.py
@@ -30,41 +30,46 @@
 
     Raises ``DamagedStoreError`` if data that was durable is missing or corrupt.
     """
-    last = found.segments[0].base
+    last_sequence = found.segments[0].base_sequence
     for segment in found.segments:
         if segment.name not in names:
             raise DamagedStoreError("the segment is missing, but the manifest names it", segment.name)
         data = disk.read(segment.name)
-        _check_head(data, segment, last)
+        _check_head(data, segment, last_sequence)
         sealed = segment is not found.active
-        end = segment.end if sealed else len(data)
+        end = segment.valid_bytes if sealed else len(data)
         if len(data) < end:
             raise DamagedStoreError(f"{end} bytes were durable, but only {len(data)} exist", segment.name)
-        scan = frame.Scan([], frame.HEAD_BYTES, last, "", has_more=True)
+        scan = frame.Scan([], frame.HEAD_BYTES, last_sequence, "", has_more=True)
         while scan.has_more:
-            scan = frame.scan(data, scan.end, end, scan.last, not segment.compacted, RECORDS_PER_CHUNK)
+            scan = frame.scan(
+                data, scan.end, end, scan.last_sequence, not segment.compacted, RECORDS_PER_CHUNK
+            )
             if scan.has_more:
                 yield SegmentChunk(segment, scan)
         _check_end(data, segment, scan, end, sealed)
         if segment.compacted:
-            scan = replace(scan, last=segment.last)  # compaction may have dropped the last records
-        last = scan.last
+            scan = replace(
+                scan, last_sequence=segment.last_sequence
+            )  # compaction may have dropped the last records
+        last_sequence = scan.last_sequence
         yield SegmentChunk(segment, scan, end - scan.end)
 
 
-def _check_head(data: bytes, segment: Segment, last: int) -> None:
-    number, base = frame.decode_head(data, segment.name)
-    if (number, base) != (segment.number, segment.base) or base != last:
+def _check_head(data: bytes, segment: Segment, last_sequence: int) -> None:
+    number, base_sequence = frame.decode_head(data, segment.name)
+    if (number, base_sequence) != (segment.number, segment.base_sequence) or base_sequence != last_sequence:
         raise DamagedStoreError("the file has the head of another segment", segment.name)
 
 
 def _check_end(data: bytes, segment: Segment, scan: frame.Scan, end: int, sealed: bool) -> None:
     """Check that a sealed segment is complete, and that the active one has no commit after a torn end."""
-    if sealed and not segment.compacted and not scan.fault and scan.last != segment.last:
+    if sealed and not segment.compacted and not scan.fault and scan.last_sequence != segment.last_sequence:
         raise DamagedStoreError(
-            f"the segment ends with record {scan.last} instead of {segment.last}", segment.name
+            f"the segment ends with record {scan.last_sequence} instead of {segment.last_sequence}",
+            segment.name,
         )
-    if scan.fault and (sealed or frame.find_later_commit(data, scan.end, end, scan.last) >= 0):
+    if scan.fault and (sealed or frame.find_later_commit(data, scan.end, end, scan.last_sequence) >= 0):
         raise DamagedStoreError(f"byte {scan.end}: {scan.fault}, and later data follows it", segment.name)
 
 
--- a/slipbay/store/reader.py
+++ b/slipbay/store/reader.py
@@ -71,16 +71,16 @@
     ``DamagedStoreError`` and ``OSError``.
     """
     for segment in segments:
-        last = segment.base
+        last_sequence = segment.base_sequence
         reader = FrameReader(disk)
-        data = disk.read(segment.name, 0, segment.end)
+        data = disk.read(segment.name, 0, segment.valid_bytes)
         at = frame.HEAD_BYTES
-        while at < segment.end:
-            scan = frame.scan(data, at, segment.end, last, not segment.compacted, batch_size)
+        while at < segment.valid_bytes:
+            scan = frame.scan(data, at, segment.valid_bytes, last_sequence, not segment.compacted, batch_size)
             if scan.fault:
                 raise DamagedStoreError(f"byte {scan.end}: {scan.fault}", segment.name)
             at = scan.end
-            last = scan.last
+            last_sequence = scan.last_sequence
             yield _live_of(index, segment.number, scan.records, data, reader)
 
 
--- a/slipbay/store/segment_log.py
+++ b/slipbay/store/segment_log.py
@@ -45,12 +45,12 @@
     @property
     def readable(self) -> tuple[Segment, ...]:
         """All segments with their valid bytes, including the active one."""
-        return (*self.sealed, replace(self.manifest.active, end=self.size))
+        return (*self.sealed, replace(self.manifest.active, valid_bytes=self.size))
 
     @property
     def used_bytes(self) -> int:
         """Valid bytes of all segments."""
-        return sum(segment.end for segment in self.sealed) + self.size
+        return sum(segment.valid_bytes for segment in self.sealed) + self.size
 
     def take_number(self) -> int:
         """Allocate the number of a new segment; numbers are never reused."""
--- a/tests/compat/test_stored_data.py
+++ b/tests/compat/test_stored_data.py
@@ -193,7 +193,15 @@
         "torn": found.torn_bytes,
         "strays": found.orphans,
         "segments": [
-            [one.number, one.base, one.end, one.last, one.raw, one.compacted] for one in found.segments
+            [
+                one.number,
+                one.base_sequence,
+                one.valid_bytes,
+                one.last_sequence,
+                one.uncompressed_bytes,
+                one.compacted,
+            ]
+            for one in found.segments
         ],
         "records": {key.hex(): value.hex() for key, value in sorted(found.records.items())},
     }
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -153,7 +153,7 @@
             assert store.compact_step(force=True) or True
         ends.append(store.used_bytes)
     last = store.segments[-1]
-    before = sum(segment.end for segment in store.segments[:-1])
+    before = sum(segment.valid_bytes for segment in store.segments[:-1])
     store.close()
     data = (tmp_path / "whole" / last.name).read_bytes()
     for size in range(frame.HEAD_BYTES, len(data) + 1):
