--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -499,7 +499,7 @@
         spoilt = SimDisk({"MANIFEST": b"x"})
         writer = Writer(lambda: Store.open(spoilt), Grouping(), poster(loop))
         writer.start(lambda store: None, lambda contents, problem: opened.set_result(problem))
-        assert "no manifest" in await opened
+        assert "not a manifest" in await opened
         answer: asyncio.Future[StoreError | None] = loop.create_future()
         writer.append([(b"a", b"")], answer.set_result)
         assert isinstance(await answer, StoreWriteError)
