--- a/slipbay/quota/borrowing.py
+++ b/slipbay/quota/borrowing.py
@@ -128,7 +128,7 @@
             return []
         self._replies.heard(sender)
         if self.leases is not None:
-            self.leases.heard(now, sender)
+            self.leases.record_received(now, sender)
         if message.message_type is not MessageType.FLEET_START:
             self.peer_versions[sender] = message.version
         if isinstance(message, LeaseMessage):
@@ -252,7 +252,7 @@
         shutdown = self.shutdown
         if self.leases is None or (shutdown.released_at and shutdown.released_at <= back + RETRY_US):
             return []
-        sends = self._send_leases(now, self.leases.end(now, back))
+        sends = self._send_leases(now, self.leases.start_shutdown(now, back))
         shutdown.released_at = max(now, back)
         return sends
 
--- a/slipbay/quota/demand.py
+++ b/slipbay/quota/demand.py
@@ -59,7 +59,7 @@
         leases = self._quotas.leases
         if leases is not None:
             held = self._quotas.me in self._quotas.held
-            self.base_expected &= not held and now < leases.granter.waits_until + leases.length
+            self.base_expected &= not held and now < leases.granter.waits_until + leases.lease_us
 
     def prune(self, now: int, key: int) -> None:
         """Drop reports on a quota that are too old."""
--- a/slipbay/quota/event_log.py
+++ b/slipbay/quota/event_log.py
@@ -33,7 +33,7 @@
 
     def check(self, now: int) -> None:
         """Log what changed since the last call."""
-        if self._machine.leases is not None and not self._machine.leases.ending:
+        if self._machine.leases is not None and not self._machine.leases.is_ending:
             self._check_leases(now, self._machine.leases)
         self._check_start(now)
         self._check_versions()
--- a/slipbay/quota/leases/granter.py
+++ b/slipbay/quota/leases/granter.py
@@ -1,71 +1,76 @@
-"""The granting side of leases on base shares: one holder at a time (docs/quota.md has the proof)."""
+"""The granter's side of leases on base shares: one holder at a time (docs/quota.md has the proof)."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 from slipbay.peer_channel.leases import ClockBounds, GrantedLease, wait_after_start
-from slipbay.quota.shares import later
+from slipbay.quota.shares import is_later_tag
 
-NOBODY = 2**16 - 1
+NO_ROUTER = 2**16 - 1
 
 
 @dataclass(slots=True)
 class LeaseRecord:
-    """To which router and incarnation one base share is granted."""
+    """The latest lease on one base share, with the router and incarnation that it was granted to."""
 
     holder: tuple[int, int]
-    tag: int  # of the latest request that was taken
+    tag: int  # tag of the latest request that was processed
     grant: GrantedLease
 
 
 class LeaseGranter:
-    """Grants each base share to one incarnation of one router at a time. Times are us of its own clock."""
+    """Grants each base share to one incarnation of one router at a time.
 
-    def __init__(self, clocks: ClockBounds, started: int, longest_us: int) -> None:
-        """``longest_us``: the longest lease that any incarnation of this router may have granted."""
+    Times are in us of the local router's clock.
+    """
+
+    def __init__(self, clocks: ClockBounds, started_us: int, max_lease_us: int) -> None:
+        """``max_lease_us`` is the longest lease that any incarnation of this router may have granted."""
         self.clocks = clocks
-        self.waits_until = started + wait_after_start(longest_us, clocks)
+        self.waits_until = started_us + wait_after_start(max_lease_us, clocks)
         self.records: dict[int, LeaseRecord] = {}
 
-    def grant(self, now: int, owner: int, holder: tuple[int, int], tag: int, length: int) -> bool:
-        """Whether the base share is granted to ``holder`` from now on for ``length`` us, or longer if it
-        was.
+    def grant(self, now: int, owner: int, holder: tuple[int, int], tag: int, lease_us: int) -> bool:
+        """Grant the base share to ``holder`` for ``lease_us`` us from now on, or until its current lease ends
+        if that is later. Return whether it is granted.
         """
         record = self.records.get(owner)
         if now < self.waits_until:
             return False
-        if record is not None and record.holder == holder and not later(tag, record.tag):
+        if record is not None and record.holder == holder and not is_later_tag(tag, record.tag):
             return False
-        grant = GrantedLease(now, length)
+        grant = GrantedLease(now, lease_us)
         if record is not None and not record.grant.over(now, self.clocks):
             if record.holder != holder:
                 return False
-            grant = max(record.grant, grant, key=self._ends)
+            grant = max(record.grant, grant, key=self._ends_us)
         self.records[owner] = LeaseRecord(holder, tag, grant)
         return True
 
-    def _ends(self, grant: GrantedLease) -> int:
+    def _ends_us(self, grant: GrantedLease) -> int:
         return grant.granted + self.clocks.surely(grant.length)
 
     def release(self, owner: int, holder: tuple[int, int], tag: int) -> None:
-        """A holder gave its lease back. What it sent before its latest request changes nothing."""
+        """Drop a lease that its holder released. A message older than the holder's latest request is
+        ignored.
+        """
         record = self.records.get(owner)
-        if record is not None and record.holder == holder and later(tag, record.tag):
+        if record is not None and record.holder == holder and is_later_tag(tag, record.tag):
             del self.records[owner]
 
-    def shorten(self, now: int, owner: int, holder: tuple[int, int], tag: int, length: int) -> None:
-        """A holder counts on its lease for no more than ``length`` us from when it sent this."""
+    def shorten(self, now: int, owner: int, holder: tuple[int, int], tag: int, lease_us: int) -> None:
+        """Shorten a lease: its holder uses it for no more than ``lease_us`` us after it sent the message."""
         record = self.records.get(owner)
-        if record is not None and record.holder == holder and later(tag, record.tag):
-            grant = min(record.grant, GrantedLease(now, length), key=self._ends)
+        if record is not None and record.holder == holder and is_later_tag(tag, record.tag):
+            grant = min(record.grant, GrantedLease(now, lease_us), key=self._ends_us)
             self.records[owner] = LeaseRecord(holder, tag, grant)
 
     def remaining(self, now: int, owner: int) -> tuple[int, int]:
-        """The router to which a base share is granted, or ``NOBODY``, and for how many us yet."""
+        """Return the router to which a base share is granted, or ``NO_ROUTER``, and the remaining us."""
         if now < self.waits_until:
-            return NOBODY, self.waits_until - now
+            return NO_ROUTER, self.waits_until - now
         record = self.records.get(owner)
         if record is None or record.grant.over(now, self.clocks):
-            return NOBODY, 0
-        return record.holder[0], self._ends(record.grant) - now
+            return NO_ROUTER, 0
+        return record.holder[0], self._ends_us(record.grant) - now
--- a/slipbay/quota/leases/groups.py
+++ b/slipbay/quota/leases/groups.py
@@ -1,39 +1,43 @@
-"""Which routers grant a base share, and how their votes count."""
+"""Chooses the granters of each base share and counts their votes."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from math import gcd
 
-ZONE_PERIOD = 30  # 2 x 3 x 5: a stride that shares no factor with it meets all of 2, 3 or 5 zones
+ZONE_PERIOD = 30  # 2 x 3 x 5: a stride without a common factor with 30 reaches all of 2, 3 or 5 zones
 
 
-def group_of(number: int, size: int, granters: int) -> list[int]:
-    """The granters of a router's base share.
+def granter_group(router: int, router_count: int, min_granters: int) -> list[int]:
+    """Return the granters of a router's base share; the router is one of them.
 
-    At least so many (all, where there are fewer), less than twice as many, the router itself among them,
-    evenly spaced. All in a group are each other's granters. The stride shares no small factor with numbers
-    that are dealt to zones in turn.
+    A group has at least ``min_granters`` members (all routers, if there are fewer) and fewer than twice as
+    many. All members of a group are granters of each other. They are evenly spaced, with a stride that has no
+    small common factor with the number of zones, so that a group spans zones that are assigned in turn.
     """
-    groups = max(1, size // granters)
-    shift = next(shift for shift in range(groups) if gcd(groups - shift, ZONE_PERIOD) == 1)
+    group_count = max(1, router_count // min_granters)
+    shift = next(shift for shift in range(group_count) if gcd(group_count - shift, ZONE_PERIOD) == 1)
     return [
         n
-        for n in range(size)
-        if (n + shift * (n // groups) - number - shift * (number // groups)) % groups == 0
+        for n in range(router_count)
+        if (n + shift * (n // group_count) - router - shift * (router // group_count)) % group_count == 0
     ]
 
 
-def votes(owner: int, granter: int, group: Sequence[int]) -> int:
-    """The owner has a second vote in a group of even size, so that two equal halves keep what is theirs."""
+def votes_of(owner: int, granter: int, group: Sequence[int]) -> int:
+    """Return the votes of a granter on a base share.
+
+    The owner has two votes in a group of even size. So after a partition into two equal halves each owner
+    still has a majority for its own base share.
+    """
     return 2 if granter == owner and len(group) % 2 == 0 else 1
 
 
-def majority(group: Sequence[int]) -> int:
-    """Votes without which nobody holds a base share."""
+def majority_votes(group: Sequence[int]) -> int:
+    """Return the number of votes that a holder of a base share needs."""
     return len(group) // 2 + 1
 
 
-def lease_length(borrow_us: int) -> int:
-    """For how long, in us, base shares are granted where shares are borrowed for ``borrow_us``."""
+def base_lease_us(borrow_us: int) -> int:
+    """Return the duration in us of leases on base shares, where borrowed shares last ``borrow_us``."""
     return 2 * borrow_us
--- a/slipbay/quota/leases/holder.py
+++ b/slipbay/quota/leases/holder.py
@@ -1,4 +1,4 @@
-"""The holding side of leases on base shares: what a majority granted (docs/quota.md has the proof)."""
+"""The holder's side of leases on base shares: leases that a majority granted (proof in docs/quota.md)."""
 
 from __future__ import annotations
 
@@ -11,67 +11,69 @@
 
 @dataclass(slots=True)
 class PendingLeaseRequest:
-    """The latest request to one granter; no reply to any other counts."""
+    """The latest request to one granter; replies to earlier requests are ignored."""
 
     tag: int
-    sent_at: int  # read before it left
+    sent_at_us: int  # read from the clock before the request was sent
 
 
 class LeaseHolder:
-    """What granters granted to this incarnation. Times are us of its own clock."""
+    """Leases that granters granted to this incarnation. Times are in us of the local router's clock."""
 
     def __init__(self, group: Sequence[int]) -> None:
         self.group = group
-        self.pending: dict[int, PendingLeaseRequest] = {}  # by granter, until its reply has come
+        self.pending: dict[int, PendingLeaseRequest] = {}  # by granter, until its reply arrives
         self.leases: dict[int, dict[int, HeldLease]] = {}  # by owner and granter
 
-    def requested(self, now: int, granter: int, tag: int) -> None:
-        """A request is about to leave."""
+    def record_request(self, now: int, granter: int, tag: int) -> None:
+        """Record a request before it is sent."""
         self.pending[granter] = PendingLeaseRequest(tag, now)
 
-    def granted(self, granter: int, tag: int, owners: Iterable[int], length: int) -> bool:
-        """A reply grants base shares for ``length`` us. False if it replies to no pending request."""
+    def record_grants(self, granter: int, tag: int, owners: Iterable[int], lease_us: int) -> bool:
+        """Record a reply that grants base shares for ``lease_us`` us. Return False if it matches no pending
+        request.
+        """
         pending = self.pending.get(granter)
         if pending is None or pending.tag != tag:
             return False
         del self.pending[granter]
         for owner in owners:
-            held = HeldLease(pending.sent_at, length)
+            held = HeldLease(pending.sent_at_us, lease_us)
             leases = self.leases.setdefault(owner, {})
             if granter not in leases or held.ends > leases[granter].ends:
                 leases[granter] = held
         return True
 
     def release(self, owner: int) -> list[int]:
-        """From now on this base share is not held, whatever was granted or is on its way from those who did.
+        """Stop holding a base share, and ignore replies that are still on their way from its granters.
 
-        Returns the granters to notify, with a later tag than any before.
+        Returns the granters to notify; the message must have a later tag than all earlier ones.
         """
         granters = list(self.leases.pop(owner, ()))
         for granter in granters:
             self.pending.pop(granter, None)
         return granters
 
-    def shorten(self, owner: int, until: int) -> None:
-        """From now on no lease on this base share counts beyond ``until``, nor any that is on its way from
-        those who did grant. All granters are notified, with a later tag than any before.
+    def shorten(self, owner: int, until_us: int) -> None:
+        """End all leases on a base share at ``until_us`` at the latest, and ignore replies that are still on
+        their way from its granters. The caller notifies all granters with a later tag than all earlier ones.
         """
         leases = self.leases.get(owner, {})
         for granter, held in leases.items():
             self.pending.pop(granter, None)
-            leases[granter] = HeldLease(held.asked, max(0, min(held.length, until - held.asked)))
+            leases[granter] = HeldLease(held.asked, max(0, min(held.length, until_us - held.asked)))
 
     def ends_at(self, owner: int) -> int:
-        """When the leases of a majority end; 0 if there never was one."""
+        """Return when the leases of a majority end; 0 if no majority ever granted the base share."""
         count = 0
         leases = self.leases.get(owner, {})
         for granter, held in sorted(leases.items(), key=lambda lease: -lease[1].ends):
-            count += groups.votes(owner, granter, self.group)
-            if count >= groups.majority(self.group):
+            count += groups.votes_of(owner, granter, self.group)
+            if count >= groups.majority_votes(self.group):
                 return held.ends
         return 0
 
     def requested_at(self, owner: int, granter: int) -> int:
-        """When the request left that a granter granted; 0 if it never did."""
+        """Return when the request was sent that a granter granted; 0 if it granted none."""
         held = self.leases.get(owner, {}).get(granter)
         return held.asked if held is not None else 0
--- a/slipbay/quota/leases/manager.py
+++ b/slipbay/quota/leases/manager.py
@@ -1,9 +1,10 @@
-"""Steers one router as holder and granter of leases on base shares.
+"""Manages the local router's leases on base shares, both as a holder and as a granter.
 
-Whoever has the grants of a majority of a base share's granters, each for a lease, may use and lend it; so the
-base share of a dead or cut-off router comes back where a majority is. ``LeaseGranter`` and ``LeaseHolder``
-are all that the bound stands on (docs/quota.md has the proof); ``LeaseManager`` decides when to ask whom, and
-who takes over. All of it is without I/O, clock or randomness; times are us of this router's own clock.
+A router may use and lend a base share while a majority of the share's granters grants it a lease. So another
+router can take over the base share of a router that crashed or is partitioned, as long as it reaches a
+majority of the granters. The quota's upper bound depends on ``LeaseGranter`` and ``LeaseHolder`` alone
+(docs/quota.md has the proof). ``LeaseManager`` decides when to send requests, to which granters, and when to
+take over a base share. It does no I/O and reads no clock; all times are in us of the local router's clock.
 """
 
 from __future__ import annotations
@@ -13,74 +14,86 @@
 from slipbay.peer_channel.interfaces import Send
 from slipbay.peer_channel.leases import ClockBounds
 from slipbay.quota.codec import LeaseEntry, LeaseMessage, MessageType, decode
-from slipbay.quota.leases.granter import NOBODY, LeaseGranter
-from slipbay.quota.leases.groups import group_of, lease_length
+from slipbay.quota.leases.granter import NO_ROUTER, LeaseGranter
+from slipbay.quota.leases.groups import base_lease_us, granter_group
 from slipbay.quota.leases.holder import LeaseHolder
-from slipbay.quota.leases.locations import LeaseLocations, query
+from slipbay.quota.leases.locations import LeaseLocations, location_query
 from slipbay.quota.leases.messages import LeaseMessageWriter
 from slipbay.quota.leases.renewal import RETRY_US, RenewalRounds
 from slipbay.quota.leases.takeover import TakeoverWatch
 
-SELF = -1  # this incarnation in its own records; those of others are 0 and more
+SELF = -1  # marks the running incarnation in its own records; incarnations of other routers are 0 or more
 
 
 class LeaseManager:
-    """One router as holder and as granter."""
+    """The local router as a holder and as a granter of leases."""
 
     def __init__(
-        self, me: int, size: int, granters: int, clocks: ClockBounds, started: int, longest_us: int
+        self,
+        local_router: int,
+        router_count: int,
+        granter_count: int,
+        clocks: ClockBounds,
+        started_us: int,
+        max_lease_us: int,
     ) -> None:
-        """``longest_us``: the longest lease on borrowed shares of any plan, as ``QuotaPlan.longest_ms``."""
-        self.me = me
-        self.size = size
+        """``max_lease_us`` is the longest lease on borrowed shares of any plan (``QuotaPlan.longest_ms``)."""
+        self.local_router = local_router
+        self.router_count = router_count
         self.clocks = clocks
-        self.group = group_of(me, size, granters)
-        self.length = lease_length(longest_us)  # for which base shares are granted
-        self.granter = LeaseGranter(clocks, started, self.length)
+        self.group = granter_group(local_router, router_count, granter_count)
+        self.lease_us = base_lease_us(max_lease_us)  # duration of a lease on a base share
+        self.granter = LeaseGranter(clocks, started_us, self.lease_us)
         self.holder = LeaseHolder(self.group)
-        self.messages = LeaseMessageWriter(self.length)
-        self._last_heard: dict[int, int] = {}  # by router
-        self.renewal = RenewalRounds(me, self.group, self._last_heard, started)
-        first = self.granter.waits_until + self.length
-        self.takeover = TakeoverWatch(me, self.group, self._last_heard, first, started)
-        self.owners: set[int] = set()  # routers whose base share of any quota is more than nothing
-        self.wanted: dict[int, int] = {}  # owners whose base shares are asked for, since when
-        self.returning: set[int] = set()  # of them, those whose owner is back
-        self.locations = LeaseLocations(me, size, granters)
-        self.returned: set[int] = set()  # owners that got theirs back, until the caller has logged it
-        self._elsewhere: set[int] = set()  # owners whose base shares are wanted, and others have
-        self.ending = False
+        self.messages = LeaseMessageWriter(self.lease_us)
+        self._last_received_us: dict[int, int] = {}  # by router, when its latest message arrived
+        self.renewal = RenewalRounds(local_router, self.group, self._last_received_us, started_us)
+        takeover_from_us = self.granter.waits_until + self.lease_us
+        self.takeover = TakeoverWatch(
+            local_router, self.group, self._last_received_us, takeover_from_us, started_us
+        )
+        self.owners: set[int] = set()  # routers that have a base share of at least one quota
+        self.wanted: dict[int, int] = {}  # owners whose base shares this router requests, and since when
+        self.returning: set[int] = set()  # wanted owners that run again, so their leases are not renewed
+        self.locations = LeaseLocations(local_router, router_count, granter_count)
+        self.returned: set[int] = set()  # owners whose base shares were returned; cleared once logged
+        self._held_elsewhere: set[int] = set()  # wanted owners whose base shares another router holds
+        self.is_ending = False
 
     def follow_plan(self, version: int, layout: int, borrow_us: int, owners: set[int]) -> None:
-        """Another plan, or the first. ``owners``: routers that have a base share of any quota."""
-        self.length = lease_length(borrow_us)
+        """Apply a plan, the first or a new one. ``owners`` are the routers that have a base share of at least
+        one quota.
+        """
+        self.lease_us = base_lease_us(borrow_us)
         self.owners = owners
         self.messages.version = version
         self.messages.layout = layout
-        self.messages.length = self.length
+        self.messages.lease_us = self.lease_us
 
     def held(self, now: int) -> dict[int, int]:
-        """Owners whose base shares this router may use and lend, and until when."""
+        """Return the owners whose base shares this router may use and lend, and when each lease ends."""
         return {owner: ends for owner in self.wanted if (ends := self.holder.ends_at(owner)) > now}
 
-    def lendable_us(self, now: int, longest: int) -> int:
-        """For how long to lend, at most ``longest``: what is borrowed surely ends before the lease on what it
-        is of.
+    def lendable_us(self, now: int, max_us: int) -> int:
+        """Return the duration in us for which to lend, at most ``max_us``.
+
+        A borrowed share must end before the lease on the base share that it is taken from. Of the possible
+        durations this chooses the one with the largest product of duration and number of base shares.
         """
-        spans = [self._lendable(ends - now, longest) for ends in self.held(now).values()]
-        spans = [span for span in spans if span > 0]
-        return max(spans, key=lambda one: one * sum(span >= one for span in spans), default=0)
+        spans_us = [self._max_span_within(ends - now, max_us) for ends in self.held(now).values()]
+        spans_us = [span_us for span_us in spans_us if span_us > 0]
+        return max(spans_us, key=lambda one: one * sum(span_us >= one for span_us in spans_us), default=0)
 
-    def _lendable(self, left: int, longest: int) -> int:
-        if self.clocks.surely(longest) <= left:
-            return longest
-        return max(0, left - (self.clocks.surely(left) - left)) // 1000 * 1000
+    def _max_span_within(self, remaining_us: int, max_us: int) -> int:
+        if self.clocks.surely(max_us) <= remaining_us:
+            return max_us
+        return max(0, remaining_us - (self.clocks.surely(remaining_us) - remaining_us)) // 1000 * 1000
 
     # Messages
 
     def receive(self, now: int, sender: int, incarnation: int, message: LeaseMessage) -> list[Send]:
-        """A message about leases; returns the replies."""
-        entries = [entry for entry in message.entries if entry.owner < self.size]
+        """Process a message about leases and return the replies."""
+        entries = [entry for entry in message.entries if entry.owner < self.router_count]
         holder = sender, incarnation
         match message.message_type:
             case MessageType.LEASE_REQUEST if sender in self.group:
@@ -92,7 +105,7 @@
                 self._receive_shorten(now, holder, message.tag, entries)
             case MessageType.LOCATION_QUERY if entries:
                 found = [self._location(now, entry.owner) for entry in entries]
-                return [(sender, self.messages.body(MessageType.LEASE_LOCATION, message.tag, found))]
+                return [(sender, self.messages.write_body(MessageType.LEASE_LOCATION, message.tag, found))]
             case MessageType.LEASE_GRANT:
                 self._receive_grant(sender, message, entries)
             case MessageType.LEASE_LOCATION:
@@ -107,176 +120,184 @@
             if entry.owner in self.group:
                 message_type, reply = self._decide(now, entry.owner, holder, tag)
                 replies.setdefault(message_type, []).append(reply)
-        return [(holder[0], self.messages.body(kind, tag, found)) for kind, found in replies.items()]
+        return [(holder[0], self.messages.write_body(kind, tag, found)) for kind, found in replies.items()]
 
     def _decide(
         self, now: int, owner: int, holder: tuple[int, int], tag: int
     ) -> tuple[MessageType, LeaseEntry]:
         if holder[0] == owner:
-            self.takeover.owner_requested(now, owner, self.length)
-            if owner in self.wanted and owner != self.me:
+            self.takeover.record_owner_request(now, owner, self.lease_us)
+            if owner in self.wanted and owner != self.local_router:
                 self.returning.add(owner)
-        if not self.granter.grant(now, owner, holder, tag, self.length):
+        if not self.granter.grant(now, owner, holder, tag, self.lease_us):
             return MessageType.LEASE_LOCATION, self._location(now, owner)
-        self.takeover.granted(owner, now + self.clocks.surely(self.length))
-        wanted = holder[0] != owner and self.takeover.owner_waits(now, owner, self.length)
+        self.takeover.record_grant(owner, now + self.clocks.surely(self.lease_us))
+        wanted = holder[0] != owner and self.takeover.has_recent_request(now, owner, self.lease_us)
         return MessageType.LEASE_GRANT, LeaseEntry(owner, int(wanted), 0)
 
     def _receive_shorten(
         self, now: int, holder: tuple[int, int], tag: int, entries: Sequence[LeaseEntry]
     ) -> None:
         for entry in entries:
-            span = entry.span_ms * 1000
-            self.granter.shorten(now, entry.owner, holder, tag, span)
-            self.takeover.postpone(entry.owner, now + span + self.length)  # its holder is about to come back
+            span_us = entry.span_ms * 1000
+            self.granter.shorten(now, entry.owner, holder, tag, span_us)
+            self.takeover.postpone(entry.owner, now + span_us + self.lease_us)  # its holder restarts soon
 
     def _receive_grant(self, sender: int, message: LeaseMessage, entries: Sequence[LeaseEntry]) -> None:
         wanted = [entry for entry in entries if entry.owner in self.wanted]
         owners = [entry.owner for entry in wanted]
-        if not self.holder.granted(sender, message.tag, owners, message.lease_ms * 1000):
+        if not self.holder.record_grants(sender, message.tag, owners, message.lease_ms * 1000):
             return
-        self.renewal.replied(sender)
+        self.renewal.record_grant(sender)
         for entry in wanted:
-            if entry.router and entry.owner != self.me:
-                # not asked for again; what is lent of it ends before it does
+            if entry.router and entry.owner != self.local_router:
+                # This lease is not renewed; shares lent from it end before it does.
                 self.returning.add(entry.owner)
 
     def _receive_location(self, now: int, sender: int, tag: int, entries: Sequence[LeaseEntry]) -> None:
         pending = self.holder.pending.get(sender)
         if pending is not None and pending.tag == tag:
-            spans = [entry.span_ms * 1000 for entry in entries if entry.owner in self.wanted]
-            self.renewal.denied(now, sender, max(spans, default=0), self.length)
+            spans_us = [entry.span_ms * 1000 for entry in entries if entry.owner in self.wanted]
+            self.renewal.record_denial(now, sender, max(spans_us, default=0), self.lease_us)
         for owner, router, span_ms in entries:
-            self.takeover.located(owner)
-            if router == NOBODY:
-                self.locations.learn(owner, NOBODY, now + RETRY_US)
+            self.takeover.record_location(owner)
+            if router == NO_ROUTER:
+                self.locations.record(owner, NO_ROUTER, now + RETRY_US)
                 continue
-            if router != self.me:
+            if router != self.local_router:
                 if owner in self.wanted:
-                    self._elsewhere.add(owner)
-                self.locations.learn(owner, router, now + span_ms * 1000)
-            self.takeover.postpone(owner, now + span_ms * 1000 + self.length)
+                    self._held_elsewhere.add(owner)
+                self.locations.record(owner, router, now + span_ms * 1000)
+            self.takeover.postpone(owner, now + span_ms * 1000 + self.lease_us)
 
     def _location(self, now: int, owner: int) -> LeaseEntry:
-        """Which router has a base share, as far as it is known here."""
+        """Return which router holds a base share, as far as this router knows."""
         if owner in self.wanted and self.holder.ends_at(owner) > now:
-            return LeaseEntry(owner, self.me, (self.holder.ends_at(owner) - now) // 1000)
-        router, left = self.granter.remaining(now, owner)
-        if router == NOBODY and not left:
-            router, left = self.locations.current(now, owner)
-        return LeaseEntry(owner, router, -(-left // 1000))
+            return LeaseEntry(owner, self.local_router, (self.holder.ends_at(owner) - now) // 1000)
+        router, remaining_us = self.granter.remaining(now, owner)
+        if router == NO_ROUTER and not remaining_us:
+            router, remaining_us = self.locations.current(now, owner)
+        return LeaseEntry(owner, router, -(-remaining_us // 1000))
 
-    def heard(self, now: int, router: int) -> None:
-        """A message of a router came, so it runs and asks for its base share itself."""
-        self._last_heard[router] = now
+    def record_received(self, now: int, router: int) -> None:
+        """Record that a message of a router arrived: it runs and requests its own base share."""
+        self._last_received_us[router] = now
 
     def query_location(self, now: int, owner: int) -> list[Send]:
-        """Ask one of its granters who has a base share, each time another."""
-        return self.locations.query_granter(now, owner, self.messages)
+        """Query one granter of a base share for its holder; each call chooses the next granter."""
+        return self.locations.query_next_granter(now, owner, self.messages)
 
     # Time
 
-    def end(self, now: int, back: int) -> list[Send]:
-        """Shutdown: no base share is asked for any more, and each is released when everything lent has surely
-        come ``back``, so that granters need keep their grants no longer. What is lent then is of base shares
-        that are held until then, as before.
+    def start_shutdown(self, now: int, returned_us: int) -> list[Send]:
+        """Start the shutdown: request no more base shares, and shorten all leases so that they end at
+        ``returned_us``, when every lent share has ended. So granters need not keep their grants for longer.
+
+        Until then this router holds the base shares, so the bound on lent shares still applies.
         """
-        self.ending = True
+        self.is_ending = True
         tag = self.messages.next_tag(now)
         notified = dict[int, list[LeaseEntry]]()
-        span_ms = max(0, -(-(back - now) // 1000))
+        span_ms = max(0, -(-(returned_us - now) // 1000))
         for owner in self.held(now):
-            self.granter.shorten(now, owner, (self.me, SELF), tag, span_ms * 1000)
+            self.granter.shorten(now, owner, (self.local_router, SELF), tag, span_ms * 1000)
             self.holder.shorten(owner, now + span_ms * 1000)
-            for granter in self.group:  # all, so that none takes it over at once
+            for granter in self.group:  # all granters, so that none takes the share over at once
                 notified.setdefault(granter, []).append(LeaseEntry(owner, 0, span_ms))
         return [
-            (granter, self.messages.body(MessageType.LEASE_SHORTEN, tag, entries))
+            (granter, self.messages.write_body(MessageType.LEASE_SHORTEN, tag, entries))
             for granter, entries in notified.items()
-            if granter != self.me
+            if granter != self.local_router
         ]
 
     def end_start_wait(self, now: int) -> None:
-        """Nothing that an earlier incarnation granted is held any more; others end their waits now, too."""
+        """End the wait after the start: no lease that an earlier incarnation granted is held any more. The
+        other routers end their waits at about the same time.
+        """
         self.granter.waits_until = min(self.granter.waits_until, now)
         self.renewal.end_start_wait(now)
 
     def tick(self, now: int) -> list[Send]:
-        """Release what ended or is due back, take over what is free, and ask for what is wanted."""
+        """Release base shares that ended or are returned, take over free ones, and renew wanted ones."""
         sends: list[Send] = []
-        if self.ending:
+        if self.is_ending:
             return sends
-        if self.me in self.owners:
-            self.wanted.setdefault(self.me, now)
+        if self.local_router in self.owners:
+            self.wanted.setdefault(self.local_router, now)
         for owner, since in list(self.wanted.items()):
             held = self.holder.ends_at(owner) > now
             if owner not in self.owners:
                 self.returning.add(owner)
-            patience = 3 * RETRY_US if owner in self._elsewhere else self.length
-            in_vain = owner != self.me and now - since > patience
-            if not held and (owner in self.returning or in_vain):
+            max_wait_us = 3 * RETRY_US if owner in self._held_elsewhere else self.lease_us
+            is_unsuccessful = owner != self.local_router and now - since > max_wait_us
+            if not held and (owner in self.returning or is_unsuccessful):
                 sends += self.release(now, owner)
-        sends += self._take_over(now)
+        sends += self._take_over_free(now)
         return sends + self._renew(now)
 
     def release(self, now: int, owner: int) -> list[Send]:
-        """It ended, others have it, or too few reply: those that granted it are free again."""
+        """Give a base share up, and notify the granters that granted it, so that they may grant it again.
+
+        The lease ended, another router holds the share, or too few granters replied.
+        """
         granters = self.holder.release(owner)
         tag = self.messages.next_tag(now)
         self.wanted.pop(owner, None)
-        self._elsewhere.discard(owner)
+        self._held_elsewhere.discard(owner)
         if owner in self.returning:
             self.returning.discard(owner)
             self.returned.add(owner)
-        self.takeover.postpone(owner, now + self.length)
-        self.granter.release(owner, (self.me, SELF), tag)
+        self.takeover.postpone(owner, now + self.lease_us)
+        self.granter.release(owner, (self.local_router, SELF), tag)
         return [
-            (granter, self.messages.body(MessageType.LEASE_RELEASE, tag, [LeaseEntry(owner, 0, 0)]))
+            (granter, self.messages.write_body(MessageType.LEASE_RELEASE, tag, [LeaseEntry(owner, 0, 0)]))
             for granter in granters
-            if granter != self.me
+            if granter != self.local_router
         ]
 
-    def _take_over(self, now: int) -> list[Send]:
+    def _take_over_free(self, now: int) -> list[Send]:
         if now < self.granter.waits_until:
             return []
         candidates = [
             owner
             for owner in self.group
-            if owner != self.me and owner in self.owners and owner not in self.wanted
+            if owner != self.local_router and owner in self.owners and owner not in self.wanted
         ]
-        taken, queried = self.takeover.next_steps(now, candidates, self.granter, self.length)
+        taken, queried = self.takeover.next_steps(now, candidates, self.granter, self.lease_us)
         for owner in taken:
             self.wanted[owner] = now
             self.renewal.restart()
-        return [query(now, owner, owner, self.messages) for owner in queried]
+        return [location_query(now, owner, owner, self.messages) for owner in queried]
 
     def _renew(self, now: int) -> list[Send]:
         wanted = [owner for owner in self.wanted if owner not in self.returning]
-        own_vote = now >= self.granter.waits_until
-        targets = self.renewal.next_targets(now, wanted, self.holder, self.length, own_vote)
+        may_grant_locally = now >= self.granter.waits_until
+        targets = self.renewal.next_targets(now, wanted, self.holder, self.lease_us, may_grant_locally)
         return [] if targets is None else self.request(now, wanted, targets)
 
     def request(self, now: int, owners: Sequence[int], granters: Iterable[int]) -> list[Send]:
-        """Ask this router itself and others for base shares."""
+        """Request base shares from ``granters``, and from this router as its own granter."""
         tag = self.messages.next_tag(now)
-        self.holder.requested(now, self.me, tag)
+        self.holder.record_request(now, self.local_router, tag)
         granted = [
-            owner for owner in owners if self.granter.grant(now, owner, (self.me, SELF), tag, self.length)
+            owner
+            for owner in owners
+            if self.granter.grant(now, owner, (self.local_router, SELF), tag, self.lease_us)
         ]
-        self.holder.granted(self.me, tag, granted, self.length)
+        self.holder.record_grants(self.local_router, tag, granted, self.lease_us)
         entries = [LeaseEntry(owner, 0, 0) for owner in owners]
         sends = []
         for granter in granters:
-            self.holder.requested(now, granter, tag)
-            sends.append((granter, self.messages.body(MessageType.LEASE_REQUEST, tag, entries)))
+            self.holder.record_request(now, granter, tag)
+            sends.append((granter, self.messages.write_body(MessageType.LEASE_REQUEST, tag, entries)))
         return sends
 
-    def found_no_room(self, now: int, to: int, body: bytes) -> bool:
-        """A message found no room on the channel. Whether it is still to be sent."""
+    def handle_unsent(self, now: int, to: int, body: bytes) -> bool:
+        """Handle a message that the channel had no room for. Return whether it is still to be sent."""
         message = decode(body)
         if not isinstance(message, LeaseMessage):
             return False
-        self.takeover.lacked_room(now, self.length)
+        self.takeover.record_unsent(now, self.lease_us)
         if message.message_type is MessageType.RECALL:
             return False
         if message.message_type is not MessageType.LEASE_REQUEST:
--- a/slipbay/quota/leases/renewal.py
+++ b/slipbay/quota/leases/renewal.py
@@ -1,138 +1,169 @@
-"""Whom to ask for leases, and when: rounds that ask a bare majority first, then all others."""
+"""Chooses which granters to request leases from, and when.
+
+Requests go out in rounds. Each round first sends to as many granters as make a majority, then to the others.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
 from enum import IntEnum
 
-from slipbay.quota.leases.groups import majority, votes
+from slipbay.quota.leases.groups import majority_votes, votes_of
 from slipbay.quota.leases.holder import LeaseHolder
 
-RETRY_US = 300_000  # a granter that has not replied by then is not the first to be asked again
-RENEW_PART = 0.4  # of a lease is left when it is asked for anew
-ROOM_WAIT_PART = 0.15  # of a lease that a round waits for room for its requests, before others are asked
-RETRY_MARGIN_US = 5_000  # after another's lease ends, until it is asked for again
-UNRESPONSIVE_LEASES = 3  # for so many leases a granter that did not reply is asked last
+RETRY_US = 300_000  # time to wait for a granter's reply before the round goes to the other granters
+RENEWAL_FRACTION = 0.4  # a lease is renewed when no more than this fraction of it is left
+ROOM_WAIT_FRACTION = 0.15  # fraction of a lease that a round waits for channel room before it tries others
+RETRY_MARGIN_US = 5_000  # delay after the end of another router's lease before the next request
+UNRESPONSIVE_LEASES = 3  # number of lease durations for which an unresponsive granter comes last
 
 
 class RoundStage(IntEnum):
-    """How far a round has come."""
+    """Progress of a round of requests."""
 
     DUE = 0
-    FIRST_ASKED = 1  # as many as are needed
-    ALL_ASKED = 2  # it waits for the next round
+    MAJORITY_REQUESTED = 1  # requests went to as many granters as make a majority
+    ALL_REQUESTED = 2  # requests went to all granters; the next round starts later
 
 
 class RenewalRounds:
-    """Chooses the granters to ask for all wanted base shares together. Times are us."""
+    """Chooses the granters for requests; each request names all wanted base shares. Times are in us."""
 
-    def __init__(self, me: int, group: Sequence[int], last_heard: Mapping[int, int], started: int) -> None:
-        """``last_heard``: by router, when a message of it last came; kept by the caller."""
-        self._me = me
+    def __init__(
+        self, local_router: int, group: Sequence[int], last_received_us: Mapping[int, int], started_us: int
+    ) -> None:
+        """``last_received_us`` holds, by router, when its latest message arrived; the caller updates it."""
+        self._local_router = local_router
         self._group = group
-        self._last_heard = last_heard
-        self.unsent: set[int] = set()  # granters to which requests have found no room yet
+        self._last_received_us = last_received_us
+        self.unsent: set[int] = set()  # granters whose requests wait for room on the channel
         self._stage = RoundStage.DUE
-        self._failures = 0  # rounds in a row
-        self._began = started  # this round
-        self._asked_at = started
-        self._retry_at = started
-        self._denied: set[int] = set()  # granters that replied to this round with where it is
-        self._unresponsive: dict[int, int] = {}  # granters that did not reply, since when
-        self._lacked_room = False  # whether any request of this round did
-        self._all_new = False  # all routers started together; denials are short
+        self._failures = 0  # consecutive rounds without a majority
+        self._round_started_us = started_us  # when this round started
+        self._requested_at_us = started_us
+        self._next_round_us = started_us
+        self._denied_by: set[int] = set()  # granters that denied the request of this round
+        self._unresponsive: dict[int, int] = {}  # granters that did not reply, and since when
+        self._lacked_room = False  # whether a request of this round had to wait for room on the channel
+        self._is_fleet_restarted = False  # whether all routers started together, so that denials end soon
 
     def restart(self) -> None:
-        """Something new is wanted: the next round begins at once."""
+        """Start the next round at once, as another base share is wanted."""
         self._stage = RoundStage.DUE
 
     def end_start_wait(self, now: int) -> None:
-        """All granters end their waits after a start about now: those that denied are asked again."""
-        self._all_new = True
+        """Start a new round now: all granters end their waits after the start at about this time, so those
+        that denied a request may grant it.
+        """
+        self._is_fleet_restarted = True
         if self._stage is not RoundStage.DUE:
-            self._stage = RoundStage.ALL_ASKED
-        self._retry_at = now
+            self._stage = RoundStage.ALL_REQUESTED
+        self._next_round_us = now
 
-    def replied(self, granter: int) -> None:
-        """A granter granted what this router asked for."""
+    def record_grant(self, granter: int) -> None:
+        """Record that a granter granted a request of this router."""
         self._unresponsive.pop(granter, None)
 
-    def denied(self, now: int, granter: int, remaining_us: int, length: int) -> None:
-        """A granter replied that another has some of it for so long; it may grant the rest."""
+    def record_denial(self, now: int, granter: int, remaining_us: int, lease_us: int) -> None:
+        """Record that a granter denied base shares that another router holds for ``remaining_us`` more; it
+        may grant the others.
+        """
         self._unresponsive.pop(granter, None)
-        self._denied.add(granter)
-        longest = RETRY_US // 2 if self._all_new else length // 2
-        self._retry_at = now + min(max(remaining_us + RETRY_MARGIN_US, RETRY_US // 2), longest)
+        self._denied_by.add(granter)
+        max_delay_us = RETRY_US // 2 if self._is_fleet_restarted else lease_us // 2
+        self._next_round_us = now + min(max(remaining_us + RETRY_MARGIN_US, RETRY_US // 2), max_delay_us)
 
     def next_targets(
-        self, now: int, wanted: Sequence[int], holder: LeaseHolder, length: int, own_vote: bool
+        self, now: int, wanted: Sequence[int], holder: LeaseHolder, lease_us: int, may_grant_locally: bool
     ) -> list[int] | None:
-        """Granters to ask now for all that is wanted; None if nobody is to be asked.
+        """Return the granters to send requests to now; None if no request is due.
 
-        ``own_vote``: whether this router itself grants already.
+        ``may_grant_locally`` tells whether this router itself may grant already.
         """
-        if all(holder.ends_at(owner) - now > length * RENEW_PART for owner in wanted):
+        if all(holder.ends_at(owner) - now > lease_us * RENEWAL_FRACTION for owner in wanted):
             self._stage = RoundStage.DUE
             self._failures = 0
-            self._all_new = False
+            self._is_fleet_restarted = False
             return None
-        first_asked = self._stage is RoundStage.FIRST_ASKED
-        if first_asked and self.unsent and now - self._began < length * ROOM_WAIT_PART:
-            # whom no request reached yet owes no reply
-            self._asked_at = now
+        is_majority_requested = self._stage is RoundStage.MAJORITY_REQUESTED
+        if (
+            is_majority_requested
+            and self.unsent
+            and now - self._round_started_us < lease_us * ROOM_WAIT_FRACTION
+        ):
+            # A granter owes no reply to a request that has not left yet.
+            self._requested_at_us = now
             self._lacked_room = True
-        if first_asked and now - self._asked_at >= RETRY_US * (1 + self._lacked_room):
-            targets = self._others(now, wanted, holder, length)
-            self._stage = RoundStage.ALL_ASKED
-        elif self._stage is RoundStage.DUE or (self._stage is RoundStage.ALL_ASKED and now >= self._retry_at):
-            targets = self._first(now, wanted, holder, length, own_vote)
-            self._denied.clear()
-            self._began = now
+        if is_majority_requested and now - self._requested_at_us >= RETRY_US * (1 + self._lacked_room):
+            targets = self._choose_remaining(now, wanted, holder, lease_us)
+            self._stage = RoundStage.ALL_REQUESTED
+        elif self._stage is RoundStage.DUE or (
+            self._stage is RoundStage.ALL_REQUESTED and now >= self._next_round_us
+        ):
+            targets = self._choose_majority(now, wanted, holder, lease_us, may_grant_locally)
+            self._denied_by.clear()
+            self._round_started_us = now
             self._lacked_room = False
-            self._stage = RoundStage.FIRST_ASKED
+            self._stage = RoundStage.MAJORITY_REQUESTED
         else:
             return None
-        self._asked_at = now
+        self._requested_at_us = now
         return targets
 
-    def _first(
-        self, now: int, wanted: Sequence[int], holder: LeaseHolder, length: int, own_vote: bool
+    def _choose_majority(
+        self, now: int, wanted: Sequence[int], holder: LeaseHolder, lease_us: int, may_grant_locally: bool
     ) -> list[int]:
-        """As many as are needed: those that replied of late, from the next in the group on."""
-        forgotten = UNRESPONSIVE_LEASES * length
-        self._unresponsive = {n: since for n, since in self._unresponsive.items() if now - since < forgotten}
+        """Return as many granters as a majority still needs: responsive ones first, in the group's order from
+        this router's position on.
+        """
+        unresponsive_for_us = UNRESPONSIVE_LEASES * lease_us
+        self._unresponsive = {
+            n: since for n, since in self._unresponsive.items() if now - since < unresponsive_for_us
+        }
         group = self._group
-        place = group.index(self._me)
-        order = [group[(place + n) % len(group)] for n in range(1, len(group))]
+        position = group.index(self._local_router)
+        order = [group[(position + n) % len(group)] for n in range(1, len(group))]
         order.sort(
             key=lambda n: (
                 n in self._unresponsive,
-                now - self._last_heard.get(n, 0) > length,
+                now - self._last_received_us.get(n, 0) > lease_us,
                 min(holder.requested_at(owner, n) for owner in wanted) == 0,
             )
         )
-        own = min(votes(owner, self._me, group) for owner in wanted) if own_vote else 0
-        fresh = {
-            n for n in order if all(now - holder.requested_at(owner, n) < length // 4 for owner in wanted)
+        own_votes = (
+            min(votes_of(owner, self._local_router, group) for owner in wanted) if may_grant_locally else 0
+        )
+        recently_granted = {
+            n for n in order if all(now - holder.requested_at(owner, n) < lease_us // 4 for owner in wanted)
         }
-        needed = max(0, majority(group) - own - len(fresh))
-        return [n for n in order if n not in fresh][:needed]
+        needed = max(0, majority_votes(group) - own_votes - len(recently_granted))
+        return [n for n in order if n not in recently_granted][:needed]
 
-    def _others(self, now: int, wanted: Sequence[int], holder: LeaseHolder, length: int) -> list[int]:
-        """The round fell short: all who neither granted nor denied, but for those that do not reply."""
+    def _choose_remaining(
+        self, now: int, wanted: Sequence[int], holder: LeaseHolder, lease_us: int
+    ) -> list[int]:
+        """Return the remaining granters of a round that got no majority: those that neither granted nor
+        denied, and unresponsive ones only if a majority needs them.
+        """
         for granter, pending in holder.pending.items():
-            if pending.sent_at >= self._began and granter not in self._denied | self.unsent:
+            if pending.sent_at_us >= self._round_started_us and granter not in self._denied_by | self.unsent:
                 self._unresponsive.setdefault(granter, now)
         group = self._group
-        done = {n for n in group if all(holder.requested_at(owner, n) >= self._began for owner in wanted)}
-        targets = [n for n in group if n not in done and n not in self._denied and n != self._me]
+        granted = {
+            n
+            for n in group
+            if all(holder.requested_at(owner, n) >= self._round_started_us for owner in wanted)
+        }
+        targets = [
+            n for n in group if n not in granted and n not in self._denied_by and n != self._local_router
+        ]
         responsive = [n for n in targets if n not in self._unresponsive]
-        if responsive and len(done) + len(responsive) >= majority(group):
+        if responsive and len(granted) + len(responsive) >= majority_votes(group):
             targets = responsive
-        if self._lacked_room:  # asking all would leave room for none
-            got = min(sum(votes(owner, n, group) for n in done) for owner in wanted)
-            targets = targets[: max(1, majority(group) - got)]
+        if self._lacked_room:  # requests to all granters would take all the room on the channel
+            vote_count = min(sum(votes_of(owner, n, group) for n in granted) for owner in wanted)
+            targets = targets[: max(1, majority_votes(group) - vote_count)]
         self._failures += 1
-        pause = min(length // 4, RETRY_US * self._failures)
-        self._retry_at = max(self._retry_at, now + pause)
+        backoff_us = min(lease_us // 4, RETRY_US * self._failures)
+        self._next_round_us = max(self._next_round_us, now + backoff_us)
         return targets
--- a/slipbay/quota/lender_choice.py
+++ b/slipbay/quota/lender_choice.py
@@ -7,7 +7,7 @@
 from slipbay.quota.account import QuotaAccount
 from slipbay.quota.accounts import QuotaAccounts
 from slipbay.quota.demand import DemandPool
-from slipbay.quota.leases.granter import NOBODY
+from slipbay.quota.leases.granter import NO_ROUTER
 from slipbay.quota.peer_replies import PeerReplies
 
 SECOND = 1_000_000
@@ -65,6 +65,6 @@
         others = {
             leases.locations.holder_of(owner)
             for owner in self._replies.missed
-            if leases.locations.knows(owner) and self._quotas.bases[key][owner]
+            if leases.locations.is_known(owner) and self._quotas.bases[key][owner]
         }
-        return [*holders, *(others - {self._quotas.me, NOBODY, *holders})]
+        return [*holders, *(others - {self._quotas.me, NO_ROUTER, *holders})]
--- a/slipbay/quota/outbox.py
+++ b/slipbay/quota/outbox.py
@@ -42,7 +42,7 @@
 
     def keep(self, now: int, to: int, body: bytes) -> None:
         """A message found no room."""
-        if self._leases is not None and self._leases.found_no_room(now, to, body):
+        if self._leases is not None and self._leases.handle_unsent(now, to, body):
             key = to, body[0]
             self._unsent[key] = self._resent.pop(key, now), body
             self._counts["no room at first"] += 1
@@ -56,7 +56,7 @@
         self._resent = {
             key: since
             for key, (since, body) in tried.items()
-            if now - since < RESEND_FOR_US and self._leases.found_no_room(now, key[0], body)
+            if now - since < RESEND_FOR_US and self._leases.handle_unsent(now, key[0], body)
         }
         requests = {to for to, kind in self._resent if kind == MessageType.LEASE_REQUEST}
         self._leases.renewal.unsent = requests
--- a/slipbay/quota/shares.py
+++ b/slipbay/quota/shares.py
@@ -175,7 +175,7 @@
         lent = self.lent.get(borrower)
         if lent is None:
             lent = self.lent[borrower] = LentShare(tag)
-        elif not later(tag, lent.tag):
+        elif not is_later_tag(tag, lent.tag):
             return False
         lent.tag = tag
         lent.grants = [
@@ -223,6 +223,6 @@
                 del self.borrowed[lender]
 
 
-def later(tag: int, than: int) -> bool:
+def is_later_tag(tag: int, than: int) -> bool:
     """Which of two request tags, which wrap at 32 bits, is later."""
     return 0 < (tag - than) % 2**32 < 2**31
--- a/slipbay/quota/status.py
+++ b/slipbay/quota/status.py
@@ -7,7 +7,7 @@
 
 from slipbay.quota.account import QuotaAccount
 from slipbay.quota.borrowing import BorrowingStateMachine
-from slipbay.quota.leases.granter import NOBODY
+from slipbay.quota.leases.granter import NO_ROUTER
 from slipbay.quota.leases.manager import LeaseManager
 from slipbay.quota.shares import WHOLE
 
@@ -65,7 +65,7 @@
         "promised": {
             str(owner): holder
             for owner in granter.records
-            if (holder := granter.remaining(now, owner)[0]) != NOBODY
+            if (holder := granter.remaining(now, owner)[0]) != NO_ROUTER
         },
         "counts": dict(leases.messages.counts),
     }
--- a/tests/explore_quota.py
+++ b/tests/explore_quota.py
@@ -313,7 +313,7 @@
                 self.send(me, [(other, self._start_body(stated, state or StartState.REPLY_WANTED))])
             case "end":
                 self.ends -= 1
-                self.send(me, manager.end(now, self.shares[me].all_back_at(now)))
+                self.send(me, manager.start_shutdown(now, self.shares[me].all_back_at(now)))
             case "borrow":
                 self.grants -= 1
                 self._ask(me, other, WHOLE)
--- a/tests/test_explore_quota.py
+++ b/tests/test_explore_quota.py
@@ -213,14 +213,14 @@
 ) -> None:
     """What is left of a grant is counted from now on: without the drift of what has gone by."""
     record = self.records.get(owner)
-    if record is not None and record.holder == holder and shares.later(tag, record.tag):
+    if record is not None and record.holder == holder and shares.is_later_tag(tag, record.tag):
         left = record.grant.granted + record.grant.length - now
         self.records[owner] = LeaseRecord(holder, tag, GrantedLease(now, max(0, min(length, left))))
 
 
 def _any_grant(self: LeaseHolder, granter_number: int, tag: int, owners: Iterable[int], length: int) -> bool:
     """To any incarnation, to any request."""
-    at = self.pending[granter_number].sent_at if granter_number in self.pending else 2**40
+    at = self.pending[granter_number].sent_at_us if granter_number in self.pending else 2**40
     for owner in owners:
         self.leases.setdefault(owner, {})[granter_number] = HeldLease(at, length)
     return True
@@ -233,13 +233,13 @@
         (LeaseHolder, "shorten", _not_cut, ()),
         (LeaseGranter, "shorten", _shortened_at_any_time, (1, *LATE_END)),
         (LeaseGranter, "shorten", _counted_anew, (4, *LENT, *LATE_END[:2], LATE_END[1])),
-        (groups, "majority", _half, None),
+        (groups, "majority_votes", _half, None),
         (granter, "wait_after_start", _no_wait, None),
         (GrantedLease, "over", _over_without_drift, (4,)),
         (Shares, "lendable", _to_the_end_of_time, (4, *LENT)),
         (LeaseGranter, "grant", _granted_twice, None),
         (LeaseGranter, "release", _left_at_any_time, (5, *LATE)),
-        (LeaseHolder, "granted", _any_grant, None),
+        (LeaseHolder, "record_grants", _any_grant, None),
     ],
 )
 def test_faults_put_into_leases_are_found(
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -29,7 +29,7 @@
 from slipbay.quota.codec import BorrowEntry, BorrowMessage, LeaseEntry, LeaseMessage, MessageType
 from slipbay.quota.demand import DemandPool
 from slipbay.quota.guarantees import excess, explain
-from slipbay.quota.leases.groups import group_of
+from slipbay.quota.leases.groups import granter_group
 from slipbay.quota.leases.manager import LeaseManager
 from slipbay.quota.metrics import exposition
 from slipbay.quota.plan import CLOCKS, Quota, QuotaPlan, key_of
@@ -298,10 +298,10 @@
 
 @given(st.integers(1, 400), st.integers(1, 20), st.integers(0, 399))
 def test_granters_are_each_others_and_lie_evenly(size: int, wardens: int, me: int) -> None:
-    group = group_of(me % size, size, wardens)
+    group = granter_group(me % size, size, wardens)
     assert min(size, wardens) <= len(group) < max(size, 2 * wardens) + (size < 2 * wardens)
     assert me % size in group
-    assert all(group_of(other, size, wardens) == group for other in group)
+    assert all(granter_group(other, size, wardens) == group for other in group)
     for zones in (2, 3, 5):
         if len(group) > 2 * zones:
             assert max(Counter(n % zones for n in group).values()) < len(group)
