--- a/slipbay/quota/__init__.py
+++ b/slipbay/quota/__init__.py
@@ -1,1 +1,1 @@
-"""One quota for a tenant over the whole fleet (docs/quota.md)."""
+"""Quotas that a tenant's requests share over all routers of the fleet (docs/quota.md)."""
--- a/slipbay/quota/account.py
+++ b/slipbay/quota/account.py
@@ -1,126 +1,137 @@
-"""One quota at one router: admission by tokens that fill by its share, and when refused clients return."""
+"""One quota at one router: admits requests from a token bucket that fills at the rate of the router's share,
+and spreads the retries of rejected clients.
+"""
 
 from __future__ import annotations
 
 from collections import Counter
 
 from slipbay.quota.demand_meter import DemandMeter
-from slipbay.quota.plan import EVEN_BURST, Quota, QuotaPlan
-from slipbay.quota.shares import WHOLE, Shares
+from slipbay.quota.plan import EVEN_BURST_FRACTION, Quota, QuotaPlan
+from slipbay.quota.shares import SHARE_UNITS, Shares
 from slipbay.quota.token_bucket import TokenBucket
 
 SECOND = 1_000_000
-MAX_QUEUE_US = 30 * SECOND  # the longest that a refused client is asked to wait
-MIN_RETRY_US = SECOND // 10  # where nothing fills
+MAX_QUEUE_US = 30 * SECOND  # longest delay before a rejected client's retry
+MIN_RETRY_US = SECOND // 10  # shortest delay while the bucket does not fill
 
 
 class QuotaAccount:
-    """Decides on requests from what this router holds alone. Times are us."""
+    """Admits requests by the tokens that this router has, without messages to others. Times are in us."""
 
-    def __init__(self, plan: QuotaPlan, quota: Quota, routers: int, shares: Shares, now: int) -> None:
+    def __init__(self, plan: QuotaPlan, quota: Quota, router_count: int, shares: Shares, now: int) -> None:
         self.shares = shares
-        self.routers = routers
-        self.names = list(quota.parts)
+        self.router_count = router_count
+        self.part_names = list(quota.parts)
         self.bucket = TokenBucket(list(quota.parts.values()))
-        self._filled = now
+        self._filled_at_us = now
         self.counts: Counter[str] = Counter()
         self.open = 0
-        self.running_routers = routers  # by which a soft quota's shares are divided
+        self.running_routers = router_count  # a soft quota is divided among these
         self.meter = DemandMeter(now)
-        self._next_return = 0  # when the last of those refused was asked to return
+        self._next_retry_us = 0  # the latest time that a rejected client got for its retry
         self.follow_plan(plan, quota)
-        self.share, self._until = shares.usable(now)
+        self.share_units, self._valid_until_us = shares.usable(now)
         self._set_rates()
 
     def follow_plan(self, plan: QuotaPlan, quota: Quota) -> None:
-        """Another plan; ``changed`` is to be called after."""
+        """Apply a new plan; the caller must call ``update_share`` afterwards."""
         self.quota = quota
-        self._slow = 1.0 - plan.slow
+        self._fill_factor = 1.0 - plan.slowdown
 
     def _set_rates(self) -> None:
-        """Rate and cap of what is held."""
+        """Compute the bucket's rate and cap, and the maximum of open requests, from the share."""
         quota = self.quota
-        part = self.share / WHOLE
-        even = 1 / self.routers
+        share_fraction = self.share_units / SHARE_UNITS
+        even_fraction = 1 / self.router_count
         if quota.soft > 1:
-            times = min(quota.soft, self.routers / max(1, self.running_routers))
-            part = part * times
-            even = even * times
-        self.rate = quota.rate * part * self._slow / SECOND  # tokens a us
-        least = 0.0 if quota.exact or not self.share else 1.0
-        self.cap = max(least, quota.burst * (EVEN_BURST * even + (1 - EVEN_BURST) * part))
-        self.max_open = max(1, int(quota.open * part)) if quota.open else 0
+            soft_factor = min(quota.soft, self.router_count / max(1, self.running_routers))
+            share_fraction = share_fraction * soft_factor
+            even_fraction = even_fraction * soft_factor
+        self.rate = quota.rate * share_fraction * self._fill_factor / SECOND  # tokens per us
+        min_cap = 0.0 if quota.exact or not self.share_units else 1.0
+        self.cap = max(
+            min_cap,
+            quota.burst * (EVEN_BURST_FRACTION * even_fraction + (1 - EVEN_BURST_FRACTION) * share_fraction),
+        )
+        self.max_open = max(1, int(quota.open * share_fraction)) if quota.open else 0
 
     @property
     def even_rate(self) -> float:
-        """Requests a second of an even share."""
-        return self.quota.rate / self.routers
+        """Requests per second of an even share."""
+        return self.quota.rate / self.router_count
 
     @property
     def demand(self) -> float:
-        """Requests a second that are asked for here."""
+        """Requests per second that clients send to this router."""
         return self.meter.rate
 
-    def settle(self, now: int) -> None:
-        """Fill until now, and see which shares have ended; called before whatever changes them."""
-        if now < self._until and not self.names:  # as nearly always
-            if now > self._filled:
-                tokens = self.bucket.tokens + (now - self._filled) * self.rate
+    def advance(self, now: int) -> None:
+        """Fill the bucket up to ``now``, and apply shares that start or end before; must be called before any
+        change of the shares.
+        """
+        if now < self._valid_until_us and not self.part_names:  # fast path for nearly all calls
+            if now > self._filled_at_us:
+                tokens = self.bucket.tokens + (now - self._filled_at_us) * self.rate
                 self.bucket.tokens = tokens if tokens < self.cap else self.cap
-                self._filled = now
+                self._filled_at_us = now
             return
-        while self._until <= now:
-            self._fill(self._until)
-            self.share, self._until = self.shares.usable(self._until)
+        while self._valid_until_us <= now:
+            self._fill(self._valid_until_us)
+            self.share_units, self._valid_until_us = self.shares.usable(self._valid_until_us)
             self._set_rates()
             self.bucket.fill(0.0, self.cap)
         self._fill(now)
 
-    def changed(self, now: int) -> None:
-        """Shares, the plan or the running routers changed; tokens beyond the new cap are lost."""
-        self.share, self._until = self.shares.usable(now)
+    def update_share(self, now: int) -> None:
+        """Apply changes of the shares, the plan or the running routers; drop tokens above the new cap."""
+        self.share_units, self._valid_until_us = self.shares.usable(now)
         self._set_rates()
         self.bucket.fill(0.0, self.cap)
 
     def _fill(self, now: int) -> None:
-        if now > self._filled:
-            self.bucket.fill((now - self._filled) * self.rate, self.cap)
-            self._filled = now
+        if now > self._filled_at_us:
+            self.bucket.fill((now - self._filled_at_us) * self.rate, self.cap)
+            self._filled_at_us = now
 
     def wait(self, now: int, part: int | None, tokens: int = 1) -> int:
-        """0: a request may be admitted now. Else after how many us a token should be there.
+        """Return 0 if a request may be admitted now, else the delay in us until a token should be available.
 
-        ``tokens``: as others follow it at once; no more are wanted than this router ever holds.
+        ``tokens`` is above 1 if further requests follow at once; no more are required than the cap.
         """
         self.meter.count += 1
-        self.settle(now)
+        self.advance(now)
         if self.max_open and self.open + min(tokens, self.max_open) > self.max_open:
             self.counts["refused: open"] += 1
-            return max(1, self._return_after(now, 0.5))
-        lack = self.bucket.needs(part) - self.bucket.tokens
+            return max(1, self._retry_delay(now, 0.5))
+        missing_tokens = self.bucket.needs(part) - self.bucket.tokens
         if tokens > 1:
-            lack = max(lack, min(lack + tokens - 1, self.cap - self.bucket.tokens))
-        if lack <= 0:
+            missing_tokens = max(
+                missing_tokens, min(missing_tokens + tokens - 1, self.cap - self.bucket.tokens)
+            )
+        if missing_tokens <= 0:
             return 0
-        self.meter.count += max(0, tokens - 1)  # else they would ask for themselves
+        self.meter.count += max(0, tokens - 1)  # the requests that would have followed
         self.counts["refused: rate" if self.shares.start_wait_over(now) else "refused: new"] += 1
-        return self._return_after(now, lack)
+        return self._retry_delay(now, missing_tokens)
 
-    def _return_after(self, now: int, lack: float) -> int:
-        """A place in the row of those refused: each returns when one more token is there."""
+    def _retry_delay(self, now: int, missing_tokens: float) -> int:
+        """Return the delay in us before a rejected client's retry. Successive rejected clients retry one by
+        one, each when one more token is available.
+        """
         if not self.rate:
-            return min(MAX_QUEUE_US, max(MIN_RETRY_US, self._until - now))
-        first = now + lack / self.rate
-        row = self._next_return + 1 / self.rate if self._next_return > now else 0.0
-        self._next_return = int(min(max(first, row), now + MAX_QUEUE_US))
-        return max(1, self._next_return - now)
+            return min(MAX_QUEUE_US, max(MIN_RETRY_US, self._valid_until_us - now))
+        earliest_us = now + missing_tokens / self.rate
+        queued_us = self._next_retry_us + 1 / self.rate if self._next_retry_us > now else 0.0
+        self._next_retry_us = int(min(max(earliest_us, queued_us), now + MAX_QUEUE_US))
+        return max(1, self._next_retry_us - now)
 
     def take(self, part: int | None) -> None:
-        """A request for which ``wait`` was 0 is admitted."""
+        """Admit a request for which ``wait`` returned 0."""
         self.counts["admitted"] += 1
         self.open += 1
         self.bucket.take(part)
 
     def update_demand(self, now: int) -> None:
-        """Follow demand; called each few hundred ms."""
+        """Update the demand estimate; called every few hundred ms."""
         self.meter.update(now, self.even_rate)
--- a/slipbay/quota/accounts.py
+++ b/slipbay/quota/accounts.py
@@ -1,4 +1,4 @@
-"""A router's quotas: plan, accounts, shares, and who has which base share."""
+"""The local router's quotas: the plan, accounts, shares, and each router's base share."""
 
 from __future__ import annotations
 
@@ -6,85 +6,94 @@
 from slipbay.quota.account import QuotaAccount
 from slipbay.quota.leases.manager import LeaseManager
 from slipbay.quota.plan import QuotaPlan, key_of
-from slipbay.quota.shares import WHOLE, BaseShare, Shares, base_shares
+from slipbay.quota.shares import SHARE_UNITS, BaseShare, Shares, base_shares
 
 
 class QuotaAccounts:
-    """Accounts of the quotas in the plan, and shares of those that once were in it. Times are us."""
+    """Accounts of the quotas in the plan, and shares of these and of quotas that were removed from it.
+
+    Times are in us.
+    """
 
     def __init__(
-        self, me: int, size: int, plan: QuotaPlan, clocks: ClockBounds, leases: LeaseManager | None, now: int
+        self,
+        local_router: int,
+        router_count: int,
+        plan: QuotaPlan,
+        clocks: ClockBounds,
+        leases: LeaseManager | None,
+        now: int,
     ) -> None:
-        """``leases``: None where each router has its base share for good."""
-        self.me = me
-        self.size = size
+        """``leases`` is None if each router owns its base share without a lease."""
+        self.local_router = local_router
+        self.router_count = router_count
         self.plan = plan
-        self.layout = plan.layout(size)
-        self.even = WHOLE / size  # an even share, in parts of the whole
+        self.layout = plan.layout(router_count)
+        self.even_share = SHARE_UNITS / router_count  # an even share, in share units
         self.leases = leases
         self.accounts: dict[int, QuotaAccount] = {}  # by key
-        self.held: dict[int, int] = {}  # owners whose base shares are leased to this router, and until when
-        self.bases: dict[int, list[int]] = {}  # by key, what each router has of it beyond its reserve
-        self.holders: dict[int, list[int]] = {}  # by key, routers with more than the reserve, but this one
-        self.contacts: dict[int, list[int]] = {}  # the same, in the order in which this router turns to them
-        self._shares: dict[int, Shares] = {}  # of quotas that are no longer in the plan too
+        self.held: dict[int, int] = {}  # owners whose base shares are leased to this router, and the ends
+        self.bases: dict[int, list[int]] = {}  # by key, each router's base share without its reserve
+        self.holders: dict[int, list[int]] = {}  # by key, other routers with more than the reserve
+        self.contacts: dict[int, list[int]] = {}  # the same, in the order of this router's requests
+        self._shares: dict[int, Shares] = {}  # by key, also of quotas that were removed from the plan
         self._clocks = clocks
-        self._adopt(plan, now)
+        self._apply_plan(plan, now)
 
-    def _adopt(self, plan: QuotaPlan, now: int) -> None:
+    def _apply_plan(self, plan: QuotaPlan, now: int) -> None:
         for quota in plan.quotas:
             key = key_of(quota.name)
             if key not in self._shares:
                 self._add_shares(plan, key, now)
-            self.accounts[key] = QuotaAccount(plan, quota, self.size, self._shares[key], now)
+            self.accounts[key] = QuotaAccount(plan, quota, self.router_count, self._shares[key], now)
         if self.leases is not None:
-            owners = {n for key in self.accounts for n, part in enumerate(self.bases[key]) if part}
+            owners = {n for key in self.accounts for n, units in enumerate(self.bases[key]) if units}
             self.leases.follow_plan(plan.version, self.layout, plan.term_ms * 1000, owners)
 
     def _add_shares(self, plan: QuotaPlan, key: int, now: int) -> None:
-        bases = base_shares(self.size, plan.holders, plan.reserve, key % self.size)
-        least = int(WHOLE * plan.reserve / self.size)
-        self.bases[key] = [part - least for part in bases]
-        own = least if self.leases is not None else bases[self.me]
-        self._shares[key] = Shares(self._clocks, now, plan.longest_ms * 1000, own, least)
-        holders = [n for n, part in enumerate(bases) if part > least]
-        self.holders[key] = [n for n in holders if n != self.me]
-        first = self.me % len(holders) if holders else 0
-        self.contacts[key] = [n for n in holders[first:] + holders[:first] if n != self.me]
+        bases = base_shares(self.router_count, plan.holders, plan.reserve, key % self.router_count)
+        reserve_units = int(SHARE_UNITS * plan.reserve / self.router_count)
+        self.bases[key] = [units - reserve_units for units in bases]
+        owned_units = reserve_units if self.leases is not None else bases[self.local_router]
+        self._shares[key] = Shares(self._clocks, now, plan.longest_ms * 1000, owned_units, reserve_units)
+        holders = [n for n, units in enumerate(bases) if units > reserve_units]
+        self.holders[key] = [n for n in holders if n != self.local_router]
+        offset = self.local_router % len(holders) if holders else 0
+        self.contacts[key] = [n for n in holders[offset:] + holders[:offset] if n != self.local_router]
 
     def follow_plan(self, now: int, plan: QuotaPlan) -> None:
-        """Another plan. Shares stay as they are, as they are parts of whatever the plan says.
+        """Apply a new plan. Shares stay as they are, as they are fractions of the rates in the plan.
 
-        What is new in it begins as after a start: it may be the new name of what others still hold under the
-        old one.
+        A new quota starts like a quota after the start of the router: it may be an old one under a new name,
+        of which other routers still hold shares.
         """
-        before = self.accounts
+        old_accounts = self.accounts
         self.plan = plan
         self.accounts = {}
-        for account in before.values():
-            account.settle(now)
-        self._adopt(plan, now)
+        for account in old_accounts.values():
+            account.advance(now)
+        self._apply_plan(plan, now)
         for key, account in self.accounts.items():
-            old = before.get(key)
+            old = old_accounts.get(key)
             if old is not None and old.quota.parts == account.quota.parts:
                 old.follow_plan(plan, account.quota)
-                old.changed(now)
+                old.update_share(now)
                 self.accounts[key] = old
             elif old is None:
                 shares = account.shares
-                shares.usable_from = max(shares.usable_from, shares.waits_until)
+                shares.usable_from_us = max(shares.usable_from_us, shares.waits_until)
         self._set_bases(now)
 
     def resized(self, now: int, running: int) -> None:
-        """How many routers run, for soft quotas."""
+        """Set the number of running routers, for soft quotas."""
         for account in self.accounts.values():
             if account.quota.soft > 1 and account.running_routers != running:
-                account.settle(now)
+                account.advance(now)
                 account.running_routers = running
-                account.changed(now)
+                account.update_share(now)
 
     def follow_leases(self, now: int) -> None:
-        """Let shares be as the leases have them."""
+        """Update the shares from the leases that this router holds."""
         if self.leases is None:
             return
         held = self.leases.held(now)
@@ -93,13 +102,13 @@
             self._set_bases(now)
 
     def _set_bases(self, now: int) -> None:
-        """Of quotas that are in no plan any more, too: what is lent of them may be out."""
+        """Set the base shares of all quotas, also of removed ones, whose lent shares may not have ended."""
         if self.leases is None:
             return
         for key, shares in self._shares.items():
             account = self.accounts.get(key)
             if account is not None:
-                account.settle(now)
+                account.advance(now)
             bases = {
                 owner: BaseShare(amount, now, ends)
                 for owner, ends in self.held.items()
@@ -107,16 +116,16 @@
             }
             shares.set_bases(now, bases)
             if account is not None:
-                account.changed(now)
+                account.update_share(now)
 
     def is_holder(self, key: int) -> bool:
-        """Whether this router has more of a quota than its reserve."""
-        return self.bases[key][self.me] > 0
+        """Return whether this router has a base share of a quota beyond its reserve."""
+        return self.bases[key][self.local_router] > 0
 
     def start_wait_over(self, now: int) -> bool:
-        """Whether all that an earlier incarnation lent of any quota in the plan has come back."""
+        """Return whether all shares that an earlier incarnation lent of the plan's quotas have ended."""
         return all(account.shares.start_wait_over(now) for account in self.accounts.values())
 
     def all_shares(self) -> list[Shares]:
-        """Of quotas that are no longer in the plan too."""
+        """Return the shares of all quotas, also of those that were removed from the plan."""
         return list(self._shares.values())
--- a/slipbay/quota/admission_gate.py
+++ b/slipbay/quota/admission_gate.py
@@ -1,4 +1,4 @@
-"""Admits a request where each quota that it falls under has a token at this router now."""
+"""Admits a request if each quota that applies to it has a token at this router."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from slipbay.quota.plan import key_of, quotas_of
 
 SPREAD_PERIOD = 1_000_000
-SPREAD_STEP = 618_034  # the golden section: neighbours land far apart
+SPREAD_STEP = 618_034  # golden section of the period, so that successive retries are far apart
 
-Route: TypeAlias = tuple[tuple[QuotaAccount, int | None], ...]
+MatchingAccounts: TypeAlias = tuple[tuple[QuotaAccount, int | None], ...]
 
 
 class QuotaAdmissionGate:
-    """An admission gate of the dispatcher. No request waits for a message, whatever its class."""
+    """An admission gate of the dispatcher. It decides at once; no request waits for a message."""
 
     def __init__(
         self,
@@ -27,23 +27,23 @@
         fresh_now: Callable[[], int],
         max_retry_after_us: int,
     ) -> None:
-        """``fresh_now``: the time as it is, as the process may have stood still. ``max_retry_after_us``: the
-        longest that a rejected client is asked to wait.
+        """``fresh_now`` reads the clock, as the process may have been stopped since the event started.
+        ``max_retry_after_us`` is the longest Retry-After for a rejected client.
         """
         self._machine = machine
         self._tenants = list(tenants)
         self._classes = list(classes)
         self._fresh_now = fresh_now
         self._max_retry_after_us = max_retry_after_us
-        self._routes: dict[tuple[int, int], Route] = {}
-        self._open: dict[int, Route] = {}  # by request
+        self._cache: dict[tuple[int, int], MatchingAccounts] = {}
+        self._open: dict[int, MatchingAccounts] = {}  # by request
         self._spread = 0
 
     def plan_changed(self) -> None:
-        """Another plan is followed."""
-        self._routes.clear()
+        """Drop cached routes after a change of the plan."""
+        self._cache.clear()
 
-    def _route(self, tenant: int, class_: int) -> Route:
+    def _find_accounts(self, tenant: int, class_: int) -> MatchingAccounts:
         names = (
             self._tenants[tenant] if tenant < len(self._tenants) else "",
             self._classes[class_] if class_ < len(self._classes) else "",
@@ -51,40 +51,42 @@
         found = []
         for quota in quotas_of(self._machine.plan, *names):
             account = self._machine.accounts[key_of(quota.name)]
-            part = next((place for place, name in enumerate(account.names) if name in names), None)
+            part = next(
+                (cache_key for cache_key, name in enumerate(account.part_names) if name in names), None
+            )
             found.append((account, part))
         return tuple(found)
 
     def admit(self, request: Request) -> int | None:
-        """None: it is admitted. Else after how many us its client should return."""
+        """Admit a request and return None, or return the delay in us for its Retry-After."""
         if not request.quota_tokens:
             return None
-        place = request.tenant, request.service_class
-        route = self._routes.get(place)
-        if route is None:
-            route = self._routes[place] = self._route(*place)
-        if not route:
+        cache_key = request.tenant, request.service_class
+        accounts = self._cache.get(cache_key)
+        if accounts is None:
+            accounts = self._cache[cache_key] = self._find_accounts(*cache_key)
+        if not accounts:
             return None
         now = self._fresh_now()
-        longest = 0
-        for account, part in route:
-            longest = max(longest, account.wait(now, part, request.quota_tokens))
-        if longest:
-            return self._retry_after(longest)
-        for account, part in route:
+        max_delay_us = 0
+        for account, part in accounts:
+            max_delay_us = max(max_delay_us, account.wait(now, part, request.quota_tokens))
+        if max_delay_us:
+            return self._retry_after(max_delay_us)
+        for account, part in accounts:
             account.take(part)
-        self._open[request.id] = route
+        self._open[request.id] = accounts
         return None
 
-    def _retry_after(self, wait: int) -> int:
-        """Those who would have to wait too long are spread over the half before the longest wait."""
-        longest = self._max_retry_after_us
-        if wait <= longest:
-            return wait
+    def _retry_after(self, delay_us: int) -> int:
+        """Limit a delay to the maximum. Clients with longer delays are spread over the second half of it."""
+        max_delay_us = self._max_retry_after_us
+        if delay_us <= max_delay_us:
+            return delay_us
         self._spread = (self._spread + SPREAD_STEP) % SPREAD_PERIOD
-        return longest - longest // 2 * self._spread // SPREAD_PERIOD
+        return max_delay_us - max_delay_us // 2 * self._spread // SPREAD_PERIOD
 
     def release(self, request: Request) -> None:
-        """An admitted request has ended."""
+        """Record the end of an admitted request."""
         for account, _ in self._open.pop(request.id, ()):
             account.open -= 1
--- a/slipbay/quota/borrowing.py
+++ b/slipbay/quota/borrowing.py
@@ -1,8 +1,9 @@
-"""One router's part in the quotas of the fleet.
+"""State machine of one router for the quotas of the fleet.
 
-A router whose demand is above its share asks others, some at a time; one whose demand is below lends for a
-lease. Demand only steers this; the bound stands on ``Shares`` and on leases alone. An endpoint of the
-channel: without I/O, clock or randomness of its own.
+A router whose demand exceeds its share sends borrow requests to a few others at a time; a router with less
+demand lends for the duration of a lease. Demand only decides who borrows how much; the quota's upper bound
+depends on ``Shares`` and leases alone. The state machine is an endpoint of the peer channel. It does no I/O;
+the caller passes the time and a source of random numbers.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from slipbay.quota.account import QuotaAccount
 from slipbay.quota.accounts import QuotaAccounts
 from slipbay.quota.borrow_requests import Borrower, Requests
-from slipbay.quota.codec import HEAD, BorrowMessage, LeaseMessage, MessageType, decode, encode
+from slipbay.quota.codec import HEADER, BorrowMessage, LeaseMessage, MessageType, decode, encode
 from slipbay.quota.demand import DemandPool
 from slipbay.quota.fleet_start import FleetStart, StartState
 from slipbay.quota.leases.manager import LeaseManager
@@ -29,37 +30,55 @@
 
 SECOND = 1_000_000
 TICK_US = 100_000
-MIN_SIZE_FOR_LEASES = 3  # of two, each alone is the majority for what is its own
-RETRY_US = 300_000  # base shares are released anew if more came back so much earlier
-LOCATE_US = SECOND  # between two questions who has base shares
-MIN_REPORT_US = 250_000  # between two reports of a holder to other holders
-HOLDER_REPORT_US = 40_000  # and so many times the routers to a holder: what is left for messages then
-REPORTS_PER_S = 4  # that a holder of one quota gets from routers that are none
-REPORT_AGE = 1.5  # times a round of reports: for so long counts what a router said of itself
+MIN_ROUTERS_FOR_LEASES = 3  # with two routers, each owner alone is a majority for its own base share
+RETRY_US = 300_000  # base shares are released again if lent shares return this much earlier than announced
+LOCATE_INTERVAL_US = SECOND  # interval between queries for the holders of base shares
+MIN_REPORT_INTERVAL_US = 250_000  # shortest interval between reports of a holder to other holders
+HOLDER_REPORT_INTERVAL_US = 40_000  # multiplied by the routers per holder; leaves budget for other messages
+REPORTS_PER_S = 4  # reports that a holder of one quota receives per second from routers that hold none of it
+REPORT_ROUNDS = 1.5  # reports expire after this many rounds of reports
 
 
 class BorrowingStateMachine:
-    """Dispatches messages and time to the parts that own their state. Times are us of this router's clock."""
+    """Dispatches messages and ticks to the objects that own the state.
+
+    Times are in us of the local router's clock.
+    """
 
     def __init__(
-        self, me: int, size: int, plan: QuotaPlan, random: Random, now: int, *, clocks: ClockBounds = CLOCKS
+        self,
+        local_router: int,
+        router_count: int,
+        plan: QuotaPlan,
+        random: Random,
+        now: int,
+        *,
+        clocks: ClockBounds = CLOCKS,
     ) -> None:
-        self.me = me
-        self.size = size
+        self.local_router = local_router
+        self.router_count = router_count
         self.counts: Counter[str] = Counter()
-        self.peer_versions: dict[int, int] = {}  # by router, the version of the plan that it follows
+        self.peer_versions: dict[int, int] = {}  # by router, the version of the plan that it applies
         self.leases: LeaseManager | None = None
-        if plan.wardens and size >= MIN_SIZE_FOR_LEASES:
-            self.leases = LeaseManager(me, size, plan.wardens, clocks, now, plan.longest_ms * 1000)
-        self.quotas = QuotaAccounts(me, size, plan, clocks, self.leases, now)
+        if plan.wardens and router_count >= MIN_ROUTERS_FOR_LEASES:
+            self.leases = LeaseManager(
+                local_router, router_count, plan.wardens, clocks, now, plan.longest_ms * 1000
+            )
+        self.quotas = QuotaAccounts(local_router, router_count, plan, clocks, self.leases, now)
         self.budget = SendBudget(plan.bytes_per_s, now)
         self.shutdown = Shutdown()
-        holders = min(size, plan.holders)
-        report_us = max(2 * MIN_REPORT_US, int(SECOND * size / holders / REPORTS_PER_S))
-        holder_report_us = max(MIN_REPORT_US, int(HOLDER_REPORT_US * size / holders))
-        report_age_us = int(REPORT_AGE * max(2 * report_us, holders * holder_report_us, SECOND))
+        holders = min(router_count, plan.holders)
+        report_interval_us = max(
+            2 * MIN_REPORT_INTERVAL_US, int(SECOND * router_count / holders / REPORTS_PER_S)
+        )
+        holder_report_interval_us = max(
+            MIN_REPORT_INTERVAL_US, int(HOLDER_REPORT_INTERVAL_US * router_count / holders)
+        )
+        max_report_age_us = int(
+            REPORT_ROUNDS * max(2 * report_interval_us, holders * holder_report_interval_us, SECOND)
+        )
         self._replies = PeerReplies()
-        self.demand = DemandPool(self.quotas, self._replies, random, report_age_us)
+        self.demand = DemandPool(self.quotas, self._replies, random, max_report_age_us)
         self._lender = Lender(self.quotas, self.demand, self.budget, self.shutdown, self.counts)
         self._borrower = Borrower(
             self.quotas,
@@ -69,19 +88,20 @@
             self.budget,
             random,
             self.counts,
-            report_us,
-            holder_report_us,
+            report_interval_us,
+            holder_report_interval_us,
         )
         self._outbox = LeaseOutbox(self.leases, self.budget, self.shutdown, self.counts)
         self._start_wait: StartWait | None = None
-        self._started = now
-        self._due = now
-        self._located_at = now
-        self._locates = self.leases is not None and holders < size  # else the owner itself is asked
+        self._started_us = now
+        self._next_tick_us = now
+        self._located_at_us = now
+        # If all routers are holders, requests go to the owner itself, and no holder has to be located.
+        self._must_locate = self.leases is not None and holders < router_count
 
     @property
     def plan(self) -> QuotaPlan:
-        """The plan that this router follows."""
+        """The plan that this router applies."""
         return self.quotas.plan
 
     @property
@@ -90,77 +110,81 @@
         return self.quotas.accounts
 
     def set_incarnation(self, incarnation: int) -> None:
-        """What others see this incarnation as: it may then find out that all are new."""
-        fleet_start = FleetStart(self.me, self.size, incarnation)
-        self._start_wait = StartWait(self.quotas, fleet_start, self.counts, self._started)
+        """Set the incarnation that other routers see. With it this router can detect that all restarted."""
+        fleet_start = FleetStart(self.local_router, self.router_count, incarnation)
+        self._start_wait = StartWait(self.quotas, fleet_start, self.counts, self._started_us)
 
     def follow_plan(self, now: int, plan: QuotaPlan) -> None:
-        """Another plan, which was checked to be one that may follow."""
+        """Apply a new plan; the caller has checked that it may replace the current one."""
         self.quotas.follow_plan(now, plan)
         self.budget.bytes_per_s = plan.bytes_per_s
 
     def resized(self, now: int, running: int) -> None:
-        """How many routers run, for soft quotas."""
+        """Set the number of running routers, for soft quotas."""
         self.quotas.resized(now, running)
 
-    def end(self, by: int) -> None:
-        """Shutdown: requests are taken until ``by``. Shortly before that all that was lent is asked for, and
-        everything held is released, so that the next incarnation, or others, need not wait.
+    def end(self, deadline_us: int) -> None:
+        """Start the shutdown: this router accepts requests until ``deadline_us``.
+
+        Shortly before that it recalls all lent shares and releases all base shares, so that the next
+        incarnation and other routers need not wait for them.
         """
-        self.shutdown.begin(by)
+        self.shutdown.start(deadline_us)
 
     def unsent(self, now: int, to: int, body: bytes) -> None:
-        """The channel had no room for a message."""
+        """Handle a message that the channel had no room for."""
         self.budget.refund(len(body))
         self._outbox.keep(now, to, body)
 
     # Messages
 
-    def receive(self, now: int, sender: int, life: int, body: bytes) -> list[Send]:
-        """A message of another router and its incarnation, ``life``; returns what is to be sent."""
+    def receive(self, now: int, sender: int, incarnation: int, body: bytes) -> list[Send]:
+        """Process a message of another router and its incarnation; return the messages to send."""
         message = decode(body)
-        self.budget.read_room(now)
+        self.budget.update_room(now)
         if message is None:
             self.counts["garbled"] += 1
             return []
         if message.layout != self.quotas.layout:
             self.counts["another layout"] += 1
             return []
-        self._replies.heard(sender)
+        self._replies.record_received(sender)
         if self.leases is not None:
             self.leases.record_received(now, sender)
         if message.message_type is not MessageType.FLEET_START:
             self.peer_versions[sender] = message.version
         if isinstance(message, LeaseMessage):
-            return self._receive_lease(now, sender, life, message)
+            return self._receive_lease(now, sender, incarnation, message)
         if message.message_type is MessageType.BORROW_REPLY:
             return self._receive_reply(now, sender, message)
-        return self._lender.receive(now, (sender, life), message)
+        return self._lender.receive(now, (sender, incarnation), message)
 
-    def _receive_start(self, now: int, sender: int, incarnation: int, message: LeaseMessage) -> list[Send]:
-        wait = self._start_wait
-        if wait is None:
+    def _receive_fleet_start(
+        self, now: int, sender: int, incarnation: int, message: LeaseMessage
+    ) -> list[Send]:
+        start_wait = self._start_wait
+        if start_wait is None:
             return []
-        fleet_start = wait.fleet_start
-        waited = fleet_start.waits(now)
+        fleet_start = start_wait.fleet_start
+        was_waiting = fleet_start.is_waiting(now)
         replies = fleet_start.receive(sender, incarnation, message.tag, message.lease_ms)
-        wait.update(now)
-        if waited and not fleet_start.waits(now):
-            self._due = now  # there is something to ask for
+        start_wait.update(now)
+        if was_waiting and not fleet_start.is_waiting(now):
+            self._next_tick_us = now  # shares can be requested now
         if not replies:
             return []
-        return self._outbox.send(now, [(sender, wait.body(*fleet_start.statement()))])
+        return self._outbox.send(now, [(sender, start_wait.encode_message(*fleet_start.next_statement()))])
 
     def _receive_lease(self, now: int, sender: int, incarnation: int, message: LeaseMessage) -> list[Send]:
         if message.message_type is MessageType.FLEET_START:
-            return self._receive_start(now, sender, incarnation, message)
+            return self._receive_fleet_start(now, sender, incarnation, message)
         if message.message_type is MessageType.RECALL:
             return self._borrower.receive_recall(now, sender)
         if self.leases is None:
             return []
         for owner, router, _ in message.entries:
-            if owner == router:  # it runs, and has no budget to reply
-                self._replies.heard(owner)
+            if owner == router:  # the owner runs, but has no budget for a reply
+                self._replies.record_received(owner)
         return self._send_leases(now, self.leases.receive(now, sender, incarnation, message))
 
     def _receive_reply(self, now: int, sender: int, message: BorrowMessage) -> list[Send]:
@@ -170,97 +194,100 @@
         return sends
 
     def _send_leases(self, now: int, messages: list[Send]) -> list[Send]:
-        """Messages about leases that may leave, once the shares are as the leases have them."""
+        """Update the shares from the leases, and return the lease messages that may be sent now."""
         if self._start_wait is not None:
-            self._start_wait.mark_lease()
+            self._start_wait.record_lease()
         self.quotas.follow_leases(now)
         return self._outbox.send(now, messages)
 
     # Time
 
     def next_tick(self) -> int:
-        """When ``tick`` is to be called next."""
-        return self._due
+        """Return when ``tick`` must be called next."""
+        return self._next_tick_us
 
     def tick(self, now: int) -> list[Send]:
-        """Time passes; returns what is to be sent."""
-        self._due = now + TICK_US
-        self.budget.read_room(now)
-        ending = self.shutdown.recalls(now)
-        self.demand.update(now, not ending and self.quotas.start_wait_over(now))
-        wait = self._start_wait
-        quiet = wait is not None and wait.is_quiet(now, bool(self.peer_versions))
-        requests = self._update_accounts(now, plans=not ending and not quiet)
+        """Do the periodic work; return the messages to send."""
+        self._next_tick_us = now + TICK_US
+        self.budget.update_room(now)
+        is_ending = self.shutdown.is_recalling(now)
+        self.demand.update(now, not is_ending and self.quotas.start_wait_over(now))
+        start_wait = self._start_wait
+        must_stay_quiet = start_wait is not None and start_wait.is_quiet(now, bool(self.peer_versions))
+        requests = self._update_accounts(now, plan_requests=not is_ending and not must_stay_quiet)
         self._replies.update(now)
         sends = self._outbox.resend(now)
         sends += self._tick_start(now)
-        if ending:
+        if is_ending:
             return sends + self._tick_shutdown(now)
-        if self.leases is not None and not quiet:
+        if self.leases is not None and not must_stay_quiet:
             sends += self._send_leases(now, self.leases.tick(now))
         sends += self._borrower.send(now, requests)
-        return sends + self._locate_silent(now)
+        return sends + self._locate_unresponsive(now)
 
-    def _update_accounts(self, now: int, *, plans: bool) -> Requests:
-        """Bring all accounts up to date. ``plans``: whether to find out what to ask for, which is
-        returned."""
+    def _update_accounts(self, now: int, *, plan_requests: bool) -> Requests:
+        """Update all accounts. If ``plan_requests`` is true, plan borrow requests and return them."""
         requests: Requests = {}
         for key, account in self.accounts.items():
             account.update_demand(now)
-            account.settle(now)
+            account.advance(now)
             self.demand.prune(now, key)
             shares = account.shares
             if shares.borrowed or shares.lent:
                 shares.prune(now)
-            if plans and (account.demand or shares.borrowed or self.demand.is_active(now, key)):
+            if plan_requests and (account.demand or shares.borrowed or self.demand.is_active(now, key)):
                 self._borrower.plan(now, key, account, requests)
         return requests
 
     def _tick_start(self, now: int) -> list[Send]:
-        wait = self._start_wait
-        if wait is None or wait.fleet_start.done:
+        start_wait = self._start_wait
+        if start_wait is None or start_wait.fleet_start.is_done:
             return []
-        wait.update(now)
-        fleet_start = wait.fleet_start
+        start_wait.update(now)
+        fleet_start = start_wait.fleet_start
         return [
-            (to, wait.body(fleet_start.stated, StartState.REPLY_WANTED))
+            (to, start_wait.encode_message(fleet_start.stated_checksum, StartState.REPLY_WANTED))
             for to in fleet_start.next_targets(now)
-            if self.budget.spend(now, HEAD.size, LEASE_OVERDRAFT_BYTES)
+            if self.budget.spend(now, HEADER.size, LEASE_OVERDRAFT_BYTES)
         ]
 
     def _tick_shutdown(self, now: int) -> list[Send]:
-        """Recall what is lent, and release what is held."""
+        """Recall lent shares, return borrowed shares and release base shares."""
         all_shares = self.quotas.all_shares()
         borrowers: set[int] = set()
         if self.leases is not None:
             for shares in all_shares:
                 borrowers |= shares.borrowers(now)
-        back = max((shares.all_back_at(now) for shares in all_shares), default=now) if borrowers else now
+        returned_us = (
+            max((shares.all_returned_at(now) for shares in all_shares), default=now) if borrowers else now
+        )
         sends: list[Send] = []
         requests: Requests = {}
-        if self.shutdown.releases(now):
-            sends = self._release_leases(now, back)
-            requests = self._borrower.give_back_all(now)
+        if self.shutdown.is_releasing(now):
+            sends = self._release_leases(now, returned_us)
+            requests = self._borrower.return_all(now)
         recall = encode(LeaseMessage(MessageType.RECALL, self.plan.version, self.quotas.layout, 0, 0, ()))
         for to in sorted(borrowers):
             if self.budget.spend(now, len(recall), LEASE_OVERDRAFT_BYTES):
                 sends.append((to, recall))
         return sends + self._borrower.send(now, requests, LEASE_OVERDRAFT_BYTES)
 
-    def _release_leases(self, now: int, back: int) -> list[Send]:
-        """Release base shares for when all that is lent is ``back``; again if that is well before."""
+    def _release_leases(self, now: int, returned_us: int) -> list[Send]:
+        """Release base shares as of ``returned_us``, when all lent shares have ended; release them again if
+        that is much earlier than announced before.
+        """
         shutdown = self.shutdown
-        if self.leases is None or (shutdown.released_at and shutdown.released_at <= back + RETRY_US):
+        if self.leases is None or (shutdown.announced_us and shutdown.announced_us <= returned_us + RETRY_US):
             return []
-        sends = self._send_leases(now, self.leases.start_shutdown(now, back))
-        shutdown.released_at = max(now, back)
+        sends = self._send_leases(now, self.leases.start_shutdown(now, returned_us))
+        shutdown.announced_us = max(now, returned_us)
         return sends
 
-    def _locate_silent(self, now: int) -> list[Send]:
-        """Ask who has the base shares of those who do not reply, one by one."""
-        if self.leases is None or not self._locates or now - self._located_at < LOCATE_US:
+    def _locate_unresponsive(self, now: int) -> list[Send]:
+        """Query for the holder of the base share of one unresponsive router at a time."""
+        if self.leases is None or not self._must_locate or now - self._located_at_us < LOCATE_INTERVAL_US:
             return []
-        self._located_at = now
+        self._located_at_us = now
         for router in self._replies.missed:
             queries = self.leases.query_location(now, router)
             if queries:
--- a/slipbay/quota/demand.py
+++ b/slipbay/quota/demand.py
@@ -1,4 +1,4 @@
-"""Who wants how much of a quota, and who can spare some, as far as this router knows."""
+"""Collects reports of the routers' demand for each quota, and of the surplus that they can lend."""
 
 from __future__ import annotations
 
@@ -11,153 +11,160 @@
 from slipbay.quota.codec import BorrowEntry
 from slipbay.quota.peer_replies import PeerReplies
 from slipbay.quota.plan import key_of
-from slipbay.quota.shares import WHOLE
+from slipbay.quota.shares import SHARE_UNITS
 
 SECOND = 1_000_000
-MAX_SHARE_PER_DEMAND = 1.15  # times its demand that a router wants, where there is enough
-SURPLUS_STEP = 12  # parts of the whole, in which holders report their surplus
-MAX_MISSED_REPLIES = 5  # that a contact owes; beyond, the next takes its place
-MAX_REPORTED_DEMAND = 50_000.0  # even shares: fits a 16-bit float
+MAX_SHARE_PER_DEMAND = 1.15  # a router wants at most this multiple of its demand
+SURPLUS_STEP = 12  # holders report their surplus as a multiple of this many share units
+MAX_MISSED_REPLIES = 5  # with more missed replies a contact is replaced by the next one
+MAX_REPORTED_DEMAND = 50_000.0  # in even shares; fits a 16-bit float
 NO_SUGGESTION = -1
 
 
 @dataclass(slots=True)
 class DemandReport:
-    """What a router said of itself, in even shares."""
+    """Demand and share that a router reported, in even shares."""
 
     demand: float
     share: float
-    at: int
-    surplus: int = 0  # parts of the whole that a holder can do without
+    at_us: int
+    surplus: int = 0  # share units that a holder can lend
 
 
 class DemandPool:
     """Reports of other routers on each quota. Demands and shares are in even shares, times in us.
 
-    Routers that are no holders report to one contact, a holder; holders report their sums to each other. So
-    no
-    router counts twice.
+    A router that holds no base share of a quota (a client) reports to one holder, its contact. Holders report
+    the sums of their clients and themselves to each other. So each router counts once.
     """
 
     def __init__(
-        self, quotas: QuotaAccounts, replies: PeerReplies, random: Random, report_age_us: int
+        self, quotas: QuotaAccounts, replies: PeerReplies, random: Random, max_report_age_us: int
     ) -> None:
-        """``report_age_us``: for so long a report counts."""
+        """Reports expire after ``max_report_age_us``."""
         self._quotas = quotas
         self._replies = replies
         self._random = random
-        self._report_age_us = report_age_us
-        self._clients: dict[int, dict[int, DemandReport]] = {}  # by key and router
-        self._holders: dict[int, dict[int, DemandReport]] = {}  # what holders said
-        self._active: dict[int, int] = {}  # by key, when something was last asked for, here or elsewhere
-        self.reports = False  # whether this router reports: it lends and borrows as usual
-        self.base_expected = quotas.leases is not None  # its base share is not leased to it yet, but soon
-
-    def update(self, now: int, reports: bool) -> None:
-        """``reports``: whether this router reports from now on."""
-        self.reports = reports
+        self._max_report_age_us = max_report_age_us
+        self._client_reports: dict[int, dict[int, DemandReport]] = {}  # by key and router
+        self._holder_reports: dict[int, dict[int, DemandReport]] = {}  # by key and holder
+        self._active_at_us: dict[int, int] = {}  # by key, when any router last had demand
+        self.sends_reports = False  # whether this router sends reports, as it lends and borrows as usual
+        self.is_base_expected = quotas.leases is not None  # whether its base share will soon be leased to it
+
+    def update(self, now: int, sends_reports: bool) -> None:
+        """Update the state at a tick. ``sends_reports`` tells whether this router sends reports now."""
+        self.sends_reports = sends_reports
         leases = self._quotas.leases
         if leases is not None:
-            held = self._quotas.me in self._quotas.held
-            self.base_expected &= not held and now < leases.granter.waits_until + leases.lease_us
+            held = self._quotas.local_router in self._quotas.held
+            self.is_base_expected &= not held and now < leases.granter.waits_until + leases.lease_us
 
     def prune(self, now: int, key: int) -> None:
-        """Drop reports on a quota that are too old."""
-        for table in (self._clients.get(key), self._holders.get(key)):
-            if table:
-                for number in [n for n, one in table.items() if now - one.at > self._report_age_us]:
-                    del table[number]
+        """Drop expired reports on a quota."""
+        for reports in (self._client_reports.get(key), self._holder_reports.get(key)):
+            if reports:
+                for number in [n for n, one in reports.items() if now - one.at_us > self._max_report_age_us]:
+                    del reports[number]
 
     def mark_active(self, now: int, key: int) -> None:
-        """Something is asked for of a quota."""
-        self._active[key] = now
+        """Record that there is demand for a quota."""
+        self._active_at_us[key] = now
 
     def is_active(self, now: int, key: int) -> bool:
-        """Whether something was asked for of a quota of late, here or elsewhere."""
-        return now - self._active.get(key, 0) < self._report_age_us
+        """Return whether any router recently had demand for a quota."""
+        return now - self._active_at_us.get(key, 0) < self._max_report_age_us
 
     def receive(self, now: int, sender: int, entry: BorrowEntry) -> None:
-        """Take in the report that comes with a borrow request or reply."""
+        """Record the report in a borrow request or reply."""
         if entry.demand:
-            self._active[entry.key] = now  # who is asked for nothing reports its share, too
-        table = self._holders if sender in self._quotas.holders[entry.key] else self._clients
+            self._active_at_us[entry.key] = now  # a router without demand reports its share, too
+        reports = self._holder_reports if sender in self._quotas.holders[entry.key] else self._client_reports
         if not entry.share:
-            table.get(entry.key, {}).pop(sender, None)  # it counts elsewhere
+            reports.get(entry.key, {}).pop(sender, None)  # the sender reports to another holder
             return
-        surplus = max(0, entry.want - WHOLE) * SURPLUS_STEP
-        table.setdefault(entry.key, {})[sender] = DemandReport(entry.demand, entry.share, now, surplus)
+        surplus = max(0, entry.want - SHARE_UNITS) * SURPLUS_STEP
+        reports.setdefault(entry.key, {})[sender] = DemandReport(entry.demand, entry.share, now, surplus)
 
-    def own(self, account: QuotaAccount) -> tuple[float, float]:
-        """This router's demand and share."""
+    def local(self, account: QuotaAccount) -> tuple[float, float]:
+        """Return this router's demand and share."""
         demand = min(account.demand / account.even_rate, MAX_REPORTED_DEMAND)
-        return demand, account.share / self._quotas.even
+        return demand, account.share_units / self._quotas.even_share
 
-    def _sums(self, key: int, account: QuotaAccount) -> tuple[float, float]:
-        """Demand and share of this holder, and of those who report to it."""
-        clients = self._clients.get(key, {}).values()
+    def _local_sums(self, key: int, account: QuotaAccount) -> tuple[float, float]:
+        """Return the sums of demand and share over this holder and its clients."""
+        clients = self._client_reports.get(key, {}).values()
         base = account.shares.base
-        if self.base_expected:  # else all go by what all lacked, until they have heard of each anew
-            base = account.shares.reserve + self._quotas.bases[key][self._quotas.me]
+        # Count the base share before it is leased. Otherwise the routers would reckon with a smaller total
+        # until new reports of every router arrive.
+        if self.is_base_expected:
+            base = account.shares.reserve + self._quotas.bases[key][self._quotas.local_router]
         return (
-            self.own(account)[0] + sum(one.demand for one in clients),
-            base / self._quotas.even + sum(one.share for one in clients),
+            self.local(account)[0] + sum(one.demand for one in clients),
+            base / self._quotas.even_share + sum(one.share for one in clients),
         )
 
-    def _pooled(self, key: int, account: QuotaAccount) -> tuple[float, float]:
-        """Demand and share of the fleet, as far as they are known."""
-        holders = self._holders.get(key, {}).values()
-        demand, share = self._sums(key, account) if self._quotas.is_holder(key) else (0.0, 0.0)
-        idle = sum(one.surplus for one in holders) / self._quotas.even
-        return demand + sum(one.demand for one in holders), share + sum(one.share for one in holders) + idle
+    def _fleet_sums(self, key: int, account: QuotaAccount) -> tuple[float, float]:
+        """Return the known demand and share of the fleet."""
+        holders = self._holder_reports.get(key, {}).values()
+        demand, share = self._local_sums(key, account) if self._quotas.is_holder(key) else (0.0, 0.0)
+        surplus_share = sum(one.surplus for one in holders) / self._quotas.even_share
+        return demand + sum(one.demand for one in holders), share + sum(
+            one.share for one in holders
+        ) + surplus_share
 
     def ratio(self, account: QuotaAccount) -> float:
-        """Share for demand over the fleet, which each router should have."""
-        demand, share = self._pooled(key_of(account.quota.name), account)
+        """Return the fleet's share per demand, which each router should have."""
+        demand, share = self._fleet_sums(key_of(account.quota.name), account)
         return share / demand if demand > 0 and share > 0 else MAX_SHARE_PER_DEMAND
 
     def wanted(self, account: QuotaAccount) -> float:
-        """The share that is due to this router's demand."""
-        return min(MAX_SHARE_PER_DEMAND, self.ratio(account)) * self.own(account)[0]
+        """Return the share that this router should have for its demand."""
+        return min(MAX_SHARE_PER_DEMAND, self.ratio(account)) * self.local(account)[0]
 
     def noise(self, account: QuotaAccount) -> float:
-        """How far chance moves this router's demand."""
-        return sqrt(account.demand * SECOND / account.meter.memory_us / 2) / account.even_rate
+        """Return the standard deviation of this router's measured demand."""
+        return sqrt(account.demand * SECOND / account.meter.mean_us / 2) / account.even_rate
 
-    def report_to(self, key: int, account: QuotaAccount, to: int) -> tuple[float, float]:
-        """Demand and share as reported to another router.
+    def report_for(self, key: int, account: QuotaAccount, to: int) -> tuple[float, float]:
+        """Return the demand and share to report to another router.
 
-        A holder reports its sums to other holders, and to others all that it knows; others report to their
-        contact alone.
+        A holder reports its sums to other holders, and the known totals of the fleet to clients. A client
+        reports to its contact alone.
         """
-        if not self.reports:
+        if not self.sends_reports:
             return 0.0, 0.0
         if self._quotas.is_holder(key):
-            return self._sums(key, account) if to in self._quotas.holders[key] else self._pooled(key, account)
+            return (
+                self._local_sums(key, account)
+                if to in self._quotas.holders[key]
+                else self._fleet_sums(key, account)
+            )
         if to != self.contact(key):
             return 0.0, 0.0
-        return self.own(account)[0], account.shares.base / self._quotas.even
+        return self.local(account)[0], account.shares.base / self._quotas.even_share
 
     def contact(self, key: int) -> int | None:
-        """The holder that this router reports to, and turns to first."""
+        """Return the holder that this router reports to and requests shares from first."""
         contacts = self._quotas.contacts[key]
         missed = self._replies.missed
-        first = contacts[0] if contacts else None
-        return next((n for n in contacts if missed.get(n, 0) <= MAX_MISSED_REPLIES), first)
+        preferred = contacts[0] if contacts else None
+        return next((n for n in contacts if missed.get(n, 0) <= MAX_MISSED_REPLIES), preferred)
 
     def surpluses(self, key: int) -> dict[int, int]:
-        """What holders reported that they can do without, in parts of the whole."""
+        """Return the surplus that each responsive holder reported, in share units."""
         return {
             n: one.surplus
-            for n, one in self._holders.get(key, {}).items()
+            for n, one in self._holder_reports.get(key, {}).items()
             if one.surplus and n not in self._replies.missed
         }
 
     def suggest_lender(self, key: int, borrower: int, lack: int) -> int:
-        """Another holder that is likely to have a surplus; ``NO_SUGGESTION`` if none is known."""
+        """Return another holder that probably has a surplus; ``NO_SUGGESTION`` if none is known."""
         surpluses = self.surpluses(key)
         surpluses.pop(borrower, None)
         if not surpluses:
             return NO_SUGGESTION
-        found = self._random.choices(list(surpluses), list(surpluses.values()))[0]
-        self._holders[key][found].surplus = max(0, surpluses[found] - lack)
-        return found
+        lender = self._random.choices(list(surpluses), list(surpluses.values()))[0]
+        self._holder_reports[key][lender].surplus = max(0, surpluses[lender] - lack)
+        return lender
--- a/slipbay/quota/demand_meter.py
+++ b/slipbay/quota/demand_meter.py
@@ -1,4 +1,4 @@
-"""Follows how many requests a second are asked for: a mean over seconds that gives way to a sudden change."""
+"""Estimates the rate of requests: a mean over several seconds that restarts at a sudden change."""
 
 from __future__ import annotations
 
@@ -6,72 +6,75 @@
 from math import sqrt
 
 SECOND = 1_000_000
-MEMORY_US = 3 * SECOND  # over which demand is a mean, while nothing shows a change
-MAX_COUNTS = 8  # latest counts, of which any last ones may show it
-CHANGE_THRESHOLD = 4.0  # times what chance moves a count by
-IDLE_PART = 1e-3  # of an even share, below which demand counts as none
+MAX_MEAN_US = 3 * SECOND  # period of the mean while the rate is steady
+MAX_COUNTS = 8  # number of recent counts that are searched for a change
+CHANGE_THRESHOLD = 4.0  # a change is a deviation of more than this many standard deviations
+IDLE_FRACTION = 1e-3  # a demand below this fraction of an even share counts as 0
 
 
 class DemandMeter:
-    """Counts requests, and estimates their rate when ``update`` is called, each few hundred ms."""
+    """Counts requests and estimates their rate; ``update`` is called every few hundred ms."""
 
     def __init__(self, now: int) -> None:
-        self.rate = 0.0  # requests a second
-        self.memory_us = MEMORY_US  # over which the mean is taken now
-        self.count = 0  # since the last update; the caller adds to it
-        self._counted_at = now
-        self._recent: deque[tuple[int, int]] = deque(maxlen=MAX_COUNTS)  # counts, and over how many us
-        self._steady = 0.0  # requests a us before them
+        self.rate = 0.0  # requests per second
+        self.mean_us = MAX_MEAN_US  # current period of the mean
+        self.count = 0  # requests since the last update; the caller adds to it
+        self._updated_at_us = now
+        self._recent_counts: deque[tuple[int, int]] = deque(maxlen=MAX_COUNTS)  # counts and their us
+        self._mean_rate = 0.0  # mean requests per us before the recent counts
 
     def update(self, now: int, even_rate: float) -> None:
-        """Take in the count since the last call. ``even_rate``: requests a second of an even share."""
-        span = now - self._counted_at
-        if span <= 0:
+        """Process the count since the last call. ``even_rate`` is an even share in requests per second."""
+        period_us = now - self._updated_at_us
+        if period_us <= 0:
             return
-        self._counted_at = now
+        self._updated_at_us = now
         if not self.count and not self.rate:
-            self._recent.clear()
-            self._steady = 0.0
-            self.memory_us = MEMORY_US
+            self._recent_counts.clear()
+            self._mean_rate = 0.0
+            self.mean_us = MAX_MEAN_US
             return
-        self._push(span)
-        count, within = self._find_change()
-        self.rate = (self._steady * self.memory_us + count) * SECOND / (self.memory_us + within)
-        if self.rate < IDLE_PART * even_rate:
+        self._add_count(period_us)
+        count, recent_us = self._find_change()
+        self.rate = (self._mean_rate * self.mean_us + count) * SECOND / (self.mean_us + recent_us)
+        if self.rate < IDLE_FRACTION * even_rate:
             self.rate = 0.0
 
-    def _push(self, span: int) -> None:
-        """The oldest of the recent counts goes into the mean."""
-        recent = self._recent
-        if len(recent) == MAX_COUNTS:
-            count, lasted = recent.popleft()
-            self.memory_us = min(MEMORY_US, self.memory_us + lasted)
-            weight_us = self.memory_us
-            self._steady = max(0.0, self._steady + (count / lasted - self._steady) * lasted / weight_us)
-        recent.append((self.count, span))
+    def _add_count(self, period_us: int) -> None:
+        """Add the current count to the recent ones, and move the oldest of them into the mean."""
+        recent_counts = self._recent_counts
+        if len(recent_counts) == MAX_COUNTS:
+            count, count_us = recent_counts.popleft()
+            self.mean_us = min(MAX_MEAN_US, self.mean_us + count_us)
+            weight_us = self.mean_us
+            self._mean_rate = max(
+                0.0, self._mean_rate + (count / count_us - self._mean_rate) * count_us / weight_us
+            )
+        recent_counts.append((self.count, period_us))
         self.count = 0
 
     def _find_change(self) -> tuple[int, int]:
-        """Begin anew from the last counts that differ most from the mean, if any do beyond chance.
+        """Restart the mean from the latest counts if they deviate significantly from it; of the possible
+        numbers of latest counts use the one with the largest deviation.
 
-        Returns the sum of recent counts that are not in the mean, and over how many us.
+        Returns the sum of recent counts that are not in the mean, and their period in us.
         """
         count = 0
-        within = 0
-        most = CHANGE_THRESHOLD
-        found = self._steady, self.memory_us
-        for asked, lasted in reversed(self._recent):
-            count += asked
-            within += lasted
-            expected = self._steady * within
-            # Anscombe's transform: chance moves these roots by a half, of any count
+        recent_us = 0
+        max_deviation = CHANGE_THRESHOLD
+        restarted_mean = self._mean_rate, self.mean_us
+        for recent_count, count_us in reversed(self._recent_counts):
+            count += recent_count
+            recent_us += count_us
+            expected = self._mean_rate * recent_us
+            # Anscombe's transform: the standard deviation of these roots is 0.5 for counts of any size.
             roots = sqrt(count + 0.375) - sqrt(expected + 0.375)
-            surprise = 2 * abs(roots) / sqrt(1 + within / self.memory_us)
-            if surprise > most:
-                most = surprise
-                found = count / within, within
-        if most > CHANGE_THRESHOLD:
-            self._recent.clear()
-            self._steady, self.memory_us = found
+            deviation = 2 * abs(roots) / sqrt(1 + recent_us / self.mean_us)
+            if deviation > max_deviation:
+                max_deviation = deviation
+                restarted_mean = count / recent_us, recent_us
+        if max_deviation > CHANGE_THRESHOLD:
+            self._recent_counts.clear()
+            self._mean_rate, self.mean_us = restarted_mean
             return 0, 0
-        return count, within
+        return count, recent_us
--- a/slipbay/quota/fleet_start.py
+++ b/slipbay/quota/fleet_start.py
@@ -1,8 +1,9 @@
-"""Whether all routers started anew together: then nothing that an earlier incarnation granted or lent is held
-by anybody, and no new incarnation waits until it has ended (docs/quota.md has the proof).
+"""Detects that all routers restarted together (docs/quota.md has the proof).
 
-Each router sends all others its incarnation, and once it knows those of all, a statement that up to now it
-has held nothing. Without I/O, clock or randomness; times are us of this router's own clock.
+Then no router holds a lease or a share from an earlier incarnation, so no new incarnation has to wait until
+these end. Each router sends its incarnation to all others. Once it has the incarnations of all routers, it
+states that it has held nothing so far. This module does no I/O and reads no clock; times are in us of the
+local router's clock.
 """
 
 from __future__ import annotations
@@ -11,110 +12,123 @@
 from enum import IntEnum
 from zlib import crc32
 
-RESEND_US = 400_000  # between two messages to one router
-FIRST_TARGETS = 2  # routers that are sent to at first
-MAX_TARGETS = 6  # and in each other tick
-ALONE_US = 300_000  # for so long a router that hears of no other new one sends no more, and waits
-MAX_SIZE = 16  # beyond, messages to all would take longer than the wait
-MIN_SIZE = 3  # below, nothing is gained
+RESEND_INTERVAL_US = 400_000  # interval between messages to one router
+FIRST_TARGETS = 2  # number of routers in the first round of messages
+MAX_TARGETS = 6  # maximum number of routers in each later round
+FIRST_REPLY_TIMEOUT_US = 300_000  # time that a router waits for a first reply, before it sends more messages
+MAX_ROUTERS = 16  # with more routers, messages to all would take longer than the wait that they save
+MIN_ROUTERS = 3  # with fewer routers there is no gain
 
 
 class StartState(IntEnum):
-    """What a message says beside what its sender stated."""
+    """State of the sender of a message, beside its statement."""
 
-    STATEMENT = 0  # wants no reply
-    HELD_BEFORE = 1  # this incarnation has held something, and stated nothing of those that it knows
-    REPLY_WANTED = 2  # be it ``HELD_BEFORE``
+    STATEMENT = 0  # the sender wants no reply
+    HELD_BEFORE = 1  # the sender has held a lease or a share, and made no statement on these incarnations
+    REPLY_WANTED = 2  # the sender wants a reply, even one with ``HELD_BEFORE``
 
 
 class FleetStart:
-    """One incarnation's knowledge of those of all routers."""
-
-    def __init__(self, me: int, size: int, incarnation: int) -> None:
-        self.me = me
-        self.size = size
-        self.incarnations = {me: incarnation}  # by router, the one that last sent its own
-        self.stated = 0  # for which incarnations, by checksum, it was stated that nothing is held; 0: none
-        self.held_anything = False  # whether this incarnation ever held a grant or a borrowed share
-        self.done = size > MAX_SIZE or size < MIN_SIZE  # nobody waits any more, or nothing is to be gained
-        self._statements: dict[int, tuple[int, int]] = {}  # by router: incarnation, and what it stated
-        self._older: set[int] = set()  # routers whose incarnation has held something
-        self._sent: dict[int, int] = {}  # when a router was last sent to
-        self._reply_wanted: set[int] = set()  # routers that want a reply
-
-    def all_new(self) -> bool:
-        """Whether each of the known incarnations stated, once it knew them all, that it had held nothing."""
-        return self.stated == self._checksum() != 0 and all(
-            self._statements.get(number) == (incarnation, self.stated)
-            for number, incarnation in self.incarnations.items()
-            if number != self.me
+    """The incarnations and statements of all routers that the local router has received."""
+
+    def __init__(self, local_router: int, router_count: int, incarnation: int) -> None:
+        self.local_router = local_router
+        self.router_count = router_count
+        self.incarnations = {local_router: incarnation}  # by router, the latest received incarnation
+        self.stated_checksum = 0  # of the incarnations for which it stated that it held nothing; 0: none
+        self.held_anything = False  # whether this incarnation ever held a lease or a borrowed share
+        # Whether the detection has ended, or has no gain for this number of routers.
+        self.is_done = router_count > MAX_ROUTERS or router_count < MIN_ROUTERS
+        self._statements: dict[int, tuple[int, int]] = {}  # by router: incarnation and stated checksum
+        self._not_restarted: set[int] = set()  # routers whose incarnation has held a lease or a share
+        self._sent_at_us: dict[int, int] = {}  # by router, when the last message was sent to it
+        self._reply_wanted: set[int] = set()  # routers that wait for a reply
+
+    def is_fleet_restarted(self) -> bool:
+        """Return whether all incarnations are known, and each stated for these that it held nothing."""
+        return self.stated_checksum == self._checksum() != 0 and all(
+            self._statements.get(router) == (incarnation, self.stated_checksum)
+            for router, incarnation in self.incarnations.items()
+            if router != self.local_router
         )
 
     def _checksum(self) -> int:
-        """Of the incarnations of all routers; 0 while any is not known."""
-        if len(self.incarnations) < self.size:
+        """Return the checksum of the incarnations of all routers; 0 while one is unknown."""
+        if len(self.incarnations) < self.router_count:
             return 0
         return crc32(repr(sorted(self.incarnations.items())).encode()) or 1
 
-    def state_nothing_held(self, drop: Callable[[], None]) -> None:
-        """State that nothing was held, if all incarnations are known and it is so.
+    def state_nothing_held(self, drop_pending: Callable[[], None]) -> None:
+        """State that this router held nothing, if that is true and all incarnations are known.
 
-        ``drop``: from now on no reply to a request that has left is taken.
+        ``drop_pending`` is called before, to ignore all replies to requests that were already sent.
         """
-        found = self._checksum()
-        if found and not self.held_anything and found != self.stated:
-            drop()
-            self.stated = found
-            self._sent.clear()
-
-    def receive(self, sender: int, incarnation: int, stated: int, state: int) -> bool:
-        """A message of another router; whether it is to be replied to."""
+        checksum = self._checksum()
+        if checksum and not self.held_anything and checksum != self.stated_checksum:
+            drop_pending()
+            self.stated_checksum = checksum
+            self._sent_at_us.clear()
+
+    def receive(self, sender: int, incarnation: int, stated_checksum: int, state: int) -> bool:
+        """Process a message of another router; return whether to reply to it."""
         if self.incarnations.get(sender) != incarnation:
             self.incarnations[sender] = incarnation
-            self._older.discard(sender)
+            self._not_restarted.discard(sender)
         if state == StartState.HELD_BEFORE:
-            self._older.add(sender)
-        elif stated:
-            self._older.discard(sender)
-            self._statements[sender] = incarnation, stated
+            self._not_restarted.add(sender)
+        elif stated_checksum:
+            self._not_restarted.discard(sender)
+            self._statements[sender] = incarnation, stated_checksum
         if state == StartState.REPLY_WANTED:
             self._reply_wanted.add(sender)
-        return state == StartState.REPLY_WANTED and (self.done or self.held_anything)
+        return state == StartState.REPLY_WANTED and (self.is_done or self.held_anything)
 
-    def waits(self, now: int) -> bool:
-        """Whether all may be new, so that there is nobody yet who could lend: others say so, or may in a
-        moment.
+    def is_waiting(self, now: int) -> bool:
+        """Return whether all routers may have restarted, so that none can lend yet: messages of the others
+        confirm it, or may still arrive.
         """
-        silent = len(self.incarnations) == 1 and bool(self._sent)
-        alone = silent and now >= min(self._sent.values()) + ALONE_US
-        return not (self.done or self.held_anything or self._older or alone)
+        has_no_reply = len(self.incarnations) == 1 and bool(self._sent_at_us)
+        timed_out = has_no_reply and now >= min(self._sent_at_us.values()) + FIRST_REPLY_TIMEOUT_US
+        return not (self.is_done or self.held_anything or self._not_restarted or timed_out)
 
-    def statement(self) -> tuple[int, StartState]:
-        """What a reply says."""
-        current = self.stated and self.stated == self._checksum()
-        if current or not self.held_anything:
-            return self.stated, StartState.STATEMENT
-        return self.stated, StartState.HELD_BEFORE
+    def next_statement(self) -> tuple[int, StartState]:
+        """Return the checksum and the state for a reply."""
+        is_current = self.stated_checksum and self.stated_checksum == self._checksum()
+        if is_current or not self.held_anything:
+            return self.stated_checksum, StartState.STATEMENT
+        return self.stated_checksum, StartState.HELD_BEFORE
 
     def next_targets(self, now: int) -> list[int]:
-        """Whom to send to now. Where any is known to be older than the rest nobody: it may hold anything."""
-        if self.done or self.held_anything or self._older:
+        """Return the routers to send messages to now: none if one of them did not restart, as it may hold
+        leases and shares.
+        """
+        if self.is_done or self.held_anything or self._not_restarted:
             return []
-        lacking = self._reply_wanted | self._lacking()
-        due = sorted(n for n in lacking if now - self._sent.get(n, now - RESEND_US) >= RESEND_US)
-        due = [*(n for n in due if n > self.me), *(n for n in due if n < self.me)]
-        if len(self.incarnations) == 1 and self._sent and now < min(self._sent.values()) + ALONE_US:
-            return []  # those who were sent to first have not replied yet
-        due = due[: MAX_TARGETS if self._sent else FIRST_TARGETS]
-        self._sent.update(dict.fromkeys(due, now))
+        missing = self._reply_wanted | self._missing_routers()
+        due = sorted(
+            n
+            for n in missing
+            if now - self._sent_at_us.get(n, now - RESEND_INTERVAL_US) >= RESEND_INTERVAL_US
+        )
+        due = [*(n for n in due if n > self.local_router), *(n for n in due if n < self.local_router)]
+        if (
+            len(self.incarnations) == 1
+            and self._sent_at_us
+            and now < min(self._sent_at_us.values()) + FIRST_REPLY_TIMEOUT_US
+        ):
+            return []  # the routers of the first round have not replied yet
+        due = due[: MAX_TARGETS if self._sent_at_us else FIRST_TARGETS]
+        self._sent_at_us.update(dict.fromkeys(due, now))
         self._reply_wanted -= set(due)
         return due
 
-    def _lacking(self) -> set[int]:
-        """Routers whose statement on the known incarnations, or incarnation, is not known."""
-        found = self._checksum()
+    def _missing_routers(self) -> set[int]:
+        """Return the routers that have not sent their incarnation, or not their statement on all known
+        incarnations.
+        """
+        checksum = self._checksum()
         known = self.incarnations
-        others = [number for number in range(self.size) if number != self.me]
-        if not found:
-            return {number for number in others if number not in known}
-        return {number for number in others if self._statements.get(number) != (known[number], found)}
+        others = [router for router in range(self.router_count) if router != self.local_router]
+        if not checksum:
+            return {router for router in others if router not in known}
+        return {router for router in others if self._statements.get(router) != (known[router], checksum)}
--- a/slipbay/quota/guarantees.py
+++ b/slipbay/quota/guarantees.py
@@ -1,69 +1,76 @@
-"""What a plan guarantees, as numbers and as text for people (docs/quota.md has the proof)."""
+"""Computes and explains the guarantees of a plan (docs/quota.md has the proof)."""
 
 from __future__ import annotations
 
 from slipbay.peer_channel.leases import wait_after_start
 from slipbay.quota.leases.groups import base_lease_us, granter_group
-from slipbay.quota.plan import CLOCKS, EVEN_BURST, Quota, QuotaPlan
+from slipbay.quota.plan import CLOCKS, EVEN_BURST_FRACTION, Quota, QuotaPlan
 
 SECOND = 1_000_000
 
 
-def excess(plan: QuotaPlan, quota: Quota, routers: int) -> float:
-    """E: requests beyond ``soft x (burst + rate x t)`` that no fault can make the fleet pass in any window of
-    t seconds.
+def excess(plan: QuotaPlan, quota: Quota, router_count: int) -> float:
+    """Return E: in any t seconds the fleet admits at most ``soft x (burst + rate x t) + E`` requests,
+    whatever faults occur.
 
-    A router whose part of the burst is less than one request may still admit one, and a clock may leap once.
+    E is above 0 as a router whose fraction of the burst is below one request may still admit one, and as a
+    clock may jump once.
     """
     burst = quota.burst
-    least = (EVEN_BURST + (1 - EVEN_BURST) * plan.reserve) / routers
-    whole = 0.0
-    if not quota.exact and burst * least < 1:
-        whole = max((routers - 1) * (1 - burst * least), routers - burst, 0.0)
-    return whole + quota.soft * quota.rate * CLOCKS.jump_us / SECOND
+    min_burst_fraction = (EVEN_BURST_FRACTION + (1 - EVEN_BURST_FRACTION) * plan.reserve) / router_count
+    rounded_up = 0.0
+    if not quota.exact and burst * min_burst_fraction < 1:
+        rounded_up = max((router_count - 1) * (1 - burst * min_burst_fraction), router_count - burst, 0.0)
+    return rounded_up + quota.soft * quota.rate * CLOCKS.jump_us / SECOND
 
 
-def explain(plan: QuotaPlan, routers: int) -> str:
-    """The plan's guarantees in words."""
+def explain(plan: QuotaPlan, router_count: int) -> str:
+    """Return the plan's guarantees as text."""
     lines = [
-        f"plan {plan.version}: {len(plan.quotas)} quotas over {routers} routers; {plan.reserve:g} of "
-        f"each is a standing reserve of all, the rest is held by {min(routers, plan.holders)} and lent "
-        f"for {plan.term_ms / 1000:g} s",
-        *_explain_start(plan, routers),
+        f"plan {plan.version}: {len(plan.quotas)} quotas over {router_count} routers; {plan.reserve:g} of "
+        f"each is a reserve that all routers share evenly, the rest belongs to "
+        f"{min(router_count, plan.holders)} holders and is lent for {plan.term_ms / 1000:g} s at a time",
+        *_explain_start(plan, router_count),
     ]
     for quota in plan.quotas:
-        lines += _explain_quota(plan, quota, routers)
+        lines += _explain_quota(plan, quota, router_count)
     return "\n".join(lines)
 
 
-def _explain_start(plan: QuotaPlan, routers: int) -> list[str]:
+def _explain_start(plan: QuotaPlan, router_count: int) -> list[str]:
     if not plan.wardens:
-        wait = wait_after_start(plan.longest_ms * 1000, CLOCKS) / SECOND
-        return [f"a router that starts uses its reserve alone, and lends nothing, for {wait:.2f} s"]
-    most = max(len(granter_group(number, routers, plan.wardens)) for number in range(routers))
-    wait = wait_after_start(base_lease_us(plan.longest_ms * 1000), CLOCKS) / SECOND
-    length = base_lease_us(plan.term_ms * 1000) / SECOND
+        wait_s = wait_after_start(plan.longest_ms * 1000, CLOCKS) / SECOND
+        return [f"a router that starts uses only its reserve, and lends nothing, for {wait_s:.2f} s"]
+    granter_count = max(
+        len(granter_group(number, router_count, plan.wardens)) for number in range(router_count)
+    )
+    wait_s = wait_after_start(base_lease_us(plan.longest_ms * 1000), CLOCKS) / SECOND
+    lease_s = base_lease_us(plan.term_ms * 1000) / SECOND
     return [
-        f"a router's part of the rest is used and lent by whom a majority of its {most} granters "
-        f"granted it, for {length:g} s at a time; without one only reserves go on",
-        "a router that starts uses its reserve alone until its part is granted to it: at once, "
-        f"or when what its last incarnation was granted has ended; at most {wait:.2f} s",
+        f"a holder's share is used and lent by the router to which a majority of its {granter_count} "
+        f"granters leased it, for {lease_s:g} s at a time; without a majority only the reserves are used",
+        "a router that starts uses only its reserve until its share is leased to it: at once, "
+        f"or when the lease of its last incarnation has ended; after at most {wait_s:.2f} s",
     ]
 
 
-def _explain_quota(plan: QuotaPlan, quota: Quota, routers: int) -> list[str]:
+def _explain_quota(plan: QuotaPlan, quota: Quota, router_count: int) -> list[str]:
     kind = "hard" if quota.soft == 1 else f"soft, at most {quota.soft:g} times"
-    over = excess(plan, quota, routers)
+    excess_requests = excess(plan, quota, router_count)
     lines = [
         f"{quota.name}: {kind}; in any t seconds at most {quota.soft * quota.burst:g} + "
-        f"{quota.soft * quota.rate:g} x t + {over:.2f} requests"
+        f"{quota.soft * quota.rate:g} x t + {excess_requests:.2f} requests"
     ]
-    part = quota.burst * (EVEN_BURST + (1 - EVEN_BURST) * plan.reserve) / routers
-    if quota.exact and part < 1:
-        lines.append(f"  a router that has only its reserve admits nothing: of the burst that is {part:.2f}")
+    reserve_burst = (
+        quota.burst * (EVEN_BURST_FRACTION + (1 - EVEN_BURST_FRACTION) * plan.reserve) / router_count
+    )
+    if quota.exact and reserve_burst < 1:
+        lines.append(
+            f"  a router that has only its reserve admits no request, as its burst is {reserve_burst:.2f}"
+        )
     if quota.open:
         lines.append(
-            f"  open: a router takes none while its share of {quota.open}, and at least 1, is "
-            "open there; shares that move leave open what is open"
+            f"  open: a router admits none while its share of {quota.open} requests, at least 1, is "
+            "open; requests that are open stay so when shares move"
         )
     return lines
--- a/slipbay/quota/lender_choice.py
+++ b/slipbay/quota/lender_choice.py
@@ -1,4 +1,4 @@
-"""Which holders to ask for more of a quota, and in which order."""
+"""Chooses the holders that a router requests shares of a quota from, and their order."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from slipbay.quota.peer_replies import PeerReplies
 
 SECOND = 1_000_000
-RETRY_US = 300_000  # a reply that has not come by then is asked for again
-SILENT_RETRY_US = SECOND  # and of a router that is silent
+RETRY_US = 300_000  # time without a reply until a request is sent again
+UNRESPONSIVE_RETRY_US = SECOND  # the same for an unresponsive router
 
 
 class LenderChoice:
-    """Knows which lenders are to be left alone for a while. Times are us."""
+    """Orders the lenders, and keeps those that get no requests for a while. Times are in us."""
 
     def __init__(
         self, quotas: QuotaAccounts, demand: DemandPool, replies: PeerReplies, random: Random
@@ -25,46 +25,54 @@
         self._demand = demand
         self._replies = replies
         self._random = random
-        self._avoided: dict[tuple[int, int], int] = {}  # by key and lender: not asked before
+        self._avoided_until_us: dict[tuple[int, int], int] = {}  # by key and lender
 
-    def avoid(self, key: int, lender: int, until: int) -> None:
-        """Do not ask a lender for a quota before ``until``."""
-        self._avoided[key, lender] = until
+    def avoid(self, key: int, lender: int, until_us: int) -> None:
+        """Send a lender no request for a quota before ``until_us``."""
+        self._avoided_until_us[key, lender] = until_us
 
     def prune(self, now: int) -> None:
-        """Drop what is over, once there is much."""
-        if len(self._avoided) > 4 * self._quotas.size:
-            self._avoided = {what: until for what, until in self._avoided.items() if until > now}
+        """Drop expired entries, if there are many entries."""
+        if len(self._avoided_until_us) > 4 * self._quotas.router_count:
+            self._avoided_until_us = {
+                entry: until_us for entry, until_us in self._avoided_until_us.items() if until_us > now
+            }
 
     def candidates(self, now: int, key: int, account: QuotaAccount, count: int) -> list[int]:
-        """Holders to ask next: the contact first, or those that are likely to have a surplus."""
-        able = [n for n in self._lenders(key) if self._may_ask(now, key, account, n)]
-        self._random.shuffle(able)
+        """Return up to ``count`` lenders to send requests to. A client requests from its contact first, a
+        holder from the holders with the largest reported surplus.
+        """
+        lenders = [n for n in self._lenders(key) if self._may_request(now, key, account, n)]
+        self._random.shuffle(lenders)
         missed = self._replies.missed
         if self._quotas.is_holder(key):
             surpluses = self._demand.surpluses(key)
-            able.sort(key=lambda n: (n in missed, -surpluses.get(n, 0)))
+            lenders.sort(key=lambda n: (n in missed, -surpluses.get(n, 0)))
         else:
             contact = self._demand.contact(key)
-            able.sort(key=lambda n: (n in missed, n != contact))
-        return able[:count]
+            lenders.sort(key=lambda n: (n in missed, n != contact))
+        return lenders[:count]
 
-    def _may_ask(self, now: int, key: int, account: QuotaAccount, lender: int) -> bool:
-        if now < self._avoided.get((key, lender), 0):
+    def _may_request(self, now: int, key: int, account: QuotaAccount, lender: int) -> bool:
+        if now < self._avoided_until_us.get((key, lender), 0):
             return False
-        loan = account.shares.borrowed.get(lender)
-        pause = SILENT_RETRY_US if lender in self._replies.missed else RETRY_US
-        return loan is None or not loan.pending or now - loan.requested_at >= pause
+        borrowed_share = account.shares.borrowed.get(lender)
+        retry_us = UNRESPONSIVE_RETRY_US if lender in self._replies.missed else RETRY_US
+        return (
+            borrowed_share is None
+            or not borrowed_share.pending
+            or now - borrowed_share.requested_at >= retry_us
+        )
 
     def _lenders(self, key: int) -> list[int]:
-        """Holders to ask, and those who have base shares of holders that did not reply."""
+        """Return the holders, and the routers that took over base shares of unresponsive holders."""
         holders = self._quotas.holders[key]
         leases = self._quotas.leases
         if leases is None or not self._replies.missed:
             return holders
-        others = {
+        takeover_routers = {
             leases.locations.holder_of(owner)
             for owner in self._replies.missed
             if leases.locations.is_known(owner) and self._quotas.bases[key][owner]
         }
-        return [*holders, *(others - {self._quotas.me, NO_ROUTER, *holders})]
+        return [*holders, *(takeover_routers - {self._quotas.local_router, NO_ROUTER, *holders})]
--- a/slipbay/quota/lending.py
+++ b/slipbay/quota/lending.py
@@ -1,4 +1,4 @@
-"""Replies to routers that want to borrow."""
+"""Processes borrow requests of other routers and replies to them."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from slipbay.peer_channel.interfaces import Send
 from slipbay.quota.account import QuotaAccount
 from slipbay.quota.accounts import QuotaAccounts
-from slipbay.quota.codec import BORROW_ENTRY, HEAD, BorrowEntry, BorrowMessage, MessageType, encode
+from slipbay.quota.codec import BORROW_ENTRY, HEADER, BorrowEntry, BorrowMessage, MessageType, encode
 from slipbay.quota.demand import NO_SUGGESTION, DemandPool
 from slipbay.quota.send_budget import BURST_BYTES, SendBudget
-from slipbay.quota.shares import WHOLE
+from slipbay.quota.shares import SHARE_UNITS
 from slipbay.quota.shutdown import Shutdown
 
-REPORT_ONLY = 1  # is wanted in a request that is only to learn how another stands
-STEADY_PART = 0.85  # of what is lent: while a lender can do without so much, it lends all of it again
-SMALL_REQUEST_BYTES = BURST_BYTES // 4  # are kept for renewals, and the few that want much
+REPORT_ONLY = 1  # wanted amount in a request whose sender only wants a report
+STEADY_FRACTION = 0.85  # a lender renews a share in full while its surplus exceeds this fraction of the share
+RESERVED_BYTES = BURST_BYTES // 4  # budget reserved for replies to renewals and to large requests
 
 
 class Lender:
-    """Lends what this router can do without, for a lease."""
+    """Lends the surplus of this router's share for the duration of a lease."""
 
     def __init__(
         self,
@@ -36,17 +36,17 @@
         self._counts = counts
 
     def receive(self, now: int, borrower: tuple[int, int], message: BorrowMessage) -> list[Send]:
-        """A borrow request of a router and its incarnation; returns the reply, if there is one."""
-        wants = [entry.want for entry in message.entries if 0 < entry.want <= WHOLE]
-        keeps = any(entry.amount for entry in message.entries)
-        small = wants and max(wants) < self._quotas.even and not keeps
-        size = HEAD.size + BORROW_ENTRY.size * len(wants)
-        able = bool(wants) and self._budget.spend(now, size, SMALL_REQUEST_BYTES if small else 0)
-        self._counts["no leave to answer"] += bool(wants) and not able
+        """Process a borrow request of a router and its incarnation; return the reply, if there is one."""
+        wants = [entry.want for entry in message.entries if 0 < entry.want <= SHARE_UNITS]
+        is_renewal = any(entry.amount for entry in message.entries)
+        is_small = wants and max(wants) < self._quotas.even_share and not is_renewal
+        size_bytes = HEADER.size + BORROW_ENTRY.size * len(wants)
+        may_reply = bool(wants) and self._budget.spend(now, size_bytes, RESERVED_BYTES if is_small else 0)
+        self._counts["no leave to answer"] += bool(wants) and not may_reply
         lease_ms = self._lease_ms(now)
         replies = []
         for entry in message.entries:
-            reply = self._decide(now, borrower, message.tag, entry, able, lease_ms)
+            reply = self._process_entry(now, borrower, message.tag, entry, may_reply, lease_ms)
             if reply is not None:
                 replies.append(reply)
         if not replies:
@@ -63,50 +63,58 @@
             return lease_ms
         return self._quotas.leases.lendable_us(now, lease_ms * 1000) // 1000
 
-    def _decide(
-        self, now: int, borrower: tuple[int, int], tag: int, entry: BorrowEntry, able: bool, lease_ms: int
+    def _process_entry(
+        self,
+        now: int,
+        borrower: tuple[int, int],
+        tag: int,
+        entry: BorrowEntry,
+        may_reply: bool,
+        lease_ms: int,
     ) -> BorrowEntry | None:
-        """``able``: whether a reply may be sent."""
+        """Process one entry of a request and return the reply's entry, if any.
+
+        ``may_reply`` tells whether the budget allows a reply.
+        """
         account = self._quotas.accounts.get(entry.key)
         if account is None:
             return None
         self._demand.receive(now, borrower[0], entry)
-        account.settle(now)
+        account.advance(now)
         shares = account.shares
-        if not shares.take_request(now, borrower, tag, entry.amount):
+        if not shares.accept_request(now, borrower, tag, entry.amount):
             self._counts["late or double"] += 1
             return None
         amount = 0
-        replies = able and 0 < entry.want <= WHOLE
-        if replies and shares.start_wait_over(now) and not self._shutdown.recalls(now):
-            amount = self._amount(now, account, borrower, entry, lease_ms)
+        must_reply = may_reply and 0 < entry.want <= SHARE_UNITS
+        if must_reply and shares.start_wait_over(now) and not self._shutdown.is_recalling(now):
+            amount = self._lent_amount(now, account, borrower, entry, lease_ms)
             shares.lend(now, borrower, amount, lease_ms * 1000)
-        account.changed(now)
-        if not replies:
+        account.update_share(now)
+        if not must_reply:
             return None
         if not shares.start_wait_over(now) and entry.amount:
-            return None  # what an earlier incarnation lent it goes on to its end
+            return None  # the share that an earlier incarnation lent to it ends with its lease
         suggestion = NO_SUGGESTION
         if amount < entry.want and entry.want > REPORT_ONLY:
             suggestion = self._demand.suggest_lender(entry.key, borrower[0], entry.want - amount)
-        demand, share = self._demand.report_to(entry.key, account, borrower[0])
+        demand, share = self._demand.report_for(entry.key, account, borrower[0])
         return BorrowEntry(entry.key, amount, suggestion + 1, demand, share)
 
-    def _amount(
+    def _lent_amount(
         self, now: int, account: QuotaAccount, borrower: tuple[int, int], entry: BorrowEntry, lease_ms: int
     ) -> int:
         surplus, lendable = self.surplus(now, account, borrower, lease_ms)
-        if STEADY_PART * entry.amount < surplus < entry.amount:
-            surplus = entry.amount  # what is lent does not follow every small change
+        if STEADY_FRACTION * entry.amount < surplus < entry.amount:
+            surplus = entry.amount  # lent shares do not follow small changes of the surplus
         return min(entry.want, surplus, lendable) if entry.want > REPORT_ONLY else 0
 
     def surplus(
         self, now: int, account: QuotaAccount, borrower: tuple[int, int], lease_ms: int
     ) -> tuple[int, int]:
-        """What this router can do without, and what it may lend to a borrower at all, in parts of the
-        whole."""
+        """Return this router's surplus, and the amount that it may lend to a borrower, in share units."""
         shares = account.shares
         lendable = shares.lendable(now, borrower, lease_ms * 1000)
-        own, _ = shares.usable(now)
-        beside = own + shares.lent_out(now) - shares.lent_out(now, borrower)
-        return max(0, beside - int(self._demand.wanted(account) * self._quotas.even)), lendable
+        usable_units, _ = shares.usable(now)
+        available = usable_units + shares.lent_out(now) - shares.lent_out(now, borrower)
+        return max(0, available - int(self._demand.wanted(account) * self._quotas.even_share)), lendable
--- a/slipbay/quota/outbox.py
+++ b/slipbay/quota/outbox.py
@@ -1,4 +1,4 @@
-"""Sends messages about leases, and sends those again that found no room."""
+"""Sends lease messages, and resends those that the channel had no room for."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 from slipbay.quota.send_budget import BURST_BYTES, LEASE_OVERDRAFT_BYTES, SendBudget
 from slipbay.quota.shutdown import Shutdown
 
-RESEND_FOR_US = 600_000  # for so long messages that found no room are tried again
+RESEND_FOR_US = 600_000  # time for which unsent messages are retried
 
 
 class LeaseOutbox:
-    """Keeps the latest message of each type to each router that found no room.
+    """Keeps the latest unsent lease message of each type to each router.
 
-    Sending it later is no other than its coming late; whoever wanted to borrow asks for it anew.
+    Sending it later has the same effect as a delay in the network. Borrow messages are not kept, as borrowers
+    send new requests.
     """
 
     def __init__(
@@ -26,39 +27,41 @@
         self._budget = budget
         self._shutdown = shutdown
         self._counts = counts
-        self._unsent: dict[tuple[int, int], tuple[int, bytes]] = {}  # by router and type: since when
-        self._resent: dict[tuple[int, int], int] = {}  # of them, those that are tried again now
+        self._unsent: dict[tuple[int, int], tuple[int, bytes]] = {}  # by router and type: since when, body
+        self._resent_since: dict[tuple[int, int], int] = {}  # resent messages, since when they are unsent
 
     def send(self, now: int, messages: list[Send]) -> list[Send]:
-        """Those that may leave now; others are kept."""
+        """Return the messages that the budget allows now, and keep the others."""
         sends = []
-        least = -BURST_BYTES if self._shutdown.recalls(now) else LEASE_OVERDRAFT_BYTES
+        min_left_bytes = -BURST_BYTES if self._shutdown.is_recalling(now) else LEASE_OVERDRAFT_BYTES
         for to, body in messages:
-            if self._budget.spend(now, len(body), least):
+            if self._budget.spend(now, len(body), min_left_bytes):
                 sends.append((to, body))
             else:
                 self.keep(now, to, body)
         return sends
 
     def keep(self, now: int, to: int, body: bytes) -> None:
-        """A message found no room."""
+        """Keep a message that was not sent, if it is still needed."""
         if self._leases is not None and self._leases.handle_unsent(now, to, body):
             key = to, body[0]
-            self._unsent[key] = self._resent.pop(key, now), body
+            self._unsent[key] = self._resent_since.pop(key, now), body
             self._counts["no room at first"] += 1
 
     def resend(self, now: int) -> list[Send]:
-        """Messages that found no room, the oldest first, as long as they still say something."""
-        if self._leases is None or (not self._unsent and not self._resent):
+        """Return the unsent messages that are still needed, the oldest first."""
+        if self._leases is None or (not self._unsent and not self._resent_since):
             return []
-        tried = self._unsent
+        earlier_unsent = self._unsent
         self._unsent = {}
-        self._resent = {
+        self._resent_since = {
             key: since
-            for key, (since, body) in tried.items()
+            for key, (since, body) in earlier_unsent.items()
             if now - since < RESEND_FOR_US and self._leases.handle_unsent(now, key[0], body)
         }
-        requests = {to for to, kind in self._resent if kind == MessageType.LEASE_REQUEST}
-        self._leases.renewal.unsent = requests
-        order = sorted(self._resent, key=self._resent.__getitem__)
-        return self.send(now, [(key[0], tried[key][1]) for key in order])
+        routers_with_requests = {
+            to for to, message_type in self._resent_since if message_type == MessageType.LEASE_REQUEST
+        }
+        self._leases.renewal.unsent = routers_with_requests
+        order = sorted(self._resent_since, key=self._resent_since.__getitem__)
+        return self.send(now, [(key[0], earlier_unsent[key][1]) for key in order])
--- a/slipbay/quota/peer_replies.py
+++ b/slipbay/quota/peer_replies.py
@@ -1,30 +1,30 @@
-"""Which routers owe replies."""
+"""Detects unresponsive routers by the replies that they owe."""
 
 from __future__ import annotations
 
 SECOND = 1_000_000
-MISSED_AFTER_US = SECOND  # a router that owes replies for so long counts as silent
+MISSED_AFTER_US = SECOND  # a router that owes replies for longer counts as unresponsive
 
 
 class PeerReplies:
-    """Counts requests to each router since a message of it last came. Times are us."""
+    """Counts the requests to each router since its latest message arrived. Times are in us."""
 
     def __init__(self) -> None:
-        self._owed: dict[int, tuple[int, int]] = {}  # by router: since when, and how many
-        self.missed: dict[int, int] = {}  # silent routers: how many replies they owe
+        self._owed: dict[int, tuple[int, int]] = {}  # by router: since when, and number of replies owed
+        self.missed: dict[int, int] = {}  # by unresponsive router, the number of replies that it owes
 
-    def requested(self, now: int, router: int) -> None:
-        """A request that wants a reply left."""
+    def record_request(self, now: int, router: int) -> None:
+        """Record that a request was sent that wants a reply."""
         since, count = self._owed.get(router, (now, 0))
         self._owed[router] = since, count + 1
 
-    def heard(self, router: int) -> None:
-        """A message of a router came, or another said that it runs."""
+    def record_received(self, router: int) -> None:
+        """Record a message of a router, or a report of another router that it runs."""
         self._owed.pop(router, None)
         self.missed.pop(router, None)
 
     def update(self, now: int) -> None:
-        """Find out who is silent now."""
+        """Determine which routers are unresponsive now."""
         self.missed = {
             router: count
             for router, (since, count) in self._owed.items()
--- a/slipbay/quota/service.py
+++ b/slipbay/quota/service.py
@@ -1,5 +1,4 @@
-"""Quotas in a running router: the state machine on the channel, the admission gate, log lines and a
-status."""
+"""Connects the quotas to a running router: state machine, peer channel, admission gate, log and status."""
 
 from __future__ import annotations
 
@@ -16,15 +15,15 @@
 from slipbay.quota.borrowing import BorrowingStateMachine
 from slipbay.quota.event_log import QuotaEventLog
 from slipbay.quota.plan import QuotaPlan
-from slipbay.quota.status import status_of
+from slipbay.quota.status import build_status
 
-WATCH_US = 1_000_000
-RELEASED_US = 20_000  # before the last request: by then base shares are released
-SEED_SALT = 0x51  # so that this part's draws are not those of others with the router's seed
+CHECK_INTERVAL_US = 1_000_000
+RELEASE_LOG_MARGIN_US = 20_000  # time before the end of the shutdown at which the release is logged
+SEED_SALT = 0x51  # makes random numbers differ from those of other components with the router's seed
 
 
 class QuotaService:
-    """Call ``start`` when the channel is about to start."""
+    """The quotas of a running router. Call ``start`` before the channel starts."""
 
     def __init__(
         self, config: Config, plan: QuotaPlan, core: Dispatcher, clock: Clock, timers: Timers, link: UdpLink
@@ -33,8 +32,8 @@
         self._timers = timers
         self._name = config.name
         random = Random(config.seed ^ SEED_SALT)
-        number = config.settings.router_number
-        self.machine = BorrowingStateMachine(number, len(config.peers), plan, random, clock.fresh())
+        local_router = config.settings.router_number
+        self.machine = BorrowingStateMachine(local_router, len(config.peers), plan, random, clock.fresh())
         self.machine.set_incarnation(link.mux.life)
         self.gate = QuotaAdmissionGate(
             self.machine, config.tenants, config.classes, clock.fresh, config.settings.max_retry_after_us
@@ -43,21 +42,21 @@
         link.mux.add(FrameKind.QUOTA, self.machine)
         self.machine.budget.channel_room = lambda now: link.mux.room(now, FrameKind.QUOTA)
         link.mux.unsent[FrameKind.QUOTA] = self.machine.unsent
-        if 0 in link.topics:  # the channel answers commands on this machine
+        if 0 in link.topics:  # the channel answers commands from this host
             link.topics[FrameKind.QUOTA] = self.status
-        self._events = QuotaEventLog(self.machine)
+        self._event_log = QuotaEventLog(self.machine)
 
     def start(self) -> None:
-        """Log the plan, and from now on what changes."""
-        self._events.started()
-        self._watch()
+        """Log the plan, and from now on all changes."""
+        self._event_log.log_start()
+        self._check_changes()
 
-    def _watch(self) -> None:
-        self._events.check(self._clock.now())
-        self._timers.after(WATCH_US, self._watch)
+    def _check_changes(self) -> None:
+        self._event_log.check(self._clock.now())
+        self._timers.after(CHECK_INTERVAL_US, self._check_changes)
 
     def follow_plan(self, plan: QuotaPlan) -> None:
-        """SIGHUP brought a checked plan."""
+        """Apply a checked plan after a reload (SIGHUP)."""
         old = self.machine.plan
         if plan != old:
             self.machine.follow_plan(self._clock.fresh(), plan)
@@ -65,15 +64,17 @@
             log("quota", f"plan {plan.version} in place of {old.version}")
 
     def resized(self, running: int) -> None:
-        """How many routers run, by the view."""
+        """Set the number of running routers, as membership reports it."""
         self.machine.resized(self._clock.fresh(), running)
 
-    def end(self, takes_us: int) -> None:
-        """SIGTERM: requests are taken for ``takes_us`` yet."""
-        self.machine.end(self._clock.fresh() + takes_us)
+    def end(self, linger_us: int) -> None:
+        """Start the shutdown (SIGTERM): requests are accepted for ``linger_us`` more."""
+        self.machine.end(self._clock.fresh() + linger_us)
         if self.machine.leases is not None:
-            self._timers.after(takes_us - RELEASED_US, lambda: self._events.released(self._clock.fresh()))
+            self._timers.after(
+                linger_us - RELEASE_LOG_MARGIN_US, lambda: self._event_log.log_release(self._clock.fresh())
+            )
 
     def status(self) -> dict[str, object]:
-        """What this router holds of each quota, for commands."""
-        return status_of(self.machine, self._name, self._clock.fresh())
+        """Return the status of each quota for commands."""
+        return build_status(self.machine, self._name, self._clock.fresh())
--- a/slipbay/quota/settings.py
+++ b/slipbay/quota/settings.py
@@ -1,6 +1,6 @@
-"""Reads ``deploy/quota.toml``: whether quotas hold over the fleet, and which.
+"""Loads ``deploy/quota.toml``, which enables and defines the quotas of the fleet.
 
-Where it is off nothing of this package but this module is loaded.
+If quotas are disabled, no other module of this package is imported.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 def load_quota(
     config: Config, environment: Mapping[str, str], old: QuotaPlan | None = None, always: bool = False
 ) -> QuotaPlan | None:
-    """The plan; None if the file is absent or says ``enabled = false``.
+    """Return the plan; None if the file is absent or has ``enabled = false``.
 
-    ``old``: the plan that a running router follows. ``always``: whether it is switched on or not, and for
-    whatever number of routers. Raises ``ConfigError`` with file, key and reason.
+    ``old`` is the plan that a running router uses. With ``always`` the plan is loaded even if it is disabled,
+    and for any number of routers. Raises ``ConfigError`` with file, key and reason.
     """
     path = Path(environment.get("SLIPBAY_QUOTA") or QUOTA_FILE)
     data = switched_on(path)
@@ -58,4 +58,6 @@
 def _check_fleet(config: Config) -> None:
     number = config.settings.router_number
     if number >= len(config.peers):
-        raise ConfigError(f"peers has {len(config.peers)} addresses, ours is number {number}", "enabled")
+        raise ConfigError(
+            f"peers has {len(config.peers)} addresses, this router is number {number}", "enabled"
+        )
--- a/slipbay/quota/shares.py
+++ b/slipbay/quota/shares.py
@@ -1,8 +1,8 @@
-"""One router's share of one quota: its own base share, less what it lent, and what it borrowed.
+"""A router's share of a quota: its base share minus the lent shares plus the borrowed shares.
 
-This is all that the bound stands on (docs/quota.md has the proof): at every moment what a borrower uses of a
-borrowed share is no more than what its lender counts as lent. Amounts are whole parts of the quota, ``WHOLE``
-being all of it; times are us of this router's own clock.
+The quota's upper bound depends on this module (docs/quota.md has the proof): at any time a borrower uses no
+more of a borrowed share than its lender counts as lent. Amounts are integers in share units; a quota has
+``SHARE_UNITS`` of them. Times are in us of the local router's clock.
 """
 
 from __future__ import annotations
@@ -13,165 +13,183 @@
 
 from slipbay.peer_channel.leases import ClockBounds, GrantedLease, HeldLease, wait_after_start
 
-WHOLE = 60_000
+SHARE_UNITS = 60_000  # share units in a quota
 FOREVER = 2**62
-SELF = -1  # in place of a router's number: what is this router's own for good
+SELF = -1  # in place of a router's number: the base share that the local router owns without a lease
 NO_LEASE = HeldLease(0, 0)
-UNANSWERED_US = 2_000_000  # a reply that takes longer is not taken
+REPLY_TIMEOUT_US = 2_000_000  # later replies are ignored
 
 
 @dataclass(slots=True)
 class BorrowedShare:
-    """What one lender lent to this router. Only the reply to the latest request counts."""
+    """A share that one lender lent to this router. Replies to earlier requests are ignored."""
 
     tag: int = 0  # of the latest request
     requested_at: int = 0
-    pending: bool = False  # its reply has not come
+    pending: bool = False  # whether its reply has not arrived yet
     amount: int = 0
     lease: HeldLease = NO_LEASE
 
 
 @dataclass(slots=True)
 class LentShare:
-    """What one incarnation of a borrower may hold: the most of all replies whose leases are not over, as any
-    of them may be the one that it received.
+    """A share that is lent to one incarnation of a borrower.
+
+    It counts as the maximum of all grants whose leases have not ended, as the borrower may have received any
+    of these replies.
     """
 
     tag: int
     grants: list[tuple[int, GrantedLease]] = field(default_factory=list)
 
-    def amount_out(self, now: int, clocks: ClockBounds) -> int:
-        """The most that the borrower may use now."""
+    def outstanding(self, now: int, clocks: ClockBounds) -> int:
+        """Return the maximum amount that the borrower may use now."""
         return max((amount for amount, granted in self.grants if not granted.over(now, clocks)), default=0)
 
 
-def base_shares(size: int, holders: int, reserve: float, first: int) -> list[int]:
-    """What each router has of a quota.
+def base_shares(router_count: int, holders: int, reserve: float, first: int) -> list[int]:
+    """Return each router's base share of a quota, in share units.
 
-    All have the same standing reserve; the rest is held, to use or lend, by some routers that lie evenly
-    between all, from ``first`` on. Together they never have more than the whole.
+    Each router has the same reserve. The rest is divided among ``holders`` routers, which may use and lend
+    it; they are evenly spaced, beginning with router ``first``. The sum never exceeds ``SHARE_UNITS``.
     """
-    count = min(size, holders)
-    least = int(WHOLE * reserve / size)
-    found = [least] * size
-    for number in range(count):
-        found[(first + number * size // count) % size] += (WHOLE - least * size) // count
-    return found
+    count = min(router_count, holders)
+    reserve_units = int(SHARE_UNITS * reserve / router_count)
+    amounts = [reserve_units] * router_count
+    for position in range(count):
+        amounts[(first + position * router_count // count) % router_count] += (
+            SHARE_UNITS - reserve_units * router_count
+        ) // count
+    return amounts
 
 
 class BaseShare(NamedTuple):
-    """Of one router's base share, what this router may use and lend."""
+    """A base share that the local router may use and lend, without the reserve of its owner."""
 
     amount: int
-    begins: int
-    ends: int  # by then what is lent of it has surely ended
+    starts_us: int
+    ends_us: int  # by then the shares lent from it have surely ended
 
 
 class Shares:
-    """What is lent and borrowed of one quota. Every method is given the time; none goes back."""
+    """Lent and borrowed shares of one quota. The caller passes the time, which never decreases."""
+
+    def __init__(
+        self, clocks: ClockBounds, started_us: int, max_lease_us: int, base: int, reserve: int
+    ) -> None:
+        """``max_lease_us`` is the longest lease that any incarnation of this router may have granted.
 
-    def __init__(self, clocks: ClockBounds, started: int, longest_us: int, base: int, reserve: int) -> None:
-        """``longest_us``: the longest lease that any incarnation of this router may have granted. ``base``:
-        what this router has for good; ``reserve``: of it, what no incarnation ever lends, so that a new one
-        may use it at once.
+        ``base`` is the share that this router has without a lease. ``reserve`` is the fraction of it, in
+        share units, that no incarnation ever lends, so that a new incarnation may use it at once.
         """
         self.clocks = clocks
         self.base = base
         self.reserve = reserve
-        self.waits_until = started + wait_after_start(longest_us, clocks)
+        self.waits_until = started_us + wait_after_start(max_lease_us, clocks)
         self.bases: dict[int, BaseShare] = {}  # by owner
         if base > reserve:
             self.bases[SELF] = BaseShare(base - reserve, self.waits_until, FOREVER)
-        self.usable_from = started  # no base share is used or lent before
+        self.usable_from_us = started_us  # no base share is used or lent before this time
         self.borrowed: dict[int, BorrowedShare] = {}  # by lender
         self.lent: dict[tuple[int, int], LentShare] = {}  # by borrower and its incarnation
 
     def start_wait_over(self, now: int) -> bool:
-        """Whether all that an earlier incarnation lent has come back."""
+        """Return whether all shares that an earlier incarnation lent have ended."""
         return now >= self.waits_until
 
     def end_start_wait(self, now: int) -> None:
-        """Nothing that an earlier incarnation lent is held any more."""
+        """End the wait after the start: no share that an earlier incarnation lent is held any more."""
         self.waits_until = min(self.waits_until, now)
         self.bases = {
-            owner: base._replace(begins=min(base.begins, now)) for owner, base in self.bases.items()
+            owner: base._replace(starts_us=min(base.starts_us, now)) for owner, base in self.bases.items()
         }
 
     def set_bases(self, now: int, bases: Mapping[int, BaseShare]) -> None:
-        """Base shares that are leased to this router, by owner; none is taken away before it ends."""
+        """Set the base shares that are leased to this router, by owner; a share is only removed after its
+        end.
+        """
         self.bases = {
-            owner: base._replace(begins=max(base.begins, self.usable_from)) for owner, base in bases.items()
+            owner: base._replace(starts_us=max(base.starts_us, self.usable_from_us))
+            for owner, base in bases.items()
         }
         self.base = self.reserve + sum(base.amount for base in bases.values())
-        if bases:  # whatever earlier incarnations lent of any of them has ended
-            self.waits_until = min(self.waits_until, max(now, self.usable_from))
+        if bases:  # shares that earlier incarnations lent from any of them have ended
+            self.waits_until = min(self.waits_until, max(now, self.usable_from_us))
 
-    def lent_out(self, now: int, beside: tuple[int, int] | None = None) -> int:
-        """What is lent, but for one borrower."""
-        return sum(lent.amount_out(now, self.clocks) for who, lent in self.lent.items() if who != beside)
+    def lent_out(self, now: int, except_borrower: tuple[int, int] | None = None) -> int:
+        """Return the amount that is lent, to all borrowers but ``except_borrower``."""
+        return sum(
+            lent.outstanding(now, self.clocks) for who, lent in self.lent.items() if who != except_borrower
+        )
 
     def borrowers(self, now: int) -> set[int]:
-        """Routers that may use something of what is lent."""
-        return {who for (who, _), lent in self.lent.items() if lent.amount_out(now, self.clocks)}
+        """Return the routers that may still use a lent share."""
+        return {who for (who, _), lent in self.lent.items() if lent.outstanding(now, self.clocks)}
 
     def usable(self, now: int) -> tuple[int, int]:
-        """What may be used now, and the next moment at which that changes by itself."""
-        own = self.reserve
-        until = FOREVER if self.start_wait_over(now) else self.waits_until
+        """Return the amount that this router may use now, and the next time when it changes by itself."""
+        usable_units = self.reserve
+        until_us = FOREVER if self.start_wait_over(now) else self.waits_until
         for base in self.bases.values():
-            if base.begins <= now < base.ends:
-                own += base.amount
-            if now < base.ends:
-                until = min(until, base.begins if now < base.begins else base.ends)
+            if base.starts_us <= now < base.ends_us:
+                usable_units += base.amount
+            if now < base.ends_us:
+                until_us = min(until_us, base.starts_us if now < base.starts_us else base.ends_us)
         if self.lent:
-            until = min(until, self._drop_ended_grants(now))
-            own = max(0, own - self.lent_out(now))
-        for loan in self.borrowed.values():
-            if loan.amount and loan.lease.valid(now):
-                own += loan.amount
-                until = min(until, loan.lease.ends)
-        return own, until
+            until_us = min(until_us, self._drop_ended_grants(now))
+            usable_units = max(0, usable_units - self.lent_out(now))
+        for borrowed_share in self.borrowed.values():
+            if borrowed_share.amount and borrowed_share.lease.valid(now):
+                usable_units += borrowed_share.amount
+                until_us = min(until_us, borrowed_share.lease.ends)
+        return usable_units, until_us
 
     def _drop_ended_grants(self, now: int) -> int:
-        """Returns when the next of those that are left ends."""
-        until = FOREVER
+        """Drop grants that have ended. Return when the next of the remaining grants ends."""
+        until_us = FOREVER
         for lent in self.lent.values():
             lent.grants = [grant for grant in lent.grants if not grant[1].over(now, self.clocks)]
             for _, granted in lent.grants:
-                until = min(until, granted.granted + self.clocks.surely(granted.length))
-        return until
+                until_us = min(until_us, granted.granted + self.clocks.surely(granted.length))
+        return until_us
 
     # As a borrower
 
-    def request(self, now: int, lender: int, tag: int, keep: int) -> int:
-        """A request is about to leave; from now on no more than ``keep`` is used of what the lender lent.
+    def record_borrow_request(self, now: int, lender: int, tag: int, kept: int) -> int:
+        """Record a request before it is sent. From now on this router uses no more than ``kept`` of the
+        lender's share.
 
-        Returns what the request may say is kept.
+        Returns the amount that the request may report as kept.
         """
-        loan = self.borrowed.setdefault(lender, BorrowedShare())
-        loan.amount = min(loan.amount, keep) if loan.lease.valid(now) else 0
-        loan.tag = tag
-        loan.requested_at = now
-        loan.pending = True
-        return loan.amount
+        borrowed_share = self.borrowed.setdefault(lender, BorrowedShare())
+        borrowed_share.amount = min(borrowed_share.amount, kept) if borrowed_share.lease.valid(now) else 0
+        borrowed_share.tag = tag
+        borrowed_share.requested_at = now
+        borrowed_share.pending = True
+        return borrowed_share.amount
 
-    def take_reply(self, _now: int, lender: int, tag: int, amount: int, length: int) -> bool:
-        """The lender's reply; one to any other request than the latest changes nothing.
+    def accept_reply(self, _now: int, lender: int, tag: int, amount: int, lease_us: int) -> bool:
+        """Process a lender's reply. Return False, and change nothing, if it is not to the latest request.
 
-        ``_now`` is not needed, as the lease counts from the request; each event is given the time.
+        The lease counts from the request, so ``_now`` is unused; it is a parameter as in all event methods.
         """
-        loan = self.borrowed.get(lender)
-        if loan is None or not loan.pending or loan.tag != tag or amount > WHOLE:
+        borrowed_share = self.borrowed.get(lender)
+        if (
+            borrowed_share is None
+            or not borrowed_share.pending
+            or borrowed_share.tag != tag
+            or amount > SHARE_UNITS
+        ):
             return False
-        loan.pending = False
-        loan.amount = amount
-        loan.lease = HeldLease(loan.requested_at, length)
+        borrowed_share.pending = False
+        borrowed_share.amount = amount
+        borrowed_share.lease = HeldLease(borrowed_share.requested_at, lease_us)
         return True
 
     # As a lender
 
-    def take_request(self, now: int, borrower: tuple[int, int], tag: int, keep: int) -> bool:
-        """A borrower's request says what it keeps. False for one that came late or twice."""
+    def accept_request(self, now: int, borrower: tuple[int, int], tag: int, kept: int) -> bool:
+        """Process the amount that a borrower keeps. Return False if the request is late or a duplicate."""
         lent = self.lent.get(borrower)
         if lent is None:
             lent = self.lent[borrower] = LentShare(tag)
@@ -179,26 +197,30 @@
             return False
         lent.tag = tag
         lent.grants = [
-            (min(amount, keep), granted)
+            (min(amount, kept), granted)
             for amount, granted in lent.grants
             if not granted.over(now, self.clocks)
         ]
         return True
 
-    def lend(self, now: int, borrower: tuple[int, int], amount: int, length: int) -> None:
-        """The reply to a request that was just taken. The caller keeps to ``lendable``."""
-        self.lent[borrower].grants.append((amount, GrantedLease(now, length)))
+    def lend(self, now: int, borrower: tuple[int, int], amount: int, lease_us: int) -> None:
+        """Record the grant in the reply to an accepted request; ``amount`` must not exceed ``lendable``."""
+        self.lent[borrower].grants.append((amount, GrantedLease(now, lease_us)))
+
+    def lendable(self, now: int, borrower: tuple[int, int], lease_us: int) -> int:
+        """Return the total amount that may be lent to a borrower for ``lease_us`` us.
 
-    def lendable(self, now: int, borrower: tuple[int, int], length: int) -> int:
-        """What may be lent to a borrower in all for ``length`` us: of base shares that are leased to this
-        router until that has surely ended, and of none before all is back that an earlier incarnation lent.
+        Only base shares count that are leased to this router until the borrower's lease has surely ended, and
+        none before all shares that an earlier incarnation lent have ended.
         """
-        end = now + self.clocks.surely(length)
-        lasting = sum(base.amount for base in self.bases.values() if base.begins <= now and end <= base.ends)
+        end = now + self.clocks.surely(lease_us)
+        lasting = sum(
+            base.amount for base in self.bases.values() if base.starts_us <= now and end <= base.ends_us
+        )
         return max(0, lasting - self.lent_out(now, borrower))
 
-    def all_back_at(self, now: int) -> int:
-        """When all that is lent has surely ended."""
+    def all_returned_at(self, now: int) -> int:
+        """Return when all lent shares have surely ended."""
         return max(
             (
                 granted.granted + self.clocks.surely(granted.length)
@@ -210,19 +232,19 @@
         )
 
     def prune(self, now: int) -> None:
-        """Drop what has ended, on both sides.
+        """Drop lent and borrowed shares that have ended.
 
-        Requests older than a lease say nothing new: one that comes so late is granted anew, and its reply is
-        not taken.
+        This also forgets the tags of the latest requests. A duplicate that arrives so late is granted as a
+        new request, and its borrower ignores the reply.
         """
         for who, lent in list(self.lent.items()):
             if all(granted.over(now, self.clocks) for _, granted in lent.grants):
                 del self.lent[who]
-        for lender, loan in list(self.borrowed.items()):
-            if not loan.lease.valid(now) and now - loan.requested_at > UNANSWERED_US:
+        for lender, borrowed_share in list(self.borrowed.items()):
+            if not borrowed_share.lease.valid(now) and now - borrowed_share.requested_at > REPLY_TIMEOUT_US:
                 del self.borrowed[lender]
 
 
 def is_later_tag(tag: int, than: int) -> bool:
-    """Which of two request tags, which wrap at 32 bits, is later."""
+    """Return whether a request tag is later than another; tags wrap at 32 bits."""
     return 0 < (tag - than) % 2**32 < 2**31
--- a/slipbay/quota/shutdown.py
+++ b/slipbay/quota/shutdown.py
@@ -1,28 +1,28 @@
-"""When a router that shuts down stops lending, and when it releases what it holds."""
+"""Schedule of a graceful shutdown: when a router recalls lent shares and releases its base shares."""
 
 from __future__ import annotations
 
 from slipbay.quota.shares import FOREVER
 
-RECALL_US = 400_000  # before its end: lending ends, and everything lent is asked for
-RELEASE_US = 200_000  # before its end: base shares are released, whether it has come back or not
+RECALL_US = 400_000  # time before the end at which the router stops lending and recalls lent shares
+RELEASE_US = 200_000  # time before the end at which base shares are released, even if shares are still lent
 
 
 class Shutdown:
-    """An orderly end: requests are taken until ``ends_at``. Times are us."""
+    """A graceful shutdown: requests are accepted until ``ends_us``. Times are in us."""
 
     def __init__(self) -> None:
-        self.ends_at = FOREVER
-        self.released_at = 0  # when all that is lent is back, as granters were notified; 0: they were not
+        self.ends_us = FOREVER
+        self.announced_us = 0  # when all lent shares end, as announced to the granters; 0: not announced
 
-    def begin(self, by: int) -> None:
-        """Requests are taken until ``by``."""
-        self.ends_at = min(self.ends_at, by)
+    def start(self, deadline_us: int) -> None:
+        """Start the shutdown: requests are accepted until ``deadline_us``."""
+        self.ends_us = min(self.ends_us, deadline_us)
 
-    def recalls(self, now: int) -> bool:
-        """Whether nothing is lent any more, and everything lent is asked for."""
-        return now >= self.ends_at - RECALL_US
+    def is_recalling(self, now: int) -> bool:
+        """Return whether the router lends no more and recalls lent shares."""
+        return now >= self.ends_us - RECALL_US
 
-    def releases(self, now: int) -> bool:
-        """Whether base shares are released."""
-        return now >= self.ends_at - RELEASE_US
+    def is_releasing(self, now: int) -> bool:
+        """Return whether the router releases its base shares."""
+        return now >= self.ends_us - RELEASE_US
--- a/slipbay/quota/status.py
+++ b/slipbay/quota/status.py
@@ -1,6 +1,6 @@
-"""What a router holds of each quota, as ``slipbay quota status --json`` prints it.
+"""Builds the status of a router's quotas that ``slipbay quota status --json`` prints.
 
-Operators' scripts read the keys, so they stay as they are. Times are in s, shares are parts of the quota.
+Operators' scripts read the keys, so they must not change. Times are in s, shares are fractions of the quota.
 """
 
 from __future__ import annotations
@@ -9,17 +9,17 @@
 from slipbay.quota.borrowing import BorrowingStateMachine
 from slipbay.quota.leases.granter import NO_ROUTER
 from slipbay.quota.leases.manager import LeaseManager
-from slipbay.quota.shares import WHOLE
+from slipbay.quota.shares import SHARE_UNITS
 
 SECOND = 1e6
 
 
-def status_of(machine: BorrowingStateMachine, name: str, now: int) -> dict[str, object]:
-    """``name``: of the router. ``now``: in us of its clock."""
+def build_status(machine: BorrowingStateMachine, name: str, now: int) -> dict[str, object]:
+    """Return the status; ``name`` is the router's name, ``now`` the time in us of its clock."""
     return {
         "name": name,
-        "number": machine.me,
-        "configured": machine.size,
+        "number": machine.local_router,
+        "configured": machine.router_count,
         "version": machine.plan.version,
         "versions": sorted(set(machine.peer_versions.values())),
         "quotas": {account.quota.name: _account(account, now) for account in machine.accounts.values()},
@@ -29,27 +29,30 @@
 
 
 def _account(account: QuotaAccount, now: int) -> dict[str, object]:
-    account.settle(now)
+    account.advance(now)
     shares = account.shares
     return {
         "rate": account.quota.rate,
         "burst": account.quota.burst,
         "asked": round(account.demand, 2),
-        "share": _part(account.share),
-        "home": _part(shares.base),
+        "share": _quota_fraction(account.share_units),
+        "home": _quota_fraction(shares.base),
         "tokens": round(account.bucket.tokens, 2),
         "open": account.open,
         "awake": shares.start_wait_over(now),
         "counts": dict(account.counts),
         "lent": {
-            str(borrower): _part(amount)
+            str(borrower): _quota_fraction(amount)
             for (borrower, _), lent in shares.lent.items()
-            if (amount := lent.amount_out(now, shares.clocks))
+            if (amount := lent.outstanding(now, shares.clocks))
         },
         "borrowed": {
-            str(lender): [_part(loan.amount), round((now - loan.requested_at) / SECOND, 2)]
-            for lender, loan in shares.borrowed.items()
-            if loan.amount and loan.lease.valid(now)
+            str(lender): [
+                _quota_fraction(borrowed_share.amount),
+                round((now - borrowed_share.requested_at) / SECOND, 2),
+            ]
+            for lender, borrowed_share in shares.borrowed.items()
+            if borrowed_share.amount and borrowed_share.lease.valid(now)
         },
     }
 
@@ -71,5 +74,5 @@
     }
 
 
-def _part(amount: int) -> float:
-    return round(amount / WHOLE, 4)
+def _quota_fraction(amount: int) -> float:
+    return round(amount / SHARE_UNITS, 4)
--- a/tests/explore_quota.py
+++ b/tests/explore_quota.py
@@ -29,15 +29,15 @@
 )
 from slipbay.quota.fleet_start import FleetStart, StartState
 from slipbay.quota.leases.manager import LeaseManager
-from slipbay.quota.shares import WHOLE, BaseShare, LentShare, Shares
+from slipbay.quota.shares import SHARE_UNITS, BaseShare, LentShare, Shares
 
 SIZE = 3
 TERM = 1_000_000
 STEP = TERM // 4
 CLOCKS = ClockBounds(100_000, 0)  # a tenth: so that drift shows within one term
 PACES = (10, 11, 9)  # of a clock, in tenths of true time: the borrowers' 1 is fast, 2 is slow
-BASE = WHOLE // SIZE
-RESERVE = WHOLE // SIZE // 10
+BASE = SHARE_UNITS // SIZE
+RESERVE = SHARE_UNITS // SIZE // 10
 AMOUNT = BASE - RESERVE
 
 
@@ -87,7 +87,7 @@
     def ask(self, me: int, lender: int, keep: int, want: int) -> None:
         self.tags[me] += 1
         self.asks -= 1
-        kept = self.shares[me].request(self.clock(me), lender, self.tags[me], keep)
+        kept = self.shares[me].record_borrow_request(self.clock(me), lender, self.tags[me], keep)
         self.send(Flying("ask", me, lender, self.incarnations[me], self.tags[me], kept, want))
 
     def deliver(self, message: Flying) -> None:
@@ -95,10 +95,10 @@
         now = self.clock(message.target)
         shares = self.shares[me]
         if message.sort == "answer":
-            shares.take_reply(now, message.source, message.tag, message.amount, TERM)
+            shares.accept_reply(now, message.source, message.tag, message.amount, TERM)
             return
         borrower = message.source, message.life
-        if shares.take_request(now, borrower, message.tag, message.amount) and message.want:
+        if shares.accept_request(now, borrower, message.tag, message.amount) and message.want:
             amount = min(message.want, shares.lendable(now, borrower, TERM))
             if amount:
                 shares.lend(now, borrower, amount, TERM)
@@ -191,7 +191,7 @@
         self.shares[me].set_bases(
             now,
             {
-                owner: BaseShare(WHOLE - SIZE * RESERVE, now, ends)
+                owner: BaseShare(SHARE_UNITS - SIZE * RESERVE, now, ends)
                 for owner, ends in manager.held(now).items()
             },
         )
@@ -205,7 +205,7 @@
         if isinstance(message, LeaseMessage) and message.message_type is MessageType.FLEET_START:
             fleet_starts = self.fleet_starts[me]
             if fleet_starts.receive(said.source, said.life, message.tag, message.lease_ms):
-                self.send(me, [(said.source, self._start_body(*fleet_starts.statement()))])
+                self.send(me, [(said.source, self._start_body(*fleet_starts.next_statement()))])
         elif isinstance(message, LeaseMessage):
             self.send(me, self.managers[me].receive(now, said.source, said.life, message))
         elif message is not None:
@@ -223,7 +223,7 @@
             loan.amount for loan in self.shares[me].borrowed.values()
         )
         fleet_starts.state_nothing_held(lambda: self._drop(me))
-        if fleet_starts.all_new():
+        if fleet_starts.is_fleet_restarted():
             manager.end_start_wait(self.clock(me))
 
     def _drop(self, me: int) -> None:
@@ -237,8 +237,8 @@
         borrower = (said.source, said.life)
         key, amount, want, _, _ = message.entries[0]
         if message.message_type is MessageType.BORROW_REPLY:
-            shares.take_reply(now, said.source, tag, amount, message.lease_ms * 1000)
-        elif shares.take_request(now, borrower, tag, amount):
+            shares.accept_reply(now, said.source, tag, amount, message.lease_ms * 1000)
+        elif shares.accept_request(now, borrower, tag, amount):
             length = self.managers[me].lendable_us(now, TERM)
             amount = min(want, shares.lendable(now, borrower, length))
             if amount:
@@ -309,14 +309,14 @@
             case "tell":
                 self.tells -= 1
                 fleet_starts = self.fleet_starts[me]
-                stated, state = fleet_starts.statement()
+                stated, state = fleet_starts.next_statement()
                 self.send(me, [(other, self._start_body(stated, state or StartState.REPLY_WANTED))])
             case "end":
                 self.ends -= 1
-                self.send(me, manager.start_shutdown(now, self.shares[me].all_back_at(now)))
+                self.send(me, manager.start_shutdown(now, self.shares[me].all_returned_at(now)))
             case "borrow":
                 self.grants -= 1
-                self._ask(me, other, WHOLE)
+                self._ask(me, other, SHARE_UNITS)
             case "return":
                 self.returns -= 1
                 self._ask(me, other, 0)
@@ -325,7 +325,7 @@
     def _ask(self, me: int, lender: int, want: int) -> None:
         """To keep what is lent and have so much, or to keep nothing."""
         tag = self.clock(me) // 1000 + 1000 - self.grants - self.returns  # rises
-        kept = self.shares[me].request(self.clock(me), lender, tag, want)
+        kept = self.shares[me].record_borrow_request(self.clock(me), lender, tag, want)
         self.send(
             me,
             [
@@ -560,8 +560,8 @@
                 found.moves[move[0]] += 1
                 usable = after.usable()
                 found.most = max(found.most, usable)
-                if usable > WHOLE:
-                    found.violation = f"{usable} of {WHOLE} after {[*path, move]}"
+                if usable > SHARE_UNITS:
+                    found.violation = f"{usable} of {SHARE_UNITS} after {[*path, move]}"
                     found.states = len(seen)
                     return found
                 key = after.key()
@@ -601,8 +601,8 @@
             found.moves[path[-1][0]] += 1
             found.states += 1
             found.most = max(found.most, world.usable())
-            if world.usable() > WHOLE:
-                found.violation = f"{world.usable()} of {WHOLE} after {path}"
+            if world.usable() > SHARE_UNITS:
+                found.violation = f"{world.usable()} of {SHARE_UNITS} after {path}"
                 return found
     return found
 
@@ -646,7 +646,7 @@
         ),
     ):
         print(
-            f"{found.states} states {what}, moves {dict(found.moves)}; at most {found.most} of {WHOLE} "
+            f"{found.states} states {what}, moves {dict(found.moves)}; at most {found.most} of {SHARE_UNITS} "
             f"usable at once; {found.violation or 'no violation'}"
         )
 
--- a/tests/test_explore_quota.py
+++ b/tests/test_explore_quota.py
@@ -15,14 +15,14 @@
 from slipbay.quota.leases.granter import LeaseGranter, LeaseRecord
 from slipbay.quota.leases.holder import LeaseHolder
 from slipbay.quota.leases.manager import LeaseManager
-from slipbay.quota.shares import WHOLE, LentShare, Shares
+from slipbay.quota.shares import SHARE_UNITS, LentShare, Shares
 
 
 def test_three_routers_two_grants_and_a_fault_within_a_short_bound() -> None:
     found = explore(depth=6)
     assert found.violation == ""
     assert found.states > 5_000
-    assert found.most == WHOLE
+    assert found.most == SHARE_UNITS
     assert all(
         found.moves[what]
         for what in ("ask", "deliver", "lose", "double", "step", "restart", "cut", "renew", "less", "return")
@@ -33,7 +33,7 @@
     found = wander(walks=200)
     assert found.violation == ""
     assert found.states == 200 * 60
-    assert found.most == WHOLE
+    assert found.most == SHARE_UNITS
 
 
 def test_leases_of_three_routers_within_a_short_bound_and_on_walks() -> None:
@@ -48,11 +48,11 @@
         found = explore(depth=3, start=start)
         assert found.violation == ""
         assert found.states > 500
-        assert found.most == WHOLE
+        assert found.most == SHARE_UNITS
     found = wander(walks=200, leases=True, ends=3)
     assert found.violation == ""
     assert found.states == 200 * 60
-    assert found.most == WHOLE
+    assert found.most == SHARE_UNITS
     assert all(
         found.moves[what]
         for what in ("hold", "leave", "borrow", "restart", "cut", "lose", "double", "end", "return")
@@ -64,7 +64,7 @@
         found = explore(depth=3, start=restarted(restarts, LENT[:many]))
         assert found.violation == ""
         assert found.states > 500
-        assert found.most == WHOLE
+        assert found.most == SHARE_UNITS
     found = wander(walks=150, leases=True, start=lambda: restarted((0, 2)))
     assert found.violation == ""
     assert found.moves["tell"]
@@ -72,22 +72,24 @@
 
 
 def _state_whatever_was_held(self: FleetStart, drop: Callable[[], None]) -> None:
-    if (found := self._checksum()) and found != self.stated:
+    if (found := self._checksum()) and found != self.stated_checksum:
         drop()
-        self.stated = found
+        self.stated_checksum = found
 
 
 def _state_with_answers_under_way(self: FleetStart, drop: Callable[[], None]) -> None:
     if not self.held_anything:
-        self.stated = self._checksum()
+        self.stated_checksum = self._checksum()
 
 
 def _of_any_lives(self: FleetStart) -> int:
-    return int(len(self.incarnations) == self.size)
+    return int(len(self.incarnations) == self.router_count)
 
 
 def _one_is_enough(self: FleetStart) -> bool:
-    return self.stated != 0 and any(stated == self.stated for _, stated in self._statements.values())
+    return self.stated_checksum != 0 and any(
+        stated == self.stated_checksum for _, stated in self._statements.values()
+    )
 
 
 @pytest.mark.parametrize(
@@ -96,7 +98,7 @@
         ("state_nothing_held", _state_whatever_was_held, 3),
         ("state_nothing_held", _state_with_answers_under_way, 2),
         ("_checksum", _of_any_lives, 3),
-        ("all_new", _one_is_enough, 3),
+        ("is_fleet_restarted", _one_is_enough, 3),
     ],
 )
 def test_faults_put_into_the_fleet_start_are_found(
@@ -152,10 +154,10 @@
     [
         (shares, "wait_after_start", _no_wait),
         (GrantedLease, "over", _over_without_drift),
-        (LentShare, "amount_out", _last_alone),
-        (Shares, "take_request", _any_order),
-        (Shares, "take_reply", _any_answer),
-        (Shares, "take_reply", _from_the_answer_on),
+        (LentShare, "outstanding", _last_alone),
+        (Shares, "accept_request", _any_order),
+        (Shares, "accept_reply", _any_answer),
+        (Shares, "accept_reply", _from_the_answer_on),
         (Shares, "lendable", _all_at_home),
     ],
 )
@@ -229,7 +231,7 @@
 @pytest.mark.parametrize(
     ("where", "name", "fault", "start"),
     [
-        (Shares, "all_back_at", _back_at_once, (1, *LENT)),
+        (Shares, "all_returned_at", _back_at_once, (1, *LENT)),
         (LeaseHolder, "shorten", _not_cut, ()),
         (LeaseGranter, "shorten", _shortened_at_any_time, (1, *LATE_END)),
         (LeaseGranter, "shorten", _counted_anew, (4, *LENT, *LATE_END[:2], LATE_END[1])),
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -34,7 +34,7 @@
 from slipbay.quota.metrics import exposition
 from slipbay.quota.plan import CLOCKS, Quota, QuotaPlan, key_of
 from slipbay.quota.settings import load_quota
-from slipbay.quota.shares import WHOLE, base_shares
+from slipbay.quota.shares import SHARE_UNITS, base_shares
 from slipbay.quota.token_bucket import TokenBucket
 
 SECOND = 1_000_000
@@ -85,7 +85,7 @@
     machine.tick(3 * SECOND)
     for sends in (machine.receive(3 * SECOND, 1, 7, body), machine.tick(4 * SECOND)):
         assert all(len(sent) <= MOST_BODY for _, sent in sends)
-    assert machine.accounts[key_of("q")].share <= WHOLE
+    assert machine.accounts[key_of("q")].share_units <= SHARE_UNITS
 
 
 @given(st.integers(1, 1_000), st.integers(1, 40), st.floats(0.01, 1), st.integers(0, 999))
@@ -93,9 +93,9 @@
     size: int, holders: int, reserve: float, first: int
 ) -> None:
     found = base_shares(size, holders, reserve, first % size)
-    assert sum(found) <= WHOLE
+    assert sum(found) <= SHARE_UNITS
     assert len(found) == size
-    assert min(found) >= int(WHOLE * reserve / size)
+    assert min(found) >= int(SHARE_UNITS * reserve / size)
 
 
 @given(st.lists(st.tuples(st.integers(0, 2 * SECOND), st.sampled_from([None, 0, 1])), max_size=150))
@@ -216,7 +216,7 @@
 @pytest.mark.parametrize(
     ("top", "quota", "told"),
     [
-        ("reserve = 2", "", "quota.toml: reserve: want 0.01 to 1, as a part of each quota; got 2"),
+        ("reserve = 2", "", "quota.toml: reserve: want 0.01 to 1, a fraction of each quota; got 2"),
         ("term_ms = 3000", "", "quota.toml: longest_ms: want term_ms (3000) to 30000"),
         ("", "rats = 1", "quota.toml: quotas[0].rats: "),
         ("", "rate = -1", "quota.toml: Cannot overwrite a value"),
@@ -228,7 +228,11 @@
         ),
         ("", "parts = { lookup = 0.7, a = 0.1 }", "quota.toml: quotas[0].parts: want names of classes or of"),
         ("", "soft = 0.5", "quota.toml: quotas[0].soft: want 1 to 100; got 0.5"),
-        ("", '[[quotas]]\nname = "q"\nrate = 1\nburst = 1', "quota.toml: quotas[1].name: 'q' cannot be told"),
+        (
+            "",
+            '[[quotas]]\nname = "q"\nrate = 1\nburst = 1',
+            "quota.toml: quotas[1].name: 'q' has the same key",
+        ),
     ],
 )
 def test_a_bad_plan_is_refused_with_file_key_and_reason(
@@ -376,7 +380,7 @@
 
 
 def _full(self: QuotaAccount) -> None:
-    self.bucket.tokens = 3 * self.quota.burst / self.routers
+    self.bucket.tokens = 3 * self.quota.burst / self.router_count
 
 
 def test_faults_put_in_are_found_by_histories(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_quota_processes.py
+++ b/tests/test_quota_processes.py
@@ -44,7 +44,7 @@
     kept(seen)
     for number in (0, 4):
         lines = [line for line in rig.routers[number].lines if "quota: " in line]
-        gave = [place for place, line in enumerate(lines) if "our base shares are released" in line]
+        gave = [place for place, line in enumerate(lines) if "base shares are released" in line]
         begun = [place for place, line in enumerate(lines) if "only the reserve is used until" in line]
         assert len(begun) == 2 and begun[0] < gave[0] < begun[1], lines
 
--- a/tests/test_scatter.py
+++ b/tests/test_scatter.py
@@ -332,7 +332,7 @@
     machine = BorrowingStateMachine(0, 1, plan, Random(1), 0)
     now = 60 * SECOND
     for account in machine.accounts.values():
-        account.settle(now)
+        account.advance(now)
         account.bucket.tokens = 9.0
     spec = ScatteredClass(
         **{**{name: getattr(SPEC, name) for name in SPEC.__slots__}, "whole_cost": whole_cost}
