--- a/tests/quota_play.py
+++ b/tests/quota_play.py
@@ -1,7 +1,8 @@
-"""Plays the rig with a tenant under a quota, and checks what no window may pass by what clients and engines
-saw: when a request left its client, and when it first ran.
+"""Runs the rig with a tenant that has a quota, and checks the quota's upper bound.
 
-``python tests/quota_play.py`` plays a kill, a cut and a restart of all once, and prints what was served.
+The check uses observations of clients and engines: when a client sent a request, and when the request first
+ran on an engine. ``python tests/quota_play.py`` runs a kill, a partition and a restart of all routers once,
+and prints the number of requests served in each second.
 """
 
 from __future__ import annotations
@@ -29,35 +30,40 @@
     )
 
 
-class Seen:
-    """Of one play, what clients and engines saw."""
+class Observations:
+    """Observations of clients and engines in one run."""
 
-    def __init__(self, verdict: Verdict, began: float) -> None:
+    def __init__(self, verdict: Verdict, started_s: float) -> None:
         self.verdict = verdict
         self.asked = {answer.txn: (answer.asked, answer.router) for answer in verdict.answers}
-        self.first: dict[str, float] = {}
+        self.first_run_s: dict[str, float] = {}
         for at, _, txn in verdict.book.begun:
-            self.first.setdefault(txn, at - began)
+            self.first_run_s.setdefault(txn, at - started_s)
         self.outcomes = Counter(answer.outcome for answer in verdict.answers)
 
     def served(self, since: float = 0.0, until: float = 1e9, at: set[int] | None = None) -> int:
-        """Requests that ran, by when they first did, in s of the play."""
+        """Return the number of requests that first ran from ``since`` to ``until``, in s of the run."""
         return sum(
             since <= when < until and (at is None or self.asked[txn][1] in at)
-            for txn, when in self.first.items()
+            for txn, when in self.first_run_s.items()
             if txn in self.asked
         )
 
     def worst(self, rate: float, since: float = 0.0) -> float:
-        """The most by which admissions in any window surely passed ``rate x t``. A request was admitted after
-        it left its client and before it ran, so one counts only where both lie within the window."""
+        """Return the maximum over all windows of admissions beyond ``rate x t``.
+
+        A request is admitted after its client sent it and before it runs. So it counts only in windows that
+        contain both times.
+        """
         return worst([span for span in self.verdict.spans() if span[0] >= since], rate)
 
 
-def play(
+def run_scenario(
     seconds: float, actions: list[dict[str, Any]], quota: str | None = None, even: bool = False
-) -> tuple[Seen, Rig]:
-    """Eight routers, 55 lookups a second of one tenant, most at the first two; ``even``: 75, alike at all."""
+) -> tuple[Observations, Rig]:
+    """Run a scenario with eight routers and one tenant. The tenant sends 55 lookups per second, most of them
+    to the first two routers; with ``even`` it sends 75, evenly to all routers.
+    """
     table = {
         "routers": 8,
         "engines": 6,
@@ -76,20 +82,20 @@
             ],
         },
     }
-    with tempfile.TemporaryDirectory() as folder:
-        rig = Rig(convert(table, Scenario, "script"), Path(folder))
+    with tempfile.TemporaryDirectory() as directory:
+        rig = Rig(convert(table, Scenario, "script"), Path(directory))
         verdict = asyncio.run(rig.play())
-        return Seen(verdict, rig.began), rig
+        return Observations(verdict, rig.began), rig
 
 
 def bound(rate: float = 30, burst: float = 16) -> float:
-    """What ``worst`` may be at most."""
+    """Return the upper bound for ``Observations.worst``."""
     quota = Quota("fuel", rate, burst)
     return burst + excess(QuotaPlan(1, [quota], term_ms=1_000, longest_ms=1_000), quota, 8)
 
 
 def main() -> None:
-    seen, _ = play(
+    observations, _ = run_scenario(
         18,
         [
             {"at": 4, "what": "kill", "routers": [4]},
@@ -99,10 +105,13 @@
             {"at": 12, "what": "restart", "routers": list(range(8))},
         ],
     )
-    print("\n".join([*seen.verdict.timeline, *seen.verdict.faults]))
+    print("\n".join([*observations.verdict.timeline, *observations.verdict.faults]))
     for second in range(18):
-        print(f"{second:3} s  {seen.served(second, second + 1):4} of 30")
-    print(f"worst window {seen.worst(30):.1f} beyond 30 x t; bound {bound():.1f}; {dict(seen.outcomes)}")
+        print(f"{second:3} s  {observations.served(second, second + 1):4} of 30")
+    print(
+        f"worst window {observations.worst(30):.1f} beyond 30 x t; bound {bound():.1f}; "
+        f"{dict(observations.outcomes)}"
+    )
 
 
 if __name__ == "__main__":
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -1,8 +1,8 @@
-"""Random histories of all parts of many routers together, in simulated time: channel, view, coming back and
-quotas under one network. Checked: no window passes a quota, no life sends more than the budget in a second,
-nothing is begun with that is older than its bound, and in the end all are in full service and know it.
+"""Random histories of many routers in simulated time, with membership, warm-up and quotas on one channel.
 
-``python tests/test_histories.py --size 200 --seeds 3`` plays larger ones.
+Checks that no window of admissions exceeds a quota, that no incarnation sends more bytes in a second than the
+budget, that no router starts with estimates older than their maximum age, and that in the end all routers are
+in full service and see each other. ``python tests/test_histories.py --size 200 --seeds 3`` runs larger ones.
 """
 
 from __future__ import annotations
@@ -44,23 +44,25 @@
     FrameKind.COMEBACK: BudgetShares().comeback,
     FrameKind.QUOTA: BudgetShares().quota,
 }
-MOST_REST_S = 60
-SLOW = LinkConditions(2_000, 800_000, 0.1, 0.3)
-TOLD_US = 250_000  # between messages of the decisions, cut to the room that there is
+MAX_RECOVERY_S = 60
+SLOW_LINKS = LinkConditions(2_000, 800_000, 0.1, 0.3)
+DECISION_INTERVAL_US = 250_000  # between messages about decisions, which fill the channel's room
 
 
-class Together(QuotaFleet):
-    """Each router's parties, and what each newcomer began with. What a router tells of itself is a number
-    that names the moment when it said it."""
+class FullFleet(QuotaFleet):
+    """A fleet that records with which estimates each starting router begins.
+
+    Each router reports as its estimate a number that identifies the time of the report.
+    """
 
     def __init__(self, size: int, seed: int, drift_ppm: int = CLOCKS.drift_ppm) -> None:
-        self.said: list[int] = []  # true times
+        self.report_times_us: list[int] = []  # true times of reports
         self.faults: list[str] = []
-        self.rested_s = 0  # until all were in full service and saw each other
-        self.begun_with = 0  # newcomers that began with what others told
+        self.recovery_s = 0  # time until all routers were in full service and saw each other
+        self.started_with_estimates = 0  # starting routers that began with estimates of others
         super().__init__(size, plan_of(), {"q": zipf(size, RATE * 1.5)}, seed, drift_ppm=drift_ppm)
-        for me in range(size):
-            self._tell(me)
+        for router in range(size):
+            self._send_decisions(router)
 
     def _build(self, seed: int, weather: LinkConditions | None, drift_ppm: int) -> ChannelFleet:
         return ChannelFleet(
@@ -70,165 +72,177 @@
             weather=weather,
             drift_ppm=drift_ppm,
             parts=PARTS,
-            view=lambda me, life, now: MembershipStateMachine(
-                me, self.size, life, Random(life * 256 + me), now, timing=Timing(rate=660)
+            view=lambda router, incarnation, now: MembershipStateMachine(
+                router,
+                self.size,
+                incarnation,
+                Random(incarnation * 256 + router),
+                now,
+                timing=Timing(rate=660),
             ),
         )
 
-    def _parties(self, me: int, life: int, now: int) -> dict[int, ChannelEndpoint]:
+    def _parties(self, router: int, incarnation: int, now: int) -> dict[int, ChannelEndpoint]:
         machine = WarmupStateMachine(
-            me, self.size, (life * 7919 + me) * 0x9E3779B97F4A7C15 % 2**60, now, self._knows, Ways(ages=AGES)
+            router,
+            self.size,
+            (incarnation * 7919 + router) * 0x9E3779B97F4A7C15 % 2**60,
+            now,
+            self._report_estimates,
+            Ways(ages=AGES),
         )
         machine.set_engine_count(8)
-        machine.collector.on_estimates = self._inherited
-        quotas = Quotas(me, self.size, self.plans[me], Random(life * 256 + me), now)
+        machine.collector.on_estimates = self._check_ages
+        quotas = Quotas(router, self.size, self.plans[router], Random(incarnation * 256 + router), now)
 
         def room(at: int) -> int:
-            mux = self.routers.muxes[me]
+            mux = self.routers.muxes[router]
             return mux.room(at, FrameKind.QUOTA) if mux is not None else 0
 
         quotas.budget.channel_room = room
         return {FrameKind.QUOTA: quotas, FrameKind.COMEBACK: machine}
 
-    def _knows(self, now: int) -> tuple[EstimatesRestored, int]:
-        self.said.append(self.now)
-        number = float(len(self.said) - 1)
-        pace = 1 + number % 7_000 / 1_000
-        return EstimatesRestored(pace, pace, ((number, number, 1.0),), (), ((number, 1.0),)), 0
-
-    def _inherited(self, merged: MergedEstimates) -> None:
-        self.begun_with += 1
-        news = merged.estimates
-        last = len(self.said) - 1
-        used = [(AGES.costs, int(row[0])) for row in news.classes if row[0]]
-        used += [(AGES.groups, int(number)) for number, _ in news.groups]
-        if news.pace:  # the youngest of those that said this pace
-            used.append((AGES.pace, last - (last - round((news.pace - 1) * 1_000)) % 7_000))
-        for most, number in used:
-            age = self.now - self.said[number]
-            if age > most * (1 + 2 * CLOCKS.drift_ppm / 1e6) + CLOCKS.jump_us:
-                self.faults.append(f"age: begun with what is {age // 1000} ms old, bound {most // 1000}")
-
-    def _tell(self, me: int) -> None:
-        """The decisions tell their threads, with as much as there is room for."""
-        mux = self.routers.muxes[me]
-        if mux is not None and me not in self.routers.stopped:
-            body = mux.told(self.routers.clock(me), pack("<IB", 1, me % 256) + bytes(3 * 60))
+    def _report_estimates(self, now: int) -> tuple[EstimatesRestored, int]:
+        self.report_times_us.append(self.now)
+        report = float(len(self.report_times_us) - 1)
+        pace = 1 + report % 7_000 / 1_000
+        return EstimatesRestored(pace, pace, ((report, report, 1.0),), (), ((report, 1.0),)), 0
+
+    def _check_ages(self, merged: MergedEstimates) -> None:
+        self.started_with_estimates += 1
+        restored = merged.estimates
+        last_report = len(self.report_times_us) - 1
+        used_reports = [(AGES.costs, int(row[0])) for row in restored.classes if row[0]]
+        used_reports += [(AGES.groups, int(report)) for report, _ in restored.groups]
+        if restored.pace:  # the latest report with this pace
+            used_reports.append(
+                (AGES.pace, last_report - (last_report - round((restored.pace - 1) * 1_000)) % 7_000)
+            )
+        for max_age_us, report in used_reports:
+            age_us = self.now - self.report_times_us[report]
+            if age_us > max_age_us * (1 + 2 * CLOCKS.drift_ppm / 1e6) + CLOCKS.jump_us:
+                self.faults.append(
+                    f"age: started with estimates {age_us // 1000} ms old, bound {max_age_us // 1000} ms"
+                )
+
+    def _send_decisions(self, router: int) -> None:
+        """Send a message about decisions periodically, as large as the channel's room allows."""
+        mux = self.routers.muxes[router]
+        if mux is not None and router not in self.routers.stopped:
+            body = mux.told(self.routers.clock(router), pack("<IB", 1, router % 256) + bytes(3 * 60))
             if body is not None:
-                self.routers.sent(me, len(body))
-        self.routers.agenda.at(self.now + TOLD_US, lambda: self._tell(me))
+                self.routers.sent(router, len(body))
+        self.routers.agenda.at(self.now + DECISION_INTERVAL_US, lambda: self._send_decisions(router))
 
     @property
     def admitted(self) -> list[int]:
         return self.asked["q"].admitted()
 
-    def rest(self) -> None:
-        """Nothing is broken any more."""
+    def repair(self) -> None:
+        """Repair all faults: heal the network, and continue or start all routers."""
         routers = self.routers
         routers.network.heal()
         routers.network.weather = LinkConditions()
-        for me in list(routers.stopped):
-            routers.go_on(me)
-        routers.start([me for me in range(self.size) if routers.muxes[me] is None])
+        for router in list(routers.stopped):
+            routers.go_on(router)
+        routers.start([router for router in range(self.size) if routers.muxes[router] is None])
 
     def check(self) -> list[str]:
-        """What must not be, by the moments of admissions and what the network carried."""
+        """Return violations, by the times of admissions and the bytes on the network."""
         routers = self.routers
         plan = self.plans[0]
         quota = plan.quotas[0]
         worst = worst_burst(self.admitted, RATE)
-        most = quota.burst + excess(plan, quota, self.size)
-        found = list(self.faults)
-        if worst > most:
-            found.append(f"quota: {worst:.1f} in a window, bound {most:.1f}")
+        bound = quota.burst + excess(plan, quota, self.size)
+        violations = list(self.faults)
+        if worst > bound:
+            violations.append(f"quota: {worst:.1f} in a window, bound {bound:.1f}")
         if max(routers.fullest) > BYTES:
-            found.append(f"bytes: {max(routers.fullest)} in a second")
-        return found
+            violations.append(f"bytes: {max(routers.fullest)} in a second")
+        return violations
 
-    def settled(self) -> list[str]:
-        """Who is not in full service, or sees the fleet wrongly."""
+    def unrecovered(self) -> list[str]:
+        """Return the routers that are not in full service or do not see the whole fleet."""
         found = []
-        for me in range(self.size):
-            machine = self.routers.party(me, FrameKind.COMEBACK)
-            view = self.routers.views[me]
+        for router in range(self.size):
+            machine = self.routers.party(router, FrameKind.COMEBACK)
+            view = self.routers.views[router]
             assert isinstance(machine, WarmupStateMachine)
             assert view is not None
             if machine.phase is not Phase.FULL or view.living != list(range(self.size)):
-                found.append(f"end: {me} is {machine.phase.name}, sees {len(view.living)}")
+                found.append(f"end: {router} is {machine.phase.name}, sees {len(view.living)}")
         return found
 
 
-def history(size: int, seed: int, steps: int) -> Together:
-    """The fleet as it is when nothing has been broken for a while."""
+def history(size: int, seed: int, steps: int) -> FullFleet:
+    """Run a random history with faults; return the fleet some time after all faults are repaired."""
     random = Random(seed)
-    fleet = Together(size, seed)
-    leapt = dict[int, int]()
+    fleet = FullFleet(size, seed)
+    jumped_at_us = dict[int, int]()
     fleet.run(2.5)
     for _ in range(steps):
-        step(fleet, random, leapt)
-        if random.random() < 0.5:  # some begin anew beside those that live on, over links that are slow
-            new = random.sample(range(size), random.randint(1, max(1, size // 3)))
+        step(fleet, random, jumped_at_us)
+        if random.random() < 0.5:  # some routers restart while others run on, over slow links
+            restarted = random.sample(range(size), random.randint(1, max(1, size // 3)))
             fleet.routers.network.heal()
-            fleet.routers.network.weather = random.choice([LinkConditions(), SLOW, SLOW])
-            fleet.routers.kill(new)
+            fleet.routers.network.weather = random.choice([LinkConditions(), SLOW_LINKS, SLOW_LINKS])
+            fleet.routers.kill(restarted)
             fleet.run(0.1)
-            fleet.routers.start(new)
+            fleet.routers.start(restarted)
         fleet.run(random.choice([0.05, 0.3, 1.0, 2.5]))
-    fleet.rest()
-    while fleet.settled() and fleet.rested_s < MOST_REST_S:
+    fleet.repair()
+    while fleet.unrecovered() and fleet.recovery_s < MAX_RECOVERY_S:
         fleet.run(1)
-        fleet.rested_s += 1
+        fleet.recovery_s += 1
     return fleet
 
 
 @pytest.mark.parametrize(("size", "seed", "steps"), [(3, 1, 40), (3, 2, 40), (3, 3, 40), (40, 4, 12)])
-def test_all_parts_together_keep_their_bounds_and_all_are_full_in_the_end(
-    size: int, seed: int, steps: int
-) -> None:
+def test_all_bounds_hold_and_all_routers_recover(size: int, seed: int, steps: int) -> None:
     fleet = history(size, seed, steps)
     assert fleet.check() == []
-    assert fleet.settled() == []
-    assert fleet.rested_s <= 15
-    assert fleet.begun_with
+    assert fleet.unrecovered() == []
+    assert fleet.recovery_s <= 15
+    assert fleet.started_with_estimates
     assert fleet.admitted
     assert max(fleet.routers.fullest) > BYTES / 2
 
 
-def found() -> set[str]:
-    """What the first history tells that finds anything."""
-    told = ({fault.split(":")[0] for fault in history(4, seed, 20).check()} for seed in range(60))
-    return next((faults for faults in told if faults), set())
+def violations() -> set[str]:
+    """Return the kinds of violations in the first history that has any."""
+    violation_kinds = ({fault.split(":")[0] for fault in history(4, seed, 20).check()} for seed in range(60))
+    return next((faults for faults in violation_kinds if faults), set())
 
 
-def test_faults_put_in_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_injected_faults_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     with monkeypatch.context() as patch:
         patch.setattr(ByteBudget, "room", lambda self, now, kind: 10_000)
-        assert found() == {"bytes"}
+        assert violations() == {"bytes"}
     with monkeypatch.context() as patch:
-        begin = QuotaAccount.__init__
-        reckon = QuotaAccount._set_rates
+        original_init = QuotaAccount.__init__
+        original_set_rates = QuotaAccount._set_rates
 
-        def full(self: QuotaAccount, *args: Any) -> None:
-            begin(self, *args)
+        def init_with_full_bucket(self: QuotaAccount, *args: Any) -> None:
+            original_init(self, *args)
             self.bucket.tokens = self.quota.burst
 
-        def loose(self: QuotaAccount) -> None:
-            reckon(self)
+        def set_larger_cap(self: QuotaAccount) -> None:
+            original_set_rates(self)
             self.cap = self.quota.burst
 
-        patch.setattr(QuotaAccount, "__init__", full)
-        patch.setattr(QuotaAccount, "_set_rates", loose)
-        assert found() == {"quota"}
-    with monkeypatch.context() as patch:  # counted from when it came, or from when it was last asked for
-        finish = EstimateCollector.finish
+        patch.setattr(QuotaAccount, "__init__", init_with_full_bucket)
+        patch.setattr(QuotaAccount, "_set_rates", set_larger_cap)
+        assert violations() == {"quota"}
+    with monkeypatch.context() as patch:  # ages count from the last request, not the first
+        original_finish = EstimateCollector.finish
 
-        def young(self: EstimateCollector, now: int, *, overdue: bool) -> None:
+        def finish_with_younger_age(self: EstimateCollector, now: int, *, overdue: bool) -> None:
             for request in self.requests.values():
                 request.sent_at = request.last_sent_at
-            finish(self, now, overdue=overdue)
+            original_finish(self, now, overdue=overdue)
 
-        patch.setattr(EstimateCollector, "finish", young)
-        assert found() == {"age"}
+        patch.setattr(EstimateCollector, "finish", finish_with_younger_age)
+        assert violations() == {"age"}
 
 
 def main() -> None:
@@ -241,9 +255,10 @@
         fleet = history(chosen.size, seed, chosen.steps)
         print(
             f"{chosen.size} routers, seed {seed}: worst window {worst_burst(fleet.admitted, RATE):.0f}, "
-            f"fullest second {max(fleet.routers.fullest)}, {fleet.begun_with} began with news, "
-            f"settled after {fleet.rested_s} s, {fleet.routers.network.messages} messages; "
-            f"{fleet.check() + fleet.settled()[:3] or 'all bounds kept'}",
+            f"max {max(fleet.routers.fullest)} bytes/s, "
+            f"{fleet.started_with_estimates} started with estimates of others, "
+            f"recovered after {fleet.recovery_s} s, {fleet.routers.network.messages} messages; "
+            f"{fleet.check() + fleet.unrecovered()[:3] or 'all bounds kept'}",
             flush=True,
         )
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -14,7 +14,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from quota_histories import RATE, changing, history, plan_of
+from quota_histories import RATE, history, plan_change_history, plan_of
 
 from slipbay.config.model import Config
 from slipbay.config.validation import ConfigError
@@ -366,7 +366,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_the_larger_plan_bounds_admissions_until_all_routers_have_the_new_one(seed: int) -> None:
-    worst, bound, worst_after, bound_after = changing(6, seed)
+    worst, bound, worst_after, bound_after = plan_change_history(6, seed)
     assert worst <= bound + 1e-6
     assert worst_after <= bound_after + 1e-6
 
@@ -440,7 +440,9 @@
                 None if hasattr(self, "quota") else original_follow_plan(self, plan, quota)
             ),
         )
-        assert any(after > bound for _, _, after, bound in (changing(6, seed) for seed in range(4)))
+        assert any(
+            after > bound for _, _, after, bound in (plan_change_history(6, seed) for seed in range(4))
+        )
 
 
 # Use of the quota
--- a/tests/test_quota_processes.py
+++ b/tests/test_quota_processes.py
@@ -1,22 +1,25 @@
-"""Routers as processes under a quota, with faults between them. The bound is checked on when requests left
-their clients and when they first ran on an engine; no verdict hangs on how fast the machine is."""
+"""Tests of a quota with routers as processes and faults between them.
+
+The upper bound is checked by the times when clients sent requests and when these first ran on an engine. So
+no result depends on the speed of the machine.
+"""
 
 from __future__ import annotations
 
-from quota_play import Seen, bound, plan_text, play
+from quota_play import Observations, bound, plan_text, run_scenario
 
-EVERYONE = list(range(8))
+ALL_ROUTERS = list(range(8))
 
 
-def kept(seen: Seen) -> None:
-    assert seen.verdict.good, seen.verdict.faults
-    assert seen.worst(30) <= bound(), seen.worst(30)
-    assert seen.served() > 40
-    assert seen.outcomes["refused"] > 10
+def assert_bound_kept(observations: Observations) -> None:
+    assert observations.verdict.good, observations.verdict.faults
+    assert observations.worst(30) <= bound(), observations.worst(30)
+    assert observations.served() > 40
+    assert observations.outcomes["refused"] > 10
 
 
-def test_a_kill_a_cut_and_loss_between_eight_routers() -> None:
-    seen, _ = play(
+def test_the_bound_holds_with_restarts_a_partition_and_packet_loss() -> None:
+    observations, _ = run_scenario(
         8,
         [
             {"at": 2, "what": "restart", "routers": [0, 4]},
@@ -25,12 +28,12 @@
             {"at": 6.5, "what": "heal"},
         ],
     )
-    kept(seen)
-    assert all(seen.served(at={number}) for number in EVERYONE)
+    assert_bound_kept(observations)
+    assert all(observations.served(at={router}) for router in ALL_ROUTERS)
 
 
-def test_routers_that_shut_down_and_start_again_release_their_base_shares() -> None:
-    seen, rig = play(
+def test_routers_release_their_base_shares_at_a_shutdown() -> None:
+    observations, rig = run_scenario(
         9,
         [
             action
@@ -41,76 +44,85 @@
             )
         ],
     )
-    kept(seen)
-    for number in (0, 4):
-        lines = [line for line in rig.routers[number].lines if "quota: " in line]
-        gave = [place for place, line in enumerate(lines) if "base shares are released" in line]
-        begun = [place for place, line in enumerate(lines) if "only the reserve is used until" in line]
-        assert len(begun) == 2 and begun[0] < gave[0] < begun[1], lines
-
-
-def test_the_larger_side_of_a_cut_gets_what_those_beyond_it_and_the_dead_had() -> None:
-    """Five of eight. How much of it they use then is judged in simulated time, in test_quota.py."""
-    larger = {0, 1, 2, 3, 4}
-    seen, rig = play(
+    assert_bound_kept(observations)
+    for router in (0, 4):
+        lines = [line for line in rig.routers[router].lines if "quota: " in line]
+        release_positions = [
+            position for position, line in enumerate(lines) if "base shares are released" in line
+        ]
+        start_positions = [
+            position for position, line in enumerate(lines) if "only the reserve is used until" in line
+        ]
+        assert len(start_positions) == 2 and start_positions[0] < release_positions[0] < start_positions[1], (
+            lines
+        )
+
+
+def test_the_larger_side_of_a_partition_takes_over_unreachable_base_shares() -> None:
+    """Five of eight routers are on the larger side. How much of the quota they use is checked in simulated
+    time, in test_quota.py.
+    """
+    larger_side = {0, 1, 2, 3, 4}
+    observations, rig = run_scenario(
         16.5,
         [
             {"at": 5.5, "what": "kill", "routers": [7]},
-            {"at": 5.5, "what": "cut", "from": sorted(larger), "to": [5, 6, 7]},
+            {"at": 5.5, "what": "cut", "from": sorted(larger_side), "to": [5, 6, 7]},
         ],
         plan_text(burst=60, term_ms=2_000),
         even=True,
     )
-    assert seen.verdict.good, seen.verdict.faults
-    assert seen.worst(30) <= bound(30, 60), seen.worst(30)
-    assert all(seen.served(12, 16, {number}) for number in larger)
-    told = [line for number in larger for line in rig.routers[number].lines]
-    assert any("is taken over" in line for line in told)
+    assert observations.verdict.good, observations.verdict.faults
+    assert observations.worst(30) <= bound(30, 60), observations.worst(30)
+    assert all(observations.served(12, 16, {router}) for router in larger_side)
+    log_lines = [line for router in larger_side for line in rig.routers[router].lines]
+    assert any("is taken over" in line for line in log_lines)
 
 
-def test_a_restart_of_all_gives_nobody_a_second_burst() -> None:
-    seen, rig = play(
+def test_a_restart_of_all_routers_gives_no_second_burst() -> None:
+    observations, rig = run_scenario(
         16,
         [
-            {"at": 2, "what": "restart", "routers": EVERYONE},
-            {"at": 4, "what": "restart", "routers": EVERYONE},
+            {"at": 2, "what": "restart", "routers": ALL_ROUTERS},
+            {"at": 4, "what": "restart", "routers": ALL_ROUTERS},
         ],
     )
-    kept(seen)
+    assert_bound_kept(observations)
     assert len(rig.ready) >= 8
 
 
-def test_routers_that_stand_still_past_their_leases() -> None:
-    """SIGSTOP of those that borrowed most and of a lender, for three terms; what they borrowed has ended
-    before they decide on what waited at their sockets."""
-    seen, _ = play(
+def test_routers_that_are_stopped_beyond_their_leases_keep_the_bound() -> None:
+    """SIGSTOP of the largest borrowers and of a lender for three leases: the borrowed shares must end before
+    the routers process the requests that wait on their sockets.
+    """
+    observations, _ = run_scenario(
         8, [{"at": 2, "what": "stop", "routers": [0, 1, 6]}, {"at": 5, "what": "go_on", "routers": [0, 1, 6]}]
     )
-    kept(seen)
+    assert_bound_kept(observations)
 
 
-def test_a_smaller_plan_goes_round_by_sighup_and_a_bad_one_changes_nothing() -> None:
+def test_a_reload_applies_a_smaller_plan_and_rejects_an_invalid_one() -> None:
     def reload(at: float, router: int, text: str) -> dict[str, object]:
         return {"at": at, "what": "reload", "routers": [router], "file": "quota", "text": text}
 
-    small = plan_text(2, rate=12, burst=8)
-    seen, rig = play(
+    smaller_plan = plan_text(2, rate=12, burst=8)
+    observations, rig = run_scenario(
         10,
         [
-            *(reload(3 + 0.1 * n, n, small) for n in EVERYONE),
+            *(reload(3 + 0.1 * n, n, smaller_plan) for n in ALL_ROUTERS),
             reload(5, 2, plan_text(3).replace("rate = 30", "rate = -1")),
             reload(5, 3, plan_text(1, rate=600)),
         ],
     )
-    kept(seen)
+    assert_bound_kept(observations)
     assert all(any("quota: plan 2 in place of 1" in line for line in router.lines) for router in rig.routers)
     assert any("quotas[0].rate: want above 0" in line for line in rig.routers[2].lines)
     assert any("version: want above 2" in line for line in rig.routers[3].lines)
-    assert seen.worst(12, since=7) <= bound(12, 8)
-    assert seen.served(7, 10) >= 5
+    assert observations.worst(12, since=7) <= bound(12, 8)
+    assert observations.served(7, 10) >= 5
 
 
-def test_the_checker_finds_a_fleet_without_quotas() -> None:
-    seen, _ = play(3, [], quota="enabled = false")
-    assert seen.verdict.good
-    assert seen.worst(30) > bound()
+def test_the_bound_is_exceeded_without_quotas() -> None:
+    observations, _ = run_scenario(3, [], quota="enabled = false")
+    assert observations.verdict.good
+    assert observations.worst(30) > bound()
