--- a/slipbay/quota/account.py
+++ b/slipbay/quota/account.py
@@ -112,7 +112,7 @@
         if missing_tokens <= 0:
             return 0
         self.meter.count += max(0, tokens - 1)  # the requests that would have followed
-        self.counts["refused: rate" if self.shares.start_wait_over(now) else "refused: new"] += 1
+        self.counts["refused: rate" if self.shares.is_start_wait_over(now) else "refused: new"] += 1
         return self._retry_delay(now, missing_tokens)
 
     def _retry_delay(self, now: int, missing_tokens: float) -> int:
--- a/slipbay/quota/accounts.py
+++ b/slipbay/quota/accounts.py
@@ -81,7 +81,7 @@
                 self.accounts[key] = old
             elif old is None:
                 shares = account.shares
-                shares.usable_from_us = max(shares.usable_from_us, shares.waits_until)
+                shares.usable_from_us = max(shares.usable_from_us, shares.waits_until_us)
         self._set_bases(now)
 
     def resized(self, now: int, running: int) -> None:
@@ -122,9 +122,9 @@
         """Return whether this router has a base share of a quota beyond its reserve."""
         return self.bases[key][self.local_router] > 0
 
-    def start_wait_over(self, now: int) -> bool:
+    def is_start_wait_over(self, now: int) -> bool:
         """Return whether all shares that an earlier incarnation lent of the plan's quotas have ended."""
-        return all(account.shares.start_wait_over(now) for account in self.accounts.values())
+        return all(account.shares.is_start_wait_over(now) for account in self.accounts.values())
 
     def all_shares(self) -> list[Shares]:
         """Return the shares of all quotas, also of those that were removed from the plan."""
--- a/slipbay/quota/admission_gate.py
+++ b/slipbay/quota/admission_gate.py
@@ -14,6 +14,7 @@
 SPREAD_STEP = 618_034  # golden section of the period, so that successive retries are far apart
 
 MatchingAccounts: TypeAlias = tuple[tuple[QuotaAccount, int | None], ...]
+"""Accounts of the quotas that apply to a request, each with the index of the request's part, if any."""
 
 
 class QuotaAdmissionGate:
@@ -35,12 +36,12 @@
         self._classes = list(classes)
         self._fresh_now = fresh_now
         self._max_retry_after_us = max_retry_after_us
-        self._cache: dict[tuple[int, int], MatchingAccounts] = {}
+        self._cache: dict[tuple[int, int], MatchingAccounts] = {}  # by tenant and class
         self._open: dict[int, MatchingAccounts] = {}  # by request
         self._spread = 0
 
     def plan_changed(self) -> None:
-        """Drop cached routes after a change of the plan."""
+        """Drop the cached accounts after a change of the plan."""
         self._cache.clear()
 
     def _find_accounts(self, tenant: int, class_: int) -> MatchingAccounts:
@@ -51,9 +52,7 @@
         found = []
         for quota in quotas_of(self._machine.plan, *names):
             account = self._machine.accounts[key_of(quota.name)]
-            part = next(
-                (cache_key for cache_key, name in enumerate(account.part_names) if name in names), None
-            )
+            part = next((index for index, name in enumerate(account.part_names) if name in names), None)
             found.append((account, part))
         return tuple(found)
 
--- a/slipbay/quota/borrow_requests.py
+++ b/slipbay/quota/borrow_requests.py
@@ -91,9 +91,9 @@
 
     def plan(self, now: int, key: int, account: QuotaAccount, requests: Requests) -> None:
         """Add the requests that are due for a quota: returns, renewals, larger shares and reports."""
-        share = self._demand.local(account)[1]
-        wanted = self._demand.wanted(account)
-        noise = min(wanted, self._demand.noise(account))
+        share = self._demand.local_report(account)[1]
+        wanted = self._demand.wanted_share(account)
+        noise = min(wanted, self._demand.demand_noise(account))
         min_lack = int(
             (MIN_LACK_FRACTION + MIN_LACK_OF_WANTED * wanted + noise / 2) * self._quotas.even_share
         )
@@ -145,7 +145,7 @@
         surplus; it is negative if this router wants a larger share.
         """
         even_share = self._quotas.even_share
-        share = self._demand.local(account)[1]
+        share = self._demand.local_report(account)[1]
         for lender, held in account.shares.borrowed.items():
             if held.amount < MIN_BORROWED_FRACTION * even_share or not held.lease.valid(now):
                 continue
@@ -174,8 +174,8 @@
     def _follow_suggestion(self, now: int, key: int, lender: int, requests: Requests) -> None:
         """Request a share from another lender, which a holder suggested as it lent less than requested."""
         account = self._quotas.accounts[key]
-        wanted = self._demand.wanted(account)
-        lack = wanted - self._demand.local(account)[1]
+        wanted = self._demand.wanted_share(account)
+        lack = wanted - self._demand.local_report(account)[1]
         if lack <= MIN_LACK_FRACTION + MIN_LACK_OF_WANTED * wanted:
             return
         if lender in self._choice.candidates(now, key, account, self._quotas.router_count):
@@ -250,7 +250,7 @@
         if not account.shares.accept_reply(now, sender, message.tag, entry.amount, message.lease_ms * 1000):
             return False, False
         account.update_share(now)
-        if not entry.amount or self._demand.local(account)[1] < self._demand.wanted(account):
+        if not entry.amount or self._demand.local_report(account)[1] < self._demand.wanted_share(account):
             self._choice.avoid(entry.key, sender, now + min(SECOND, self._report_interval_us))
         return True, entry.amount < before
 
--- a/slipbay/quota/borrowing.py
+++ b/slipbay/quota/borrowing.py
@@ -211,7 +211,7 @@
         self._next_tick_us = now + TICK_US
         self.budget.update_room(now)
         is_ending = self.shutdown.is_recalling(now)
-        self.demand.update(now, not is_ending and self.quotas.start_wait_over(now))
+        self.demand.update(now, not is_ending and self.quotas.is_start_wait_over(now))
         start_wait = self._start_wait
         must_stay_quiet = start_wait is not None and start_wait.is_quiet(now, bool(self.peer_versions))
         requests = self._update_accounts(now, plan_requests=not is_ending and not must_stay_quiet)
--- a/slipbay/quota/demand.py
+++ b/slipbay/quota/demand.py
@@ -58,14 +58,14 @@
         leases = self._quotas.leases
         if leases is not None:
             held = self._quotas.local_router in self._quotas.held
-            self.is_base_expected &= not held and now < leases.granter.waits_until + leases.lease_us
+            self.is_base_expected &= not held and now < leases.granter.waits_until_us + leases.lease_us
 
     def prune(self, now: int, key: int) -> None:
         """Drop expired reports on a quota."""
         for reports in (self._client_reports.get(key), self._holder_reports.get(key)):
             if reports:
-                for number in [n for n, one in reports.items() if now - one.at_us > self._max_report_age_us]:
-                    del reports[number]
+                for router in [n for n, one in reports.items() if now - one.at_us > self._max_report_age_us]:
+                    del reports[router]
 
     def mark_active(self, now: int, key: int) -> None:
         """Record that there is demand for a quota."""
@@ -78,7 +78,7 @@
     def receive(self, now: int, sender: int, entry: BorrowEntry) -> None:
         """Record the report in a borrow request or reply."""
         if entry.demand:
-            self._active_at_us[entry.key] = now  # a router without demand reports its share, too
+            self._active_at_us[entry.key] = now  # not for a report of a share without demand
         reports = self._holder_reports if sender in self._quotas.holders[entry.key] else self._client_reports
         if not entry.share:
             reports.get(entry.key, {}).pop(sender, None)  # the sender reports to another holder
@@ -86,7 +86,7 @@
         surplus = max(0, entry.want - SHARE_UNITS) * SURPLUS_STEP
         reports.setdefault(entry.key, {})[sender] = DemandReport(entry.demand, entry.share, now, surplus)
 
-    def local(self, account: QuotaAccount) -> tuple[float, float]:
+    def local_report(self, account: QuotaAccount) -> tuple[float, float]:
         """Return this router's demand and share."""
         demand = min(account.demand / account.even_rate, MAX_REPORTED_DEMAND)
         return demand, account.share_units / self._quotas.even_share
@@ -95,12 +95,12 @@
         """Return the sums of demand and share over this holder and its clients."""
         clients = self._client_reports.get(key, {}).values()
         base = account.shares.base
-        # Count the base share before it is leased. Otherwise the routers would reckon with a smaller total
-        # until new reports of every router arrive.
+        # Count the base share before it is leased. Otherwise all routers would compute with a smaller total
+        # until they receive new reports of every router.
         if self.is_base_expected:
             base = account.shares.reserve + self._quotas.bases[key][self._quotas.local_router]
         return (
-            self.local(account)[0] + sum(one.demand for one in clients),
+            self.local_report(account)[0] + sum(one.demand for one in clients),
             base / self._quotas.even_share + sum(one.share for one in clients),
         )
 
@@ -108,21 +108,19 @@
         """Return the known demand and share of the fleet."""
         holders = self._holder_reports.get(key, {}).values()
         demand, share = self._local_sums(key, account) if self._quotas.is_holder(key) else (0.0, 0.0)
-        surplus_share = sum(one.surplus for one in holders) / self._quotas.even_share
-        return demand + sum(one.demand for one in holders), share + sum(
-            one.share for one in holders
-        ) + surplus_share
+        spare = sum(one.surplus for one in holders) / self._quotas.even_share
+        return demand + sum(one.demand for one in holders), share + sum(one.share for one in holders) + spare
 
-    def ratio(self, account: QuotaAccount) -> float:
+    def share_per_demand(self, account: QuotaAccount) -> float:
         """Return the fleet's share per demand, which each router should have."""
         demand, share = self._fleet_sums(key_of(account.quota.name), account)
         return share / demand if demand > 0 and share > 0 else MAX_SHARE_PER_DEMAND
 
-    def wanted(self, account: QuotaAccount) -> float:
+    def wanted_share(self, account: QuotaAccount) -> float:
         """Return the share that this router should have for its demand."""
-        return min(MAX_SHARE_PER_DEMAND, self.ratio(account)) * self.local(account)[0]
+        return min(MAX_SHARE_PER_DEMAND, self.share_per_demand(account)) * self.local_report(account)[0]
 
-    def noise(self, account: QuotaAccount) -> float:
+    def demand_noise(self, account: QuotaAccount) -> float:
         """Return the standard deviation of this router's measured demand."""
         return sqrt(account.demand * SECOND / account.meter.mean_us / 2) / account.even_rate
 
@@ -142,7 +140,7 @@
             )
         if to != self.contact(key):
             return 0.0, 0.0
-        return self.local(account)[0], account.shares.base / self._quotas.even_share
+        return self.local_report(account)[0], account.shares.base / self._quotas.even_share
 
     def contact(self, key: int) -> int | None:
         """Return the holder that this router reports to and requests shares from first."""
--- a/slipbay/quota/demand_meter.py
+++ b/slipbay/quota/demand_meter.py
@@ -20,7 +20,7 @@
         self.mean_us = MAX_MEAN_US  # current period of the mean
         self.count = 0  # requests since the last update; the caller adds to it
         self._updated_at_us = now
-        self._recent_counts: deque[tuple[int, int]] = deque(maxlen=MAX_COUNTS)  # counts and their us
+        self._recent_counts: deque[tuple[int, int]] = deque(maxlen=MAX_COUNTS)  # (count, period)
         self._mean_rate = 0.0  # mean requests per us before the recent counts
 
     def update(self, now: int, even_rate: float) -> None:
--- a/slipbay/quota/event_log.py
+++ b/slipbay/quota/event_log.py
@@ -83,7 +83,11 @@
                 LOG_KIND,
                 "all routers restarted and hold no earlier shares; none waits for shares that may be lent",
             )
-        if machine.leases is None and not self._was_start_wait_over and machine.quotas.start_wait_over(now):
+        if (
+            machine.leases is None
+            and not self._was_start_wait_over
+            and machine.quotas.is_start_wait_over(now)
+        ):
             self._was_start_wait_over = True
             log(
                 LOG_KIND,
--- a/slipbay/quota/leases/granter.py
+++ b/slipbay/quota/leases/granter.py
@@ -28,7 +28,7 @@
     def __init__(self, clocks: ClockBounds, started_us: int, max_lease_us: int) -> None:
         """``max_lease_us`` is the longest lease that any incarnation of this router may have granted."""
         self.clocks = clocks
-        self.waits_until = started_us + wait_after_start(max_lease_us, clocks)
+        self.waits_until_us = started_us + wait_after_start(max_lease_us, clocks)
         self.records: dict[int, LeaseRecord] = {}
 
     def grant(self, now: int, owner: int, holder: tuple[int, int], tag: int, lease_us: int) -> bool:
@@ -36,7 +36,7 @@
         if that is later. Return whether it is granted.
         """
         record = self.records.get(owner)
-        if now < self.waits_until:
+        if now < self.waits_until_us:
             return False
         if record is not None and record.holder == holder and not is_later_tag(tag, record.tag):
             return False
@@ -68,8 +68,8 @@
 
     def remaining(self, now: int, owner: int) -> tuple[int, int]:
         """Return the router to which a base share is granted, or ``NO_ROUTER``, and the remaining us."""
-        if now < self.waits_until:
-            return NO_ROUTER, self.waits_until - now
+        if now < self.waits_until_us:
+            return NO_ROUTER, self.waits_until_us - now
         record = self.records.get(owner)
         if record is None or record.grant.over(now, self.clocks):
             return NO_ROUTER, 0
--- a/slipbay/quota/leases/manager.py
+++ b/slipbay/quota/leases/manager.py
@@ -48,7 +48,7 @@
         self.messages = LeaseMessageWriter(self.lease_us)
         self._last_received_us: dict[int, int] = {}  # by router, when its latest message arrived
         self.renewal = RenewalRounds(local_router, self.group, self._last_received_us, started_us)
-        takeover_from_us = self.granter.waits_until + self.lease_us
+        takeover_from_us = self.granter.waits_until_us + self.lease_us
         self.takeover = TakeoverWatch(
             local_router, self.group, self._last_received_us, takeover_from_us, started_us
         )
@@ -214,7 +214,7 @@
         """End the wait after the start: no lease that an earlier incarnation granted is held any more. The
         other routers end their waits at about the same time.
         """
-        self.granter.waits_until = min(self.granter.waits_until, now)
+        self.granter.waits_until_us = min(self.granter.waits_until_us, now)
         self.renewal.end_start_wait(now)
 
     def tick(self, now: int) -> list[Send]:
@@ -256,7 +256,7 @@
         ]
 
     def _take_over_free(self, now: int) -> list[Send]:
-        if now < self.granter.waits_until:
+        if now < self.granter.waits_until_us:
             return []
         candidates = [
             owner
@@ -271,7 +271,7 @@
 
     def _renew(self, now: int) -> list[Send]:
         wanted = [owner for owner in self.wanted if owner not in self.returning]
-        may_grant_locally = now >= self.granter.waits_until
+        may_grant_locally = now >= self.granter.waits_until_us
         targets = self.renewal.next_targets(now, wanted, self.holder, self.lease_us, may_grant_locally)
         return [] if targets is None else self.request(now, wanted, targets)
 
--- a/slipbay/quota/lending.py
+++ b/slipbay/quota/lending.py
@@ -87,13 +87,13 @@
             return None
         amount = 0
         must_reply = may_reply and 0 < entry.want <= SHARE_UNITS
-        if must_reply and shares.start_wait_over(now) and not self._shutdown.is_recalling(now):
+        if must_reply and shares.is_start_wait_over(now) and not self._shutdown.is_recalling(now):
             amount = self._lent_amount(now, account, borrower, entry, lease_ms)
             shares.lend(now, borrower, amount, lease_ms * 1000)
         account.update_share(now)
         if not must_reply:
             return None
-        if not shares.start_wait_over(now) and entry.amount:
+        if not shares.is_start_wait_over(now) and entry.amount:
             return None  # the share that an earlier incarnation lent to it ends with its lease
         suggestion = NO_SUGGESTION
         if amount < entry.want and entry.want > REPORT_ONLY:
@@ -117,4 +117,4 @@
         lendable = shares.lendable(now, borrower, lease_ms * 1000)
         usable_units, _ = shares.usable(now)
         available = usable_units + shares.lent_out(now) - shares.lent_out(now, borrower)
-        return max(0, available - int(self._demand.wanted(account) * self._quotas.even_share)), lendable
+        return max(0, available - int(self._demand.wanted_share(account) * self._quotas.even_share)), lendable
--- a/slipbay/quota/plan.py
+++ b/slipbay/quota/plan.py
@@ -32,7 +32,7 @@
     version: int
     quotas: list[Quota]
     term_ms: int = 2_000  # duration of leases on borrowed shares
-    longest_ms: int = 2_000  # the longest term_ms of any plan that a router may still use
+    longest_ms: int = 2_000  # the longest term_ms of all plans that are or recently were in use
     reserve: float = 0.1  # fraction of the quota that is divided among all routers and never lent
     holders: int = 16  # number of routers that have the rest of a quota
     wardens: int = 5  # granters of each base share; 0: each router owns its base share without a lease
--- a/slipbay/quota/shares.py
+++ b/slipbay/quota/shares.py
@@ -85,21 +85,21 @@
         self.clocks = clocks
         self.base = base
         self.reserve = reserve
-        self.waits_until = started_us + wait_after_start(max_lease_us, clocks)
+        self.waits_until_us = started_us + wait_after_start(max_lease_us, clocks)
         self.bases: dict[int, BaseShare] = {}  # by owner
         if base > reserve:
-            self.bases[SELF] = BaseShare(base - reserve, self.waits_until, FOREVER)
+            self.bases[SELF] = BaseShare(base - reserve, self.waits_until_us, FOREVER)
         self.usable_from_us = started_us  # no base share is used or lent before this time
         self.borrowed: dict[int, BorrowedShare] = {}  # by lender
         self.lent: dict[tuple[int, int], LentShare] = {}  # by borrower and its incarnation
 
-    def start_wait_over(self, now: int) -> bool:
+    def is_start_wait_over(self, now: int) -> bool:
         """Return whether all shares that an earlier incarnation lent have ended."""
-        return now >= self.waits_until
+        return now >= self.waits_until_us
 
     def end_start_wait(self, now: int) -> None:
         """End the wait after the start: no share that an earlier incarnation lent is held any more."""
-        self.waits_until = min(self.waits_until, now)
+        self.waits_until_us = min(self.waits_until_us, now)
         self.bases = {
             owner: base._replace(starts_us=min(base.starts_us, now)) for owner, base in self.bases.items()
         }
@@ -114,7 +114,7 @@
         }
         self.base = self.reserve + sum(base.amount for base in bases.values())
         if bases:  # shares that earlier incarnations lent from any of them have ended
-            self.waits_until = min(self.waits_until, max(now, self.usable_from_us))
+            self.waits_until_us = min(self.waits_until_us, max(now, self.usable_from_us))
 
     def lent_out(self, now: int, except_borrower: tuple[int, int] | None = None) -> int:
         """Return the amount that is lent, to all borrowers but ``except_borrower``."""
@@ -129,7 +129,7 @@
     def usable(self, now: int) -> tuple[int, int]:
         """Return the amount that this router may use now, and the next time when it changes by itself."""
         usable_units = self.reserve
-        until_us = FOREVER if self.start_wait_over(now) else self.waits_until
+        until_us = FOREVER if self.is_start_wait_over(now) else self.waits_until_us
         for base in self.bases.values():
             if base.starts_us <= now < base.ends_us:
                 usable_units += base.amount
--- a/slipbay/quota/start_wait.py
+++ b/slipbay/quota/start_wait.py
@@ -42,17 +42,17 @@
             return
         fleet_start.state_nothing_held(self._drop_pending)
         is_fleet_restarted = fleet_start.is_fleet_restarted()
-        waits_until = self._waits_until(now)
+        waits_until_us = self._waits_until(now)
         if is_fleet_restarted:
             self._counts["all began anew"] += 1
             self._end_wait(now)
-        fleet_start.is_done = is_fleet_restarted or now >= waits_until
+        fleet_start.is_done = is_fleet_restarted or now >= waits_until_us
 
     def _waits_until(self, now: int) -> int:
         quotas = self._quotas
         if quotas.leases is not None:
-            return quotas.leases.granter.waits_until
-        return max([now, *(shares.waits_until for shares in quotas.all_shares())])
+            return quotas.leases.granter.waits_until_us
+        return max([now, *(shares.waits_until_us for shares in quotas.all_shares())])
 
     def _end_wait(self, now: int) -> None:
         if self._quotas.leases is not None:
--- a/slipbay/quota/status.py
+++ b/slipbay/quota/status.py
@@ -39,7 +39,7 @@
         "home": _quota_fraction(shares.base),
         "tokens": round(account.bucket.tokens, 2),
         "open": account.open,
-        "awake": shares.start_wait_over(now),
+        "awake": shares.is_start_wait_over(now),
         "counts": dict(account.counts),
         "lent": {
             str(borrower): _quota_fraction(amount)
@@ -62,7 +62,7 @@
     granter = leases.granter
     return {
         "wardens": leases.group,
-        "waits": now < granter.waits_until,
+        "waits": now < granter.waits_until_us,
         "homes": {str(owner): round((ends - now) / SECOND, 2) for owner, ends in held.items()},
         "wanted": sorted(set(leases.wanted) - set(held)),
         "promised": {
--- a/tests/explore_quota.py
+++ b/tests/explore_quota.py
@@ -123,7 +123,7 @@
     def key(self) -> bytes:
         state = (
             self.now,
-            [(s.borrowed, s.lent, s.waits_until) for s in self.shares],
+            [(s.borrowed, s.lent, s.waits_until_us) for s in self.shares],
             self.incarnations,
             self.tags,
             sorted(self.in_flight),
@@ -367,7 +367,7 @@
             self.now,
             [(s.borrowed, s.lent, s.bases) for s in self.shares],
             [
-                (t.granter.records, t.granter.waits_until, t.holder.pending, t.holder.leases, t.wanted)
+                (t.granter.records, t.granter.waits_until_us, t.holder.pending, t.holder.leases, t.wanted)
                 for t in self.managers
             ],
             self.incarnations,
--- a/tests/test_explore_quota.py
+++ b/tests/test_explore_quota.py
@@ -179,7 +179,7 @@
 
 
 def _ignore_lent_shares(self: Shares, now: int, borrower: tuple[int, int], lease_us: int) -> int:
-    return self.base - self.reserve if self.start_wait_over(now) else 0
+    return self.base - self.reserve if self.is_start_wait_over(now) else 0
 
 
 @pytest.mark.parametrize(
@@ -218,7 +218,7 @@
     self: LeaseGranter, now: int, owner: int, holder: tuple[int, int], tag: int, lease_us: int
 ) -> bool:
     self.records[owner] = LeaseRecord(holder, tag, GrantedLease(now, lease_us))
-    return now >= self.waits_until
+    return now >= self.waits_until_us
 
 
 def _accept_late_release(self: LeaseGranter, owner: int, holder: tuple[int, int], tag: int) -> None:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -424,7 +424,7 @@
         assert exceeds_bound()
     with monkeypatch.context() as patch:  # borrowed shares that do not end
         # A borrower without reports of others returns nothing.
-        patch.setattr(DemandPool, "ratio", lambda self, account: 1.0)
+        patch.setattr(DemandPool, "share_per_demand", lambda self, account: 1.0)
         assert worst_after_lender_loss(restarted=False) <= most
         patch.setattr(HeldLease, "ends", property(lambda self: self.asked + 20 * self.length))
         assert worst_after_lender_loss(restarted=False) > most
