--- a/slipbay/discovery/__init__.py
+++ b/slipbay/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""What comes from beside the path of a request: the list of engines, and word from peers."""
+"""Discovery of engines: the endpoint list and the watch on its changes."""
--- a/slipbay/discovery/endpoint_watch.py
+++ b/slipbay/discovery/endpoint_watch.py
@@ -1,4 +1,8 @@
-"""The list of engines: events known at the start, then those that the journal service tells."""
+"""Watches the list of engines: first the events in the configuration, then those of the journal service.
+
+The service sends one JSON event a line, with increasing positions, on a TCP connection that the router opens
+with the position of the last event that it has.
+"""
 
 from __future__ import annotations
 
@@ -12,184 +16,201 @@
 from slipbay.config.validation import ConfigError
 from slipbay.core.model import Endpoint
 from slipbay.core.timers import Timer, Timers
-from slipbay.discovery.watch_events import EndpointListEvent, Heartbeat, ListChange, UnreadableEventError
+from slipbay.discovery.watch_events import EndpointListReader, Heartbeat, ListChange, UnreadableEventError
 from slipbay.log import log
 from slipbay.policy.events import ListKind
 from slipbay.stream import Dial, Dialer, Stream
 from slipbay.wire.lines import Lines, LineTooLongError
 
-MOST_LINE_BYTES = 4 * 1024 * 1024
-SILENCE_US = (
-    2_000_000  # a heartbeat comes each second; without a line for two the connection is taken for dead
-)
-# the wait doubles from the first to the second
-RETRY_US = 200_000
-MOST_RETRY_US = 1_000_000
-CONNECT_US = 1_000_000
+MAX_LINE_BYTES = 4 * 1024 * 1024
+# A heartbeat is sent each second; without a line for this time the connection counts as broken
+SILENCE_TIMEOUT_US = 2_000_000
+# The delay doubles from the minimum to the maximum
+MIN_RETRY_DELAY_US = 200_000
+MAX_RETRY_DELAY_US = 1_000_000
+CONNECT_TIMEOUT_US = 1_000_000
 
 
-Told: TypeAlias = Callable[[ListKind, list[Endpoint]], None]
+EndpointListener: TypeAlias = Callable[[ListKind, list[Endpoint]], None]
+"""Called with all endpoints, or with those that have changed."""
 
 
 @dataclass(slots=True)
 class WatchGap:
-    """Events that are out and did not come."""
+    """Events that the service has sent and that were not received."""
 
-    after: int  # the last event that did
-    signs: int = 0  # how often something showed it
+    last_received_pos: int
+    detections: int = 0  # how often something showed the gap
 
     @property
-    def due(self) -> bool:
-        """Whether to ask again: at the first sign, the third, the seventh, ever more seldom, as what is not
-        to be had would be asked for each second by a whole fleet."""
-        return (self.signs & (self.signs + 1)) == 0
+    def is_request_due(self) -> bool:
+        """Whether to request the events again.
+
+        This is so at detections 1, 3, 7, 15 and so on: a whole fleet would otherwise request each second
+        events that the service does not have.
+        """
+        return (self.detections & (self.detections + 1)) == 0
 
 
 class EndpointWatch:
-    """Follows the journal service; a cut only costs time, as it resumes after the last event that it has."""
+    """Receives the events of the journal service.
+
+    A lost connection delays events and loses none: the watch resumes after the last event that it has.
+    """
 
-    def __init__(self, config: Config, timers: Timers, dialer: Dialer, told: Told) -> None:
+    def __init__(self, config: Config, timers: Timers, dialer: Dialer, notify: EndpointListener) -> None:
         self._timers = timers
         self._dialer = dialer
-        self._told = told
+        self._notify = notify
         self._address = config.journal
-        self._known = config.known
-        self._engines = EndpointListEvent(config.zones, config.kinds)
+        self._initial_events = config.known
+        self._reader = EndpointListReader(config.zones, config.kinds)
         self.pos = 0
         self._gap: WatchGap | None = None
-        self._stream: _Tail | None = None
-        self._dial: Dial | None = None
-        self._due: Timer | None = None
-        # connections in a row that brought nothing
+        self._stream: _WatchStream | None = None
+        self._pending_dial: Dial | None = None
+        self._timer: Timer | None = None
         self._random = Random(config.seed)
-        self._failures = 0
+        self._failures = 0  # connections in a row without an event
 
     def start(self, wait_us: int = 0) -> None:
-        """Tell the list of the start as one, then follow its changes, at first after ``wait_us``."""
-        for number, item in enumerate(self._known.get("entries", [])):
+        """Report the configured list as a whole, then connect to the service, after ``wait_us``."""
+        for number, item in enumerate(self._initial_events.get("entries", [])):
             try:
-                event = self._engines.read(item)
+                event = self._reader.read(item)
             except UnreadableEventError as problem:
                 raise ConfigError(f"known.entries[{number}]: {problem}") from None
             self.pos = max(self.pos, event.pos)
             if isinstance(event, ListChange):
-                self._engines.take(event)
-        self.pos = max(self.pos, int(self._known.get("pos", 0)))
-        self._told(ListKind.CACHED, self._engines.hosts)
+                self._reader.apply(event)
+        self.pos = max(self.pos, int(self._initial_events.get("pos", 0)))
+        self._notify(ListKind.CACHED, self._reader.endpoints)
         if wait_us:
-            self._due = self._timers.after(wait_us, self._connect)
+            self._timer = self._timers.after(wait_us, self._connect)
         else:
             self._connect()
 
     def _connect(self) -> None:
-        self._stream = _Tail(self)
-        self._dial = self._dialer.dial(self._address, self._stream, CONNECT_US, lambda _error: self._again())
-        self.heard()
+        self._stream = _WatchStream(self)
+        self._pending_dial = self._dialer.dial(
+            self._address, self._stream, CONNECT_TIMEOUT_US, lambda _error: self._schedule_reconnect()
+        )
+        self._restart_silence_timer()
 
     def follow(self, address: Address) -> None:
-        """The journal service is at another address now; positions carry on there."""
+        """Connect to another address of the journal service; positions continue there."""
         if address != self._address:
-            log("journal", "the address has changed", address=f"{address[0]}:{address[1]}", position=self.pos)
+            log(
+                "journal",
+                "address of the service changed; reconnecting",
+                address=f"{address[0]}:{address[1]}",
+                position=self.pos,
+            )
             self._address = address
-            # these were the old one's
+            # Failures and gap belong to the old address
             self._failures = 0
             self._gap = None
-            self._leave()
+            self._disconnect()
             self._connect()
 
-    def _leave(self) -> None:
-        """Let go of the connection, up or not; what it may still bring is not heeded."""
+    def _disconnect(self) -> None:
+        """Close the connection, established or not; events that it still delivers are ignored."""
         stream = self._stream
         self._stream = None
-        if self._due is not None:
-            self._due.cancel()
-        if self._dial is not None:
-            self._dial.give_up()
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._pending_dial is not None:
+            self._pending_dial.give_up()
         if stream is not None:
             stream.abort()
 
-    def _again(self) -> None:
-        """Connect anew in a while, which differs between routers, so that they do not all come at once."""
-        if self._due is not None:
-            self._due.cancel()
+    def _schedule_reconnect(self) -> None:
+        """Connect again after a delay with jitter, so that not all routers connect at the same time."""
+        if self._timer is not None:
+            self._timer.cancel()
         self._stream = None
-        wait = min(RETRY_US << min(self._failures, 8), MOST_RETRY_US)
+        delay_us = min(MIN_RETRY_DELAY_US << min(self._failures, 8), MAX_RETRY_DELAY_US)
         self._failures += 1
-        self._due = self._timers.after(int(wait * self._random.uniform(0.5, 1.0)), self._connect)
+        self._timer = self._timers.after(int(delay_us * self._random.uniform(0.5, 1.0)), self._connect)
 
-    def opened(self, stream: _Tail) -> None:
-        """A connection came up; if we gave it up meanwhile, nothing is asked on it."""
-        if self.follows(stream):
-            self.heard()
+    def connection_opened(self, stream: _WatchStream) -> None:
+        """Request the events on a new connection; close it if it was abandoned meanwhile."""
+        if self.is_current(stream):
+            self._restart_silence_timer()
             stream.write(b"tail %d\n" % self.pos)
         else:
             stream.abort()
 
-    def heard(self) -> None:
-        """Something came: the connection lives, and is given time anew."""
-        if self._due is not None:
-            self._due.cancel()
-        self._due = self._timers.after(SILENCE_US, self._silent)
-
-    def _silent(self) -> None:
-        if self._stream is not None and self._stream.unread():  # it is we who got no time to read
-            self.heard()
+    def _restart_silence_timer(self) -> None:
+        """Give the connection the full time until the next line."""
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer = self._timers.after(SILENCE_TIMEOUT_US, self._on_silence)
+
+    def _on_silence(self) -> None:
+        if (
+            self._stream is not None and self._stream.unread()
+        ):  # received, but this process was too busy to read it
+            self._restart_silence_timer()
             return
-        log("journal", "the service is silent; reconnecting")
-        self._leave()
-        self._again()
+        log("journal", "no line from the service in time; reconnecting")
+        self._disconnect()
+        self._schedule_reconnect()
 
-    def follows(self, stream: _Tail) -> bool:
-        """Whether a connection is the one that is followed."""
+    def is_current(self, stream: _WatchStream) -> bool:
+        """Whether a connection is the one in use."""
         return stream is self._stream
 
-    def cut(self, stream: _Tail) -> None:
-        """A connection ended."""
-        if self.follows(stream):
-            log("journal", "the connection has ended; reconnecting")
-            self._again()
+    def connection_ended(self, stream: _WatchStream) -> None:
+        """Reconnect if the connection in use has ended."""
+        if self.is_current(stream):
+            log("journal", "connection to the service ended; reconnecting")
+            self._schedule_reconnect()
 
-    def take(self, stream: _Tail, line: bytes) -> None:
-        """A line came on a connection."""
-        if not self.follows(stream):
+    def line_received(self, stream: _WatchStream, line: bytes) -> None:
+        """Process a line of a connection."""
+        if not self.is_current(stream):
             return
         try:
-            event = self._engines.read_line(line)
+            event = self._reader.read_line(line)
         except UnreadableEventError as problem:
-            log("journal", "a line cannot be read", reason=problem)
+            log("journal", "unreadable line ignored", reason=problem)
             return
-        self.heard()
+        self._restart_silence_timer()
         self._failures = 0
         if event.pos <= self.pos:
-            return  # told before a cut, or nothing new
+            return  # received on an earlier connection, or a heartbeat without a gap
         if isinstance(event, Heartbeat):
-            self._missed(event.pos)
-        elif event.pos == self.pos + 1 or event.whole or not self._missed(event.pos):
+            self._handle_gap(event.pos)
+        elif event.pos == self.pos + 1 or event.is_full_list or not self._handle_gap(event.pos):
             self.pos = event.pos
-            self._engines.take(event)
-            self._told(ListKind.FULL if event.whole else ListKind.DELTA, list(event.hosts))
+            self._reader.apply(event)
+            self._notify(ListKind.FULL if event.is_full_list else ListKind.DELTA, list(event.endpoints))
+
+    def _handle_gap(self, pos: int) -> bool:
+        """Request events up to ``pos`` again, which were lost or could not be read, if a request is due.
 
-    def _missed(self, pos: int) -> bool:
-        """Events up to ``pos`` were lost on their way, or could not be read. Whether they are asked for: what
-        else this connection brings is not heeded then, as it comes after them."""
-        if self._gap is None or self._gap.after != self.pos:
+        Return whether they are requested. Later lines of this connection are then ignored, as they follow the
+        gap.
+        """
+        if self._gap is None or self._gap.last_received_pos != self.pos:
             self._gap = WatchGap(self.pos)
-        self._gap.signs += 1
-        if not self._gap.due:
+        self._gap.detections += 1
+        if not self._gap.is_request_due:
             return False
-        log("journal", "events are missing; asking for them again", after=self.pos, up_to=pos)
-        self._leave()
-        self._again()
+        log("journal", "events are missing; requesting them again", after=self.pos, up_to=pos)
+        self._disconnect()
+        self._schedule_reconnect()
         return True
 
 
-class _Tail(Stream):
-    def __init__(self, journal: EndpointWatch) -> None:
-        self._journal = journal
-        self._lines = Lines(MOST_LINE_BYTES)
+class _WatchStream(Stream):
+    def __init__(self, watch: EndpointWatch) -> None:
+        self._watch = watch
+        self._lines = Lines(MAX_LINE_BYTES)
 
     def opened(self) -> None:
-        self._journal.opened(self)
+        self._watch.connection_opened(self)
 
     def received(self, data: bytes) -> None:
         try:
@@ -199,7 +220,7 @@
             return
         for line in lines:
             if line:
-                self._journal.take(self, line)
+                self._watch.line_received(self, line)
 
     def ended(self) -> None:
-        self._journal.cut(self)
+        self._watch.connection_ended(self)
--- a/slipbay/discovery/watch_events.py
+++ b/slipbay/discovery/watch_events.py
@@ -1,7 +1,8 @@
-"""What the journal service says: changes of the list of engines, and heartbeats with its last position.
+"""Decodes the events of the journal service: changes of the list of engines, and heartbeats with the last
+position.
 
-A line may be spoilt on its way, and an entry may be of a form that we do not know. Neither may cost more than
-itself: the others of its event are heeded, and an engine that we know keeps its last entry.
+A line may be corrupt, and an entry may have an unknown form. Such a line or entry is skipped alone: the other
+entries of its event are used, and an engine that is listed already keeps its last entry.
 """
 
 from __future__ import annotations
@@ -19,42 +20,42 @@
 from slipbay.log import log
 from slipbay.policy.events import EngineEntry, EngineId, EngineState
 
-STATES = {
+ENGINE_STATES = {
     "SERVING": EngineState.READY,
     "DRAINING": EngineState.DRAINING,
     "DELETED": EngineState.GONE,
 }
-UNREADABLE = (ConfigError, KeyError, TypeError, ValueError, AttributeError, OverflowError, RecursionError)
-MOST_POSITION = 2**63 - 1
-MOST_BORN_MS = 2**53  # what a JSON number holds exactly, and far beyond any date
-NOWHERE = "0.0.0.0:0"  # of an engine that is gone
+DECODE_ERRORS = (ConfigError, KeyError, TypeError, ValueError, AttributeError, OverflowError, RecursionError)
+MAX_POSITION = 2**63 - 1
+MAX_START_TIME_MS = 2**53  # the largest integer that a JSON number holds exactly, far beyond any date
+NO_ADDRESS = "0.0.0.0:0"  # of a removed engine
 
 
 class UnreadableEventError(SlipbayError):
-    """Nothing of a line can be used; the text says why."""
+    """A line or event cannot be used; the text gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """The position of the last event, told each second."""
+    """The position of the last event; sent each second."""
 
     pos: int
 
 
 @dataclass(frozen=True, slots=True)
 class ListChange:
-    """An event: the whole list of engines, or those that have changed."""
+    """The full list of engines, or the entries that have changed."""
 
     pos: int
-    whole: bool
-    hosts: tuple[Endpoint, ...]
+    is_full_list: bool
+    endpoints: tuple[Endpoint, ...]
 
 
 Event: TypeAlias = Heartbeat | ListChange
 
 
-class EndpointListEvent:
-    """Reads events, and keeps the last entry of each engine that is listed."""
+class EndpointListReader:
+    """Decodes events, and stores the last entry of each listed engine."""
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str]) -> None:
         self._zones = {name: number for number, name in enumerate(zones)}
@@ -62,60 +63,60 @@
         self._listed: dict[EngineId, Endpoint] = {}
 
     @property
-    def hosts(self) -> list[Endpoint]:
-        """All engines that are listed."""
+    def endpoints(self) -> list[Endpoint]:
+        """The entries of all listed engines."""
         return list(self._listed.values())
 
-    def take(self, change: ListChange) -> None:
-        """Remember what an event says."""
-        if change.whole:
+    def apply(self, change: ListChange) -> None:
+        """Store the entries of an event."""
+        if change.is_full_list:
             self._listed.clear()
-        for host in change.hosts:
-            if host.entry.state is EngineState.GONE:
-                self._listed.pop(host.entry.engine, None)
+        for endpoint in change.endpoints:
+            if endpoint.entry.state is EngineState.GONE:
+                self._listed.pop(endpoint.entry.engine, None)
             else:
-                self._listed[host.entry.engine] = host
+                self._listed[endpoint.entry.engine] = endpoint
 
     def read_line(self, line: bytes) -> Event:
-        """Raises ``UnreadableEventError``."""
+        """Decode a line. Raises ``UnreadableEventError``."""
         try:
             return self.read(json.loads(line))
-        except UNREADABLE as problem:
+        except DECODE_ERRORS as problem:
             raise UnreadableEventError(f"{type(problem).__name__}: {problem}") from None
 
     def read(self, event: Any) -> Event:
-        """Raises ``UnreadableEventError``."""
+        """Decode an event from its JSON value. Raises ``UnreadableEventError``."""
         try:
             pos = int(event["pos"])
-            if not 0 <= pos <= MOST_POSITION:
-                raise ValueError(f"pos: want 0 to {MOST_POSITION}; got {pos}")
+            if not 0 <= pos <= MAX_POSITION:
+                raise ValueError(f"pos: want 0 to {MAX_POSITION}; got {pos}")
             if "hosts" not in event:
                 return Heartbeat(pos)
-            part = event["hosts"]
-            whole = bool(part.get("whole"))
-            items = list(part["hosts"])
-            hosts = tuple(self._readable(items))
-        except UNREADABLE as problem:
+            change = event["hosts"]
+            is_full_list = bool(change.get("whole"))
+            items = list(change["hosts"])
+            endpoints = tuple(self._read_entries(items))
+        except DECODE_ERRORS as problem:
             raise UnreadableEventError(f"{type(problem).__name__}: {problem}") from None
-        if whole and items and not hosts:  # an empty list would take all engines from us
-            raise UnreadableEventError(f"event {pos} is the whole list, and none of its entries can be read")
-        return ListChange(pos, whole, hosts)
+        if is_full_list and items and not endpoints:  # an empty list would remove all engines
+            raise UnreadableEventError(f"event {pos} is a full list without a readable entry")
+        return ListChange(pos, is_full_list, endpoints)
 
-    def _readable(self, items: Iterable[Any]) -> Iterable[Endpoint]:
+    def _read_entries(self, items: Iterable[Any]) -> Iterable[Endpoint]:
         for item in items:
             try:
-                yield self._host(item)
-            except UNREADABLE as problem:
-                log("journal", "an entry cannot be read", error=type(problem).__name__, reason=problem)
-                if (host := self._last_known(item)) is not None:
-                    yield host
-
-    def _host(self, item: dict[str, Any]) -> Endpoint:
-        born = int(item.get("born_ms") or 0)
+                yield self._read_endpoint(item)
+            except DECODE_ERRORS as problem:
+                log("journal", "unreadable entry of the list", error=type(problem).__name__, reason=problem)
+                if (endpoint := self._last_known(item)) is not None:
+                    yield endpoint
+
+    def _read_endpoint(self, item: dict[str, Any]) -> Endpoint:
+        started_ms = int(item.get("born_ms") or 0)
         size = float(item.get("share") or 1.0)
         state = item["health"]
-        if born > MOST_BORN_MS:
-            raise ValueError(f"born_ms: want at most {MOST_BORN_MS}; got {born}")
+        if started_ms > MAX_START_TIME_MS:
+            raise ValueError(f"born_ms: want at most {MAX_START_TIME_MS}; got {started_ms}")
         if not isfinite(size) or size <= 0:
             raise ValueError(f"share: want a finite number above 0; got {size}")
         if not isinstance(item["host"], str):
@@ -126,20 +127,23 @@
                 zone=self._zones.get(item.get("site", ""), 0),
                 kind=self._kinds.get(item.get("class", ""), 0),
                 cell=int(item.get("block") or 0),
-                state=STATES[state],
+                state=ENGINE_STATES[state],
                 size=size,
-                ready_at_us=born * 1000 if born > 0 else 0,
+                ready_at_us=started_ms * 1000 if started_ms > 0 else 0,
             ),
-            address(item.get("dial") or (NOWHERE if state == "DELETED" else None), "dial"),
+            address(item.get("dial") or (NO_ADDRESS if state == "DELETED" else None), "dial"),
         )
 
     def _last_known(self, item: Any) -> Endpoint | None:
-        """Of an entry that can't be read: what we know of its engine, and its end where that is told."""
+        """Return the stored entry of the engine of an unreadable entry, with its new state if the engine
+        leaves."""
         if not isinstance(item, dict) or not isinstance(item.get("host"), str):
             return None
         known = self._listed.get(item["host"].encode(errors="replace"))
-        ending = {name: state for name, state in STATES.items() if state is not EngineState.READY}
-        state = ending.get(str(item.get("health")))
+        leaving_states = {
+            name: state for name, state in ENGINE_STATES.items() if state is not EngineState.READY
+        }
+        state = leaving_states.get(str(item.get("health")))
         if known is None or state is None:
             return known
         return replace(known, entry=replace(known.entry, state=state))
--- a/tests/test_list_races.py
+++ b/tests/test_list_races.py
@@ -1,6 +1,6 @@
-"""The list of engines: ends, silence, losses and spoilt lines between any two lines, on real sockets.
+"""The endpoint watch with closed and silent connections, lost events and corrupt lines, on real sockets.
 
-Each test forces its crossing by what a stand-in of the journal service writes, and when.
+Each test forces a certain order of events by what a stand-in of the journal service writes, and when.
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 
 import pytest
 from loopback import HOST, StandInEndpointList, event, host, run, until
-from watches import Net, Script, Writer, heartbeat, lines, says, says_and_cuts
+from watches import Net, Script, Writer, heartbeat, lines, sends, sends_and_closes
 
-from slipbay.discovery import endpoint_watch as journal_module
-from slipbay.discovery.watch_events import EndpointListEvent, ListChange, UnreadableEventError
+from slipbay.discovery import endpoint_watch
+from slipbay.discovery.watch_events import EndpointListReader, ListChange, UnreadableEventError
 from slipbay.policy.events import EngineState
 from slipbay.stream import Stream
 
-SHORT_US = 50_000  # in place of periods that are long
+SHORT_US = 50_000  # in place of long periods
 
 
 @pytest.fixture
 def quick(monkeypatch: pytest.MonkeyPatch) -> pytest.MonkeyPatch:
-    """Connections are tried again soon."""
-    monkeypatch.setattr(journal_module, "RETRY_US", 1_000)
-    monkeypatch.setattr(journal_module, "MOST_RETRY_US", 1_000)
+    """Shortens the delay before a reconnect."""
+    monkeypatch.setattr(endpoint_watch, "MIN_RETRY_DELAY_US", 1_000)
+    monkeypatch.setattr(endpoint_watch, "MAX_RETRY_DELAY_US", 1_000)
     return monkeypatch
 
 
-# A silent watch
+# Silent connections
 
 
 @pytest.mark.parametrize(
-    "before, asked",
+    "before, requested",
     [
         ([b""], [1, 1]),
         ([lines(heartbeat(1))], [1, 1]),
@@ -48,24 +48,24 @@
     ],
     ids=["start", "early", "late", "event", "half a line", "empty line", "reconnect", "reconnect, event"],
 )
-def test_a_watch_that_falls_silent_is_opened_anew_and_a_drain_told_meanwhile_heeded(
-    quick: pytest.MonkeyPatch, before: list[bytes | None], asked: list[int]
+def test_a_silent_connection_is_replaced_and_a_drain_sent_meanwhile_is_applied(
+    quick: pytest.MonkeyPatch, before: list[bytes | None], requested: list[int]
 ) -> None:
-    """``before``: what each connection brings; None: it is cut."""
+    """``before``: the data sent on each connection; None: the connection is closed."""
 
     read = bytearray()
-    received = journal_module._Tail.received
+    received = endpoint_watch._WatchStream.received
 
-    def keep(tail: journal_module._Tail, data: bytes) -> None:
+    def record(stream: endpoint_watch._WatchStream, data: bytes) -> None:
         read.extend(data)
-        received(tail, data)
+        received(stream, data)
 
-    quick.setattr(journal_module._Tail, "received", keep)
+    quick.setattr(endpoint_watch._WatchStream, "received", record)
 
     async def test() -> None:
-        net = Net(*(says(data) if data is not None else says_and_cuts(b"") for data in before))
+        net = Net(*(sends(data) if data is not None else sends_and_closes(b"") for data in before))
         net.scripted.scripts.append(
-            lambda writer: writer.write(lines(event(asked[-1] + 1, net.host(0, "DRAINING"))))
+            lambda writer: writer.write(lines(event(requested[-1] + 1, net.host(0, "DRAINING"))))
         )
         async with net:
             for number, data in enumerate(before, 1):
@@ -73,158 +73,158 @@
                 if data is not None:
                     await until(lambda data=data: bytes(read) == data)  # type: ignore[misc]
                     net.wait_for_silence()
-            await until(lambda: net.feed.pos == asked[-1] + 1)
-            assert net.journal.asked == [b"tail %d\n" % pos for pos in asked]
-            assert await net.used() == {1}
+            await until(lambda: net.watch.pos == requested[-1] + 1)
+            assert net.journal.asked == [b"tail %d\n" % pos for pos in requested]
+            assert await net.used_engines() == {1}
 
     run(test)
 
 
-def test_a_connection_that_comes_up_late_has_its_whole_time_for_the_first_heartbeat(
+def test_a_slowly_opened_connection_has_the_full_time_for_the_first_heartbeat(
     quick: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a watch taken for silent a moment after it was asked for."""
+    """Guards against a connection that counts as silent right after the events were requested on it."""
 
     async def test() -> None:
         async with Net() as net:
             await until(lambda: bool(net.journal.asked))
-            before = net.feed._due
-            stream = net.feed._stream
+            before = net.watch._timer
+            stream = net.watch._stream
             assert stream is not None
-            net.feed.opened(stream)
-            assert net.feed._due is not before
+            net.watch.connection_opened(stream)
+            assert net.watch._timer is not before
             assert before is not None
             assert before.action is None
 
     run(test)
 
 
-def test_a_heartbeat_that_came_and_was_not_read_yet_is_one() -> None:
-    """Guards against a call for the list by each router that got no time for two seconds."""
+def test_a_heartbeat_that_is_received_but_not_read_yet_counts() -> None:
+    """Guards against a reconnect by each router whose process did not run for two seconds."""
 
     async def test() -> None:
         async with Net() as net:
             await until(lambda: bool(net.journal.writers))
-            stream = net.feed._stream
+            stream = net.watch._stream
             assert stream is not None
-            net.journal.tell(heartbeat(1))  # the system has it now
+            net.journal.tell(heartbeat(1))  # now in the receive buffer of the kernel
             net.wait_for_silence()
-            assert net.feed._stream is stream
+            assert net.watch._stream is stream
             net.journal.tell(event(2, net.host(0, "DRAINING")))
-            await until(lambda: net.feed.pos == 2)
+            await until(lambda: net.watch.pos == 2)
             assert len(net.journal.asked) == 1
-            net.journal.writers[0].write_eof()  # an end that was not read yet is none
+            net.journal.writers[0].write_eof()  # an unread end of stream does not count as a line
             net.wait_for_silence()
-            assert net.feed._stream is None
+            assert net.watch._stream is None
 
     run(test)
 
 
-def test_lines_that_cannot_be_read_are_no_heartbeat() -> None:
-    """Guards against a watch that is kept for ever though nothing that it brings can be used."""
+def test_unreadable_lines_do_not_count_as_heartbeats() -> None:
+    """Guards against a connection that is kept for ever although none of its lines can be used."""
 
     async def test() -> None:
         async with Net() as net:
             await until(lambda: bool(net.journal.writers))
             net.journal.tell(event(2, host("s-8", 8)))
-            await until(lambda: net.feed.pos == 2)
-            due = net.feed._due
-            stream = net.feed._stream
+            await until(lambda: net.watch.pos == 2)
+            timer = net.watch._timer
+            stream = net.watch._stream
             assert stream is not None
             net.journal.writers[0].write(b'garbage\n{"pos":"x"}\n[')
             await until(lambda: stream._lines.held == 1)
-            assert net.feed._due is due
+            assert net.watch._timer is timer
             net.journal.writers[0].write(b"]\n" + lines(heartbeat(2)) + b"[")
-            await until(lambda: stream._lines.held == 1 and net.feed._due is not due)
+            await until(lambda: stream._lines.held == 1 and net.watch._timer is not timer)
 
     run(test)
 
 
-# Drains, told once
+# Drains that are sent once
 
 
 def in_one_read_with_a_cut(net: Net) -> list[Script]:
-    return [says_and_cuts(lines(event(2, net.host(0, "DRAINING"))))]
+    return [sends_and_closes(lines(event(2, net.host(0, "DRAINING"))))]
 
 
 def half_before_a_cut(net: Net) -> list[Script]:
     line = lines(event(2, net.host(0, "DRAINING")))
-    return [says_and_cuts(line[:-1]), says(line)]
+    return [sends_and_closes(line[:-1]), sends(line)]
 
 
 def while_disconnected(net: Net) -> list[Script]:
-    return [says_and_cuts(b""), says_and_cuts(b""), says(lines(event(2, net.host(0, "DRAINING"))))]
+    return [sends_and_closes(b""), sends_and_closes(b""), sends(lines(event(2, net.host(0, "DRAINING"))))]
 
 
 def twice(net: Net) -> list[Script]:
     line = lines(event(2, net.host(0, "DRAINING")))
-    return [says_and_cuts(line * 2), says(line)]
+    return [sends_and_closes(line * 2), sends(line)]
 
 
-def with_another_that_serves(net: Net) -> list[Script]:
-    return [says(lines(event(2, net.host(0, "DRAINING")), event(3, net.host(1))))]
+def with_another_serving_engine(net: Net) -> list[Script]:
+    return [sends(lines(event(2, net.host(0, "DRAINING")), event(3, net.host(1))))]
 
 
-def amid_spoilt_lines(net: Net) -> list[Script]:
+def amid_corrupt_lines(net: Net) -> list[Script]:
     drain = lines(event(2, net.host(0, "DRAINING")))
-    return [says(b'{"pos":1e999}\n\x80\n[[\n' + b"[" * 100_000 + b"\n{}\n" + drain + b'"\n')]
+    return [sends(b'{"pos":1e999}\n\x80\n[[\n' + b"[" * 100_000 + b"\n{}\n" + drain + b'"\n')]
 
 
-def with_a_spoilt_entry(net: Net) -> list[Script]:
-    spoilt = {**host("s-1", 1), "share": float("inf")}  # json writes it as Infinity
-    return [says(lines(event(2, spoilt, net.host(0, "DRAINING"), {"host": []}, 7)))]  # type: ignore[arg-type]
+def with_a_corrupt_entry(net: Net) -> list[Script]:
+    broken = {**host("s-1", 1), "share": float("inf")}  # json writes it as Infinity
+    return [sends(lines(event(2, broken, net.host(0, "DRAINING"), {"host": []}, 7)))]  # type: ignore[arg-type]
 
 
-def with_an_address_that_cannot_be_read(net: Net) -> list[Script]:
-    return [says(lines(event(2, {**net.host(0, "DRAINING"), "dial": "s-0.east:80"})))]
+def with_an_unreadable_address(net: Net) -> list[Script]:
+    return [sends(lines(event(2, {**net.host(0, "DRAINING"), "dial": "s-0.east:80"})))]
 
 
 @pytest.mark.parametrize(
-    "told",
+    "make_scripts",
     [
         in_one_read_with_a_cut,
         half_before_a_cut,
         while_disconnected,
         twice,
-        with_another_that_serves,
-        amid_spoilt_lines,
-        with_a_spoilt_entry,
-        with_an_address_that_cannot_be_read,
+        with_another_serving_engine,
+        amid_corrupt_lines,
+        with_a_corrupt_entry,
+        with_an_unreadable_address,
     ],
-    ids=lambda told: told.__name__,
+    ids=lambda make_scripts: make_scripts.__name__,
 )
-def test_a_drain_is_heeded_however_it_is_told(
-    quick: pytest.MonkeyPatch, told: Callable[[Net], list[Script]]
+def test_a_drain_is_applied_however_it_is_sent(
+    quick: pytest.MonkeyPatch, make_scripts: Callable[[Net], list[Script]]
 ) -> None:
     async def test() -> None:
         net = Net()
-        net.scripted.scripts = [lambda writer: told_first(writer)]
+        net.scripted.scripts = [lambda writer: first_script(writer)]
 
-        def told_first(writer: Writer) -> None:
-            net.scripted.scripts = told(net)
+        def first_script(writer: Writer) -> None:
+            net.scripted.scripts = make_scripts(net)
             net.scripted.scripts.pop(0)(writer)
 
         async with net:
             await until(lambda: net.state("s-0") is EngineState.DRAINING)
-            assert await net.used() == {1}
+            assert await net.used_engines() == {1}
             assert net.state("s-1") is EngineState.READY
 
     run(test)
 
 
-def test_a_drain_is_heeded_that_comes_byte_by_byte() -> None:
+def test_a_drain_sent_byte_by_byte_is_applied() -> None:
     async def test() -> None:
         async with Net() as net:
             await until(lambda: bool(net.journal.writers))
-            stream = net.feed._stream
+            stream = net.watch._stream
             assert stream is not None
             for number, byte in enumerate(lines(event(2, net.host(0, "DRAINING")))[:-1], 1):
                 net.journal.writers[0].write(bytes([byte]))
                 await until(lambda number=number: stream._lines.held == number)  # type: ignore[misc]
-            assert net.feed.pos == 1
+            assert net.watch.pos == 1
             net.journal.writers[0].write(b"\n")
-            await until(lambda: net.feed.pos == 2)
-            assert await net.used() == {1}
+            await until(lambda: net.watch.pos == 2)
+            assert await net.used_engines() == {1}
 
     run(test)
 
@@ -241,47 +241,47 @@
     ],
     ids=["two events", "heartbeat and event", "all"],
 )
-def test_what_comes_in_one_read_after_a_lost_event_does_not_hide_the_loss(
+def test_events_read_together_after_a_lost_event_do_not_hide_the_loss(
     quick: pytest.MonkeyPatch, first: list[dict[str, Any]]
 ) -> None:
-    """Guards against a drain that is never asked for, as the next event was taken in its place."""
+    """Guards against a drain that is never requested, because the next event is applied in its place."""
 
     async def test() -> None:
         net = Net()
         others = lines(event(3, host("s-8", 8)), event(4, host("s-9", 9)))
         net.scripted.scripts = [
-            says(lines(*first)),
+            sends(lines(*first)),
             lambda writer: writer.write(lines(event(2, net.host(0, "DRAINING"))) + others),
         ]
         async with net:
-            await until(lambda: net.feed.pos == 4)
+            await until(lambda: net.watch.pos == 4)
             assert net.journal.asked == [b"tail 1\n", b"tail 1\n"]
-            assert await net.used() == {1}
+            assert await net.used_engines() == {1}
 
     run(test)
 
 
-def test_an_event_lost_more_than_once_is_asked_for_again_but_ever_more_seldom(
+def test_an_event_lost_repeatedly_is_requested_again_with_growing_intervals(
     quick: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a drain that is given up after one question, and against one question each second."""
+    """Guards against a drain that is requested only once, and against one request each second."""
 
     async def test() -> None:
         ahead = lines(heartbeat(2))
-        net = Net(says(ahead), says(ahead), says(b""))
+        net = Net(sends(ahead), sends(ahead), sends(b""))
         async with net:
             await until(lambda: len(net.journal.asked) == 2)
-            await until(lambda: net.signs == 2)
-            net.journal.writers[-1].write(ahead)  # the third sign
+            await until(lambda: net.gap_detections == 2)
+            net.journal.writers[-1].write(ahead)  # the third detection
             await until(lambda: len(net.journal.asked) == 3)
-            for signs in range(4, 7):
+            for count in range(4, 7):
                 net.journal.writers[-1].write(ahead)
-                await until(lambda signs=signs: net.signs == signs)  # type: ignore[misc]
+                await until(lambda count=count: net.gap_detections == count)  # type: ignore[misc]
             assert net.journal.asked == [b"tail 1\n"] * 3
             net.journal.tell(event(2, net.host(0, "DRAINING")))
-            await until(lambda: net.feed.pos == 2)
-            assert await net.used() == {1}
-            net.journal.tell(heartbeat(4))  # another loss: it is asked for at once
+            await until(lambda: net.watch.pos == 2)
+            assert await net.used_engines() == {1}
+            net.journal.tell(heartbeat(4))  # another gap: requested at once
             await until(lambda: len(net.journal.asked) == 4)
 
     run(test)
@@ -305,27 +305,27 @@
                     event(3, net.host(1)),
                 )
             )
-            await until(lambda: net.feed.pos == 3)
-            assert await net.used() == {1}
+            await until(lambda: net.watch.pos == 3)
+            assert await net.used_engines() == {1}
             assert net.state("s-0") is EngineState.DRAINING
             assert net.journal.asked == [b"tail 1\n"]
 
     run(test)
 
 
-# Whole lists
+# Full lists
 
 
-def test_a_whole_list_replaces_what_was_known() -> None:
+def test_a_full_list_replaces_the_stored_entries() -> None:
     async def test() -> None:
         async with Net() as net:
             await until(lambda: bool(net.journal.writers))
             net.journal.tell(event(2, net.host(1), whole=True))
-            await until(lambda: net.feed.pos == 2)
-            assert await net.used() == {1}
-            net.journal.tell(event(5, net.host(0), whole=True))  # needs nothing of what was before
-            await until(lambda: net.feed.pos == 5)
-            assert await net.used() == {0}
+            await until(lambda: net.watch.pos == 2)
+            assert await net.used_engines() == {1}
+            net.journal.tell(event(5, net.host(0), whole=True))  # independent of earlier events
+            await until(lambda: net.watch.pos == 5)
+            assert await net.used_engines() == {0}
             assert net.journal.asked == [b"tail 1\n"]
 
     run(test)
@@ -346,38 +346,38 @@
     ],
     ids=str,
 )
-def test_an_entry_of_a_whole_list_that_cannot_be_read_costs_no_engine(change: dict[str, Any]) -> None:
-    """Guards against a list that takes an engine from us, or all, for one figure."""
+def test_an_unreadable_entry_of_a_full_list_removes_no_engine(change: dict[str, Any]) -> None:
+    """Guards against a list that removes an engine, or all engines, because of one bad value."""
 
     async def test() -> None:
         async with Net() as net:
             await until(lambda: bool(net.journal.writers))
             net.journal.tell(event(2, {**net.host(0), **change}, net.host(1, "DRAINING"), whole=True))
-            await until(lambda: net.feed.pos == 2)
-            assert await net.used() == {0}
+            await until(lambda: net.watch.pos == 2)
+            assert await net.used_engines() == {0}
             assert len(net.journal.asked) == 1
 
     run(test)
 
 
-def test_a_whole_list_of_which_nothing_can_be_read_takes_no_engine_and_is_asked_for_again(
+def test_a_full_list_without_a_readable_entry_removes_no_engine_and_is_requested_again(
     quick: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        spoilt = lines(event(2, {"name": "s-0"}, {"name": "s-1"}, whole=True))
-        net = Net(says(spoilt + lines(heartbeat(2))))
+        corrupt = lines(event(2, {"name": "s-0"}, {"name": "s-1"}, whole=True))
+        net = Net(sends(corrupt + lines(heartbeat(2))))
         async with net:
             await until(lambda: len(net.journal.asked) == 2)
-            assert net.feed.pos == 1
-            assert await net.used() <= {0, 1}
-            net.journal.tell(event(2, whole=True))  # an empty list is one that can be read
+            assert net.watch.pos == 1
+            assert await net.used_engines() <= {0, 1}
+            net.journal.tell(event(2, whole=True))  # an empty list is valid
             await until(lambda: net.state("s-0") is net.state("s-1") is EngineState.GONE)
 
     run(test)
 
 
-def test_a_spoilt_figure_does_not_end_the_connection() -> None:
-    """Guards against a line that is asked for, and ends the connection, for ever."""
+def test_a_bad_number_does_not_end_the_connection() -> None:
+    """Guards against a line that ends the connection and is requested again, endlessly."""
 
     async def test() -> None:
         async with Net() as net:
@@ -385,21 +385,21 @@
             net.journal.writers[0].write(b'{"pos":1e999}\n{"pos":1e999,"hosts":{"hosts":[]}}\n')
             net.journal.writers[0].write(b'{"pos":%s}\n' % (b"9" * 5000))
             net.journal.tell(event(2, net.host(0, "DRAINING")))
-            await until(lambda: net.feed.pos == 2)
+            await until(lambda: net.watch.pos == 2)
             assert len(net.journal.asked) == 1
 
     run(test)
 
 
-def test_nothing_but_its_own_error_comes_out_of_a_line() -> None:
-    """Bytes of good lines are changed, left out, doubled and cut at places drawn from a seed."""
-    engines = EndpointListEvent(["room-a"], ["std-8"])
+def test_decoding_a_line_raises_only_its_own_error() -> None:
+    """Bytes of valid lines are changed, removed, duplicated and cut at random places with a fixed seed."""
+    reader = EndpointListReader(["room-a"], ["std-8"])
     random = Random(29)
     read = 0
-    good = lines(event(2, host("s-0", 1), host("s-1", 2, "DRAINING", born_ms=7), whole=True)).rstrip()
+    valid = lines(event(2, host("s-0", 1), host("s-1", 2, "DRAINING", born_ms=7), whole=True)).rstrip()
     tokens = [b"1e999", b"-1", b"null", b"[]", b"{}", b'""', b'"\\ud800"', b"NaN", b"9" * 5000, b"[" * 5000]
     for _ in range(20_000):
-        line = bytearray(good)
+        line = bytearray(valid)
         for _ in range(random.randrange(1, 4)):
             at = random.randrange(len(line))
             end = min(len(line), at + random.randrange(0, 12))
@@ -407,13 +407,13 @@
                 [bytes([random.randrange(256)]), b"", bytes(line[at:end]) * 2, *tokens]
             )
         try:
-            change = engines.read_line(bytes(line))
+            change = reader.read_line(bytes(line))
         except UnreadableEventError:
             continue
         read += 1
         if isinstance(change, ListChange):
-            engines.take(change)
-            assert all(host.entry.size > 0 and host.entry.ready_at_us >= 0 for host in engines.hosts)
+            reader.apply(change)
+            assert all(host.entry.size > 0 and host.entry.ready_at_us >= 0 for host in reader.endpoints)
     assert read > 100
 
 
@@ -421,8 +421,8 @@
 
 
 @pytest.mark.parametrize("later", [None, 0, 1, 2])
-def test_a_connection_that_comes_up_after_it_was_given_up_is_not_asked(later: int | None) -> None:
-    """The journal moves in the turns between a connection and its transport."""
+def test_nothing_is_requested_on_a_connection_that_opens_after_it_was_abandoned(later: int | None) -> None:
+    """The address changes in the turns of the event loop between a connection and its transport."""
 
     async def test() -> None:
         async with Net() as net:
@@ -438,47 +438,47 @@
                 dialer.hand_over = hand_over  # type: ignore[method-assign]
                 hand_over(stream, sock)
                 if later is None:
-                    net.feed.follow((HOST, new.port))
+                    net.watch.follow((HOST, new.port))
                 else:
                     asyncio.get_running_loop().create_task(follow(later))
 
             async def follow(turns: int) -> None:
                 for _ in range(turns):
                     await asyncio.sleep(0)
-                net.feed.follow((HOST, new.port))
+                net.watch.follow((HOST, new.port))
 
             dialer.hand_over = handed_over  # type: ignore[method-assign]
-            net.feed.follow((HOST, old.port))
+            net.watch.follow((HOST, old.port))
             await until(lambda: bool(old.asked and new.asked))
             assert new.asked == [b"tail 1\n"]
-            assert old.asked == [b""] or later == 1 or later == 2  # then it had been asked already
+            assert old.asked == [b""] or later == 1 or later == 2  # then the request was sent already
             old.writers[0].write(lines(event(2, net.host(0, "DRAINING"))))
             new.tell(event(2, net.host(1, "DRAINING")))
-            await until(lambda: net.feed.pos == 2)
-            assert await net.used() == {0}
+            await until(lambda: net.watch.pos == 2)
+            assert await net.used_engines() == {0}
             for server in (old.server, new.server):
                 server.close()
 
     run(test)
 
 
-def test_the_journal_is_reached_at_once_after_connects_that_hung(quick: pytest.MonkeyPatch) -> None:
-    """Guards against a dial that waits for an answer for ever, and against waits that grow without end."""
+def test_the_service_is_reached_soon_after_connects_that_timed_out(quick: pytest.MonkeyPatch) -> None:
+    """Guards against a connect without a timeout, and against delays that grow without limit."""
 
     async def test() -> None:
-        quick.setattr(journal_module, "CONNECT_US", SHORT_US)
+        quick.setattr(endpoint_watch, "CONNECT_TIMEOUT_US", SHORT_US)
         async with Net() as net:
             await until(lambda: bool(net.journal.asked))
             with socket.create_server((HOST, 0), backlog=0) as full:
                 address = full.getsockname()
-                fillers = [socket.socket() for _ in range(4)]  # who comes beyond them gets no answer
+                fillers = [socket.socket() for _ in range(4)]  # further connections are not answered
                 for filler in fillers:
                     filler.setblocking(False)
                     filler.connect_ex(address)
-                net.feed._failures = 50
-                net.feed.follow(address)
-                assert net.feed._failures == 0  # those were the other address's
-                await until(lambda: net.feed._failures == 3)
+                net.watch._failures = 50
+                net.watch.follow(address)
+                assert net.watch._failures == 0  # failures belong to the old address
+                await until(lambda: net.watch._failures == 3)
                 for filler in fillers:
                     filler.close()
                 full.setblocking(False)
@@ -493,15 +493,15 @@
     run(test)
 
 
-def test_the_wait_after_many_failures_is_bounded() -> None:
+def test_the_delay_after_many_failures_is_bounded() -> None:
     async def test() -> None:
         async with Net() as net:
             await until(lambda: bool(net.journal.asked))
             for failures in (0, 8, 100_000):
-                net.feed._failures = failures
+                net.watch._failures = failures
                 now = net.router.clock.fresh()
-                net.feed._again()
-                due = next(at for at, _, timer in net.router.timers._heap if timer is net.feed._due)
-                assert now + 100_000 <= due <= now + journal_module.MOST_RETRY_US
+                net.watch._schedule_reconnect()
+                fires_us = next(at for at, _, timer in net.router.timers._heap if timer is net.watch._timer)
+                assert now + 100_000 <= fires_us <= now + endpoint_watch.MAX_RETRY_DELAY_US
 
     run(test)
--- a/tests/test_reload_races.py
+++ b/tests/test_reload_races.py
@@ -1,4 +1,4 @@
-"""SIGHUP, SIGTERM and bad files at any moment: what a router runs by changes whole or not at all."""
+"""SIGHUP, SIGTERM and bad files at any time: a reload takes effect completely or not at all."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 from slipbay.config.router import from_json
 from slipbay.config.store import load_store
 from slipbay.config.validation import ConfigError
-from slipbay.discovery import endpoint_watch as journal_module
+from slipbay.discovery import endpoint_watch
 from slipbay.membership.settings import load_fleet
 from slipbay.peer_channel.settings import load_channel
 from slipbay.quota.settings import load_quota
 from slipbay.scatter_gather.settings import load_gather
 from slipbay.warmup.settings import load_comeback
 
-# SIGHUP beside drains, cuts, connects and outages
+# SIGHUP together with drains, lost connections, connects and outages
 
 
 class Reloads(Net):
@@ -42,16 +42,16 @@
         self.file = folder / "config.json"
 
     def reload(self, text: str | bytes) -> None:
-        """SIGHUP with this file."""
+        """Reload with this content of the configuration file."""
         self.file.write_bytes(text.encode() if isinstance(text, str) else text)
         self.router.reload({"GW_CONFIG": str(self.file), "SLIPBAY_STORE": "absent"})
 
-    def move(self, port: int) -> None:
-        """SIGHUP that moves the journal."""
-        self.reload(json.dumps({**GOOD, "journal": f"{HOST}:{port}"}))
+    def move_journal(self, port: int) -> None:
+        """Reload with another port of the journal service."""
+        self.reload(json.dumps({**VALID, "journal": f"{HOST}:{port}"}))
 
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "name": "n0",
     "listen": f"{HOST}:0",
     "journal": f"{HOST}:1",
@@ -68,15 +68,15 @@
 @asynccontextmanager
 async def journals(count: int) -> Any:
     async with AsyncExitStack() as stack:
-        found = [StandInEndpointList() for _ in range(count)]
-        for one in found:
-            await one.start()
-            stack.callback(one.server.close)
-        yield found
+        services = [StandInEndpointList() for _ in range(count)]
+        for service in services:
+            await service.start()
+            stack.callback(service.server.close)
+        yield services
 
 
-def hung() -> tuple[socket.socket, list[socket.socket]]:
-    """A listener that answers nobody any more, and what fills it."""
+def unresponsive_listener() -> tuple[socket.socket, list[socket.socket]]:
+    """A listener that answers no further connection, and the sockets that fill its backlog."""
     full = socket.create_server((HOST, 0), backlog=0)
     fillers = [socket.socket() for _ in range(4)]
     for filler in fillers:
@@ -86,130 +86,130 @@
 
 
 @pytest.mark.parametrize("moment", ["before", "in", "after"])
-def test_a_move_around_a_drain(tmp_path: Path, moment: str) -> None:
-    """What the old service says after the move is not heeded, nor joined with what the new one says."""
+def test_a_change_of_address_around_a_drain(tmp_path: Path, moment: str) -> None:
+    """Data of the old service after the change is ignored, and not joined with data of the new one."""
 
     async def test() -> None:
         async with Reloads(tmp_path) as net, journals(1) as (new,):
             await until(lambda: bool(net.journal.asked))
             old = net.journal.writers[0]
             drain = lines(event(2, net.host(0, "DRAINING")))
-            stream = net.feed._stream
+            stream = net.watch._stream
             assert stream is not None
             if moment == "in":
                 old.write(drain[:40])
                 await until(lambda: stream._lines.held == 40)
             elif moment == "after":
                 old.write(drain)
-                await until(lambda: net.feed.pos == 2)
-            net.move(new.port)
+                await until(lambda: net.watch.pos == 2)
+            net.move_journal(new.port)
             old.write(
                 {"before": drain, "in": drain[40:], "after": lines(event(3, net.host(1, "DELETED")))}[moment]
             )
             await until(lambda: bool(new.asked))
             assert new.asked == [b"tail %d\n" % (2 if moment == "after" else 1)]
             if moment == "after":
-                assert await net.used() == {1}
+                assert await net.used_engines() == {1}
                 new.tell(event(3, net.host(0), net.host(1, "DRAINING")))
             else:
-                assert net.feed.pos == 1
+                assert net.watch.pos == 1
                 new.tell(event(2, net.host(1, "DRAINING")))
-            await until(lambda: net.feed.pos == (3 if moment == "after" else 2))
-            assert await net.used() == {0}
+            await until(lambda: net.watch.pos == (3 if moment == "after" else 2))
+            assert await net.used_engines() == {0}
             assert len(net.journal.asked) == 1
 
     run(test)
 
 
-@pytest.mark.parametrize(
-    "trouble", ["cut", "cut, waiting", "connecting", "refused", "silent", "no descriptor"]
-)
-def test_a_move_in_trouble_leads_to_one_connection(
-    tmp_path: Path, trouble: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("fault", ["cut", "cut, waiting", "connecting", "refused", "silent", "no descriptor"])
+def test_a_change_of_address_during_a_fault_leads_to_one_connection(
+    tmp_path: Path, fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against an old retry, dial or silence that takes the new connection away."""
+    """Guards against an old retry, connect or silence timer that closes the new connection."""
 
     async def test() -> None:
         async with Reloads(tmp_path) as net, journals(1) as (new,):
             await until(lambda: bool(net.journal.writers))
-            if trouble.startswith("cut"):
-                monkeypatch.setattr(journal_module, "RETRY_US", 30_000_000)
-                monkeypatch.setattr(journal_module, "MOST_RETRY_US", 30_000_000)
+            if fault.startswith("cut"):
+                monkeypatch.setattr(endpoint_watch, "MIN_RETRY_DELAY_US", 30_000_000)
+                monkeypatch.setattr(endpoint_watch, "MAX_RETRY_DELAY_US", 30_000_000)
                 net.journal.cut()
-                if trouble == "cut, waiting":
-                    await until(lambda: net.feed._stream is None)
-            elif trouble == "connecting":
-                full, fillers = hung()
-                net.move(full.getsockname()[1])
-            elif trouble == "refused":
+                if fault == "cut, waiting":
+                    await until(lambda: net.watch._stream is None)
+            elif fault == "connecting":
+                full, fillers = unresponsive_listener()
+                net.move_journal(full.getsockname()[1])
+            elif fault == "refused":
                 with socket.socket() as closed:
-                    closed.bind((HOST, 0))  # and does not listen
-                    net.move(closed.getsockname()[1])
-                    await until(lambda: net.feed._failures == 2)
-            elif trouble == "silent":
+                    closed.bind((HOST, 0))  # it does not listen
+                    net.move_journal(closed.getsockname()[1])
+                    await until(lambda: net.watch._failures == 2)
+            elif fault == "silent":
                 net.wait_for_silence()
             else:
                 with no_descriptors():
-                    net.feed.follow((HOST, 9))
-            net.move(new.port)
+                    net.watch.follow((HOST, 9))
+            net.move_journal(new.port)
             await until(lambda: bool(new.asked))
-            stream = net.feed._stream
+            stream = net.watch._stream
             new.tell(event(2, net.host(0, "DRAINING")))
-            await until(lambda: net.feed.pos == 2)
-            if trouble == "connecting":
+            await until(lambda: net.watch.pos == 2)
+            if fault == "connecting":
                 for filler in fillers:
                     filler.close()
                 full.close()
-            assert await net.used() == {1}
-            assert net.feed._stream is stream
+            assert await net.used_engines() == {1}
+            assert net.watch._stream is stream
             assert new.asked == [b"tail 1\n"]
             assert len(net.journal.asked) == 1
 
     run(test)
 
 
-def test_moves_twice_in_a_row_there_and_back_and_to_the_same_address(tmp_path: Path) -> None:
+def test_repeated_changes_of_address_and_one_to_the_same_address(tmp_path: Path) -> None:
     async def test() -> None:
         async with Reloads(tmp_path) as net, journals(2) as (first, second):
             await until(lambda: bool(net.journal.writers))
-            stream = net.feed._stream
-            net.move(net.journal.port)
-            net.move(net.journal.port)
-            assert net.feed._stream is stream  # the same address: nothing is cut
-            net.move(first.port)
-            net.move(second.port)
+            stream = net.watch._stream
+            net.move_journal(net.journal.port)
+            net.move_journal(net.journal.port)
+            assert net.watch._stream is stream  # the same address: the connection stays
+            net.move_journal(first.port)
+            net.move_journal(second.port)
             await until(lambda: bool(second.asked))
-            net.move(first.port)
-            net.move(second.port)
+            net.move_journal(first.port)
+            net.move_journal(second.port)
             await until(lambda: len(second.asked) == 2)
             second.tell(event(2, net.host(0, "DRAINING")))
-            await until(lambda: net.feed.pos == 2)
-            assert await net.used() == {1}
+            await until(lambda: net.watch.pos == 2)
+            assert await net.used_engines() == {1}
             assert not any(first.asked)
             assert second.asked == [b"tail 1\n"] * 2
 
     run(test)
 
 
-def test_a_move_after_sigterm_is_followed_and_the_end_comes_all_the_same(tmp_path: Path) -> None:
+def test_a_change_of_address_after_sigterm_takes_effect_and_the_shutdown_completes(tmp_path: Path) -> None:
     async def test() -> None:
         async with Reloads(tmp_path) as net, journals(1) as (new,):
             await until(lambda: bool(net.journal.writers))
             net.router.shutdown.begin()
             net.router.shutdown.begin()
-            net.move(new.port)
+            net.move_journal(new.port)
             await until(lambda: bool(new.asked))
             new.tell(event(2, net.host(0, "DRAINING")))
-            await until(lambda: net.feed.pos == 2)
-            assert await net.used() == {1}  # requests are taken for a while yet
+            await until(lambda: net.watch.pos == 2)
+            assert await net.used_engines() == {
+                1
+            }  # during the shutdown requests are still accepted for a while
             net.reload("{")
             await net.router.shutdown.done.wait()
 
     run(test)
 
 
-def test_signals_before_the_start_has_ended_and_after_the_loop_has_do_not_kill(tmp_path: Path) -> None:
-    """Guards against an exit code of -1 after a good end: the loop gives its signal handlers back."""
+def test_signals_during_the_start_and_after_the_event_loop_do_not_kill_the_process(tmp_path: Path) -> None:
+    """Guards against exit code -1 after a graceful shutdown: the event loop restores the default handlers."""
     configure(tmp_path)
     program = (
         "import os, signal, sys\n"
@@ -244,21 +244,21 @@
 
 
 def changed(path: str, text: str) -> str:
-    """The good configuration with a value, as JSON text, at a path of keys."""
-    config = copy.deepcopy(GOOD)
-    *way, last = path.split(".")
-    place: Any = config
-    for key in way:
-        place = place[int(key) if key.isdigit() else key]
-    place[int(last) if last.isdigit() else last] = "HERE"
+    """The valid configuration with another value, as JSON text, at a path of keys."""
+    config = copy.deepcopy(VALID)
+    *parents, last = path.split(".")
+    container: Any = config
+    for key in parents:
+        container = container[int(key) if key.isdigit() else key]
+    container[int(last) if last.isdigit() else last] = "HERE"
     return json.dumps(config).replace('"HERE"', text)
 
 
-BAD: dict[str, tuple[str | bytes, str]] = {
+INVALID: dict[str, tuple[str | bytes, str]] = {
     "not JSON": ("[engines]", "the configuration is not JSON"),
     "empty": ("", "the configuration is not JSON"),
-    "truncated": (json.dumps(GOOD)[:-20], "the configuration is not JSON"),
-    "bad bytes": (b"\xff\xfe\x00" + json.dumps(GOOD).encode(), "the configuration is not JSON"),
+    "truncated": (json.dumps(VALID)[:-20], "the configuration is not JSON"),
+    "bad bytes": (b"\xff\xfe\x00" + json.dumps(VALID).encode(), "the configuration is not JSON"),
     "wrong type": ("[]", "the configuration: want an object"),
     "deep": (deep("["), "the configuration: nested too deeply"),
     "deep value": (changed("settings.rules", deep("[", "]", 400)), "nested too deeply"),
@@ -280,29 +280,29 @@
 }
 
 
-@pytest.mark.parametrize("name", BAD)
-def test_a_bad_configuration_changes_nothing_and_the_log_names_file_key_and_reason(
+@pytest.mark.parametrize("name", INVALID)
+def test_an_invalid_configuration_changes_nothing_and_the_log_names_file_key_and_reason(
     tmp_path: Path, name: str, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    text, told = BAD[name]
+    text, reason = INVALID[name]
     monkeypatch.setattr(slipbay.log, "BURST", 10**6)
 
     async def test() -> None:
         async with Reloads(tmp_path) as net:
             await until(lambda: bool(net.journal.writers))
-            stream = net.feed._stream
+            stream = net.watch._stream
             net.reload(text)
             log = capsys.readouterr().err
             assert "bad configuration, the old one stays: config.json: " in log
-            assert told in log
-            assert net.feed._stream is stream
-            assert net.feed._address == (HOST, net.journal.port)
+            assert reason in log
+            assert net.watch._stream is stream
+            assert net.watch._address == (HOST, net.journal.port)
 
     run(test)
 
 
 @pytest.mark.parametrize("what", ["absent", "a directory"])
-def test_a_configuration_that_cannot_be_read_changes_nothing(
+def test_an_unreadable_configuration_changes_nothing(
     tmp_path: Path, what: str, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(slipbay.log, "BURST", 10**6)
@@ -318,16 +318,16 @@
 
 
 @pytest.mark.parametrize("name", ["not JSON", "deep", "Infinity", "long port", "setting"])
-def test_a_start_with_a_bad_configuration_ends_with_2_and_one_line(tmp_path: Path, name: str) -> None:
-    text, told = BAD[name]
+def test_a_start_with_an_invalid_configuration_exits_with_2_and_one_line(tmp_path: Path, name: str) -> None:
+    text, reason = INVALID[name]
     process = start(tmp_path, text=text)
     _, log = process.communicate(timeout=60)
     assert process.returncode == 2
-    assert log.startswith(f"slipbay: bad configuration: config.json: {told}")
+    assert log.startswith(f"slipbay: bad configuration: config.json: {reason}")
     assert log.count("\n") == 1
 
 
-def test_a_start_with_events_that_cannot_be_read_ends_with_2_and_their_place(tmp_path: Path) -> None:
+def test_a_start_with_an_unreadable_event_exits_with_2_and_its_path(tmp_path: Path) -> None:
     process = start(tmp_path, known={"entries": [event(1, whole=True), {"pos": {}}]})
     _, log = process.communicate(timeout=60)
     assert process.returncode == 2
@@ -359,17 +359,17 @@
         yield from paths(inner, (*path, key))
 
 
-def test_nothing_but_its_own_error_comes_out_of_a_configuration_and_it_names_the_key() -> None:
-    """Every value of a good configuration, one after the other, becomes each of the values above."""
-    for path in paths(GOOD):
+def test_reading_a_configuration_raises_only_config_errors_that_name_the_key() -> None:
+    """Each value of a valid configuration is replaced by each of the values above."""
+    for path in paths(VALID):
         for value in VALUES:
-            config: dict[str, Any] = {"all": copy.deepcopy(GOOD)}
-            place: Any = config
+            config: dict[str, Any] = {"all": copy.deepcopy(VALID)}
+            container: Any = config
             last: str | int = "all"
             for key in path:
-                place = place[last]
+                container = container[last]
                 last = key
-            place[last] = value
+            container[last] = value
             try:
                 from_json(json.dumps(config["all"]), {})
             except ConfigError as problem:
@@ -454,12 +454,25 @@
 marker = "m"
 """,
 }
-BAD_VALUES = ["inf", "nan", "1e300", "-1", "9" * 400, "true", '""', '"\\u0000"', '"x"', "[]", "{}", "[[]]"]
-BAD_VALUES += ["[" * 5000, "=", '"(?:a{99999999999})"', "[{a = 1}]", ".".join("a" * 500) + " = 1"]
+INVALID_VALUES = [
+    "inf",
+    "nan",
+    "1e300",
+    "-1",
+    "9" * 400,
+    "true",
+    '""',
+    '"\\u0000"',
+    '"x"',
+    "[]",
+    "{}",
+    "[[]]",
+]
+INVALID_VALUES += ["[" * 5000, "=", '"(?:a{99999999999})"', "[{a = 1}]", ".".join("a" * 500) + " = 1"]
 
 
 def load_operator_file(name: str, path: Path) -> object:
-    config = from_json(json.dumps(GOOD), {})
+    config = from_json(json.dumps(VALID), {})
     environment = {f"SLIPBAY_{name.upper()}": str(path)}
     loaders: dict[str, Callable[[Config], object]] = {
         "channel": lambda config: load_channel(config, environment),
@@ -474,8 +487,8 @@
 
 
 @pytest.mark.parametrize("name", [*OPERATOR_FILES, "mysql"])
-def test_nothing_but_its_own_error_comes_out_of_an_operator_file(tmp_path: Path, name: str) -> None:
-    """Every value of a good file, one after the other, becomes each of the bad values above."""
+def test_reading_an_operator_file_raises_only_config_errors(tmp_path: Path, name: str) -> None:
+    """Each value of a valid file is replaced by each of the invalid values above."""
     (tmp_path / "key").write_bytes(b"k" * 16)
     path = tmp_path / f"{name}.toml"
     text = OPERATOR_FILES[name] if name in OPERATOR_FILES else mysql_file(tmp_path).read_text()
@@ -484,7 +497,7 @@
     rows = text.splitlines()
     for number, row in enumerate(rows):
         key, equals, _ = row.partition(" = ")
-        for value in BAD_VALUES if equals else ():
+        for value in INVALID_VALUES if equals else ():
             path.write_text("\n".join([*rows[:number], f"{key} = {value}", *rows[number + 1 :]]))
             try:
                 load_operator_file(name, path)
@@ -500,29 +513,29 @@
         load_operator_file(name, path)
 
 
-def test_a_bad_operator_file_at_sighup_changes_nothing(
+def test_an_invalid_operator_file_at_sighup_changes_nothing(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The journal does not move either: all of a reload is checked before any of it counts."""
+    """The address of the journal service stays too: a reload is checked completely before it takes effect."""
     monkeypatch.setattr(slipbay.log, "BURST", 10**6)
 
     async def test() -> None:
         async with Reloads(tmp_path) as net, journals(1) as (new,):
             await until(lambda: bool(net.journal.writers))
-            stream = net.feed._stream
-            net.file.write_text(json.dumps({**GOOD, "journal": f"{HOST}:{new.port}"}))
-            bad = tmp_path / "bad.toml"
+            stream = net.watch._stream
+            net.file.write_text(json.dumps({**VALID, "journal": f"{HOST}:{new.port}"}))
+            invalid = tmp_path / "bad.toml"
             for content in (
                 b"enabled = 1",
                 b"\xff",
                 b"x = " + b"[" * 100_000,
                 b"enabled = true\nfolder = nan",
             ):
-                bad.write_bytes(content)
+                invalid.write_bytes(content)
                 for part in ("STORE", "MYSQL", "CHANNEL", "QUOTA", "GATHER"):
-                    net.router.reload({"GW_CONFIG": str(net.file), f"SLIPBAY_{part}": str(bad)})
+                    net.router.reload({"GW_CONFIG": str(net.file), f"SLIPBAY_{part}": str(invalid)})
                     assert "the old one stays: bad.toml: " in capsys.readouterr().err
-            assert net.feed._stream is stream
-            assert net.feed._address == (HOST, net.journal.port)
+            assert net.watch._stream is stream
+            assert net.watch._address == (HOST, net.journal.port)
 
     run(test)
--- a/tests/watches.py
+++ b/tests/watches.py
@@ -1,4 +1,4 @@
-"""A router with two engines and a journal service that follows a script, connection by connection."""
+"""A router with two engines and a scripted journal service, with one script for each connection."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from loopback import Loopback, StandInEndpointList, StandInEngine, host
 
-from slipbay.discovery import endpoint_watch as journal_module
+from slipbay.discovery import endpoint_watch
 from slipbay.discovery.endpoint_watch import EndpointWatch
 from slipbay.policy.events import EngineState
 
@@ -28,7 +28,7 @@
 
 
 class ScriptedJournal(StandInEndpointList):
-    """Does on each connection, one after the other, what its script says; after the last one nothing."""
+    """Runs one script on each connection, in order; connections after the last script stay silent."""
 
     def __init__(self, *scripts: Script) -> None:
         super().__init__()
@@ -40,11 +40,11 @@
             self.scripts.pop(0)(writer)
 
 
-def says(data: bytes) -> Script:
+def sends(data: bytes) -> Script:
     return lambda writer: writer.write(data)
 
 
-def says_and_cuts(data: bytes) -> Script:
+def sends_and_closes(data: bytes) -> Script:
     def script(writer: Writer) -> None:
         writer.write(data)
         writer.close()
@@ -53,7 +53,7 @@
 
 
 class Net(Loopback):
-    """Two engines, and a client that asks them."""
+    """A router, two engines, and a client of the router."""
 
     def __init__(self, *scripts: Script, engines: int = 2) -> None:
         super().__init__(*(StandInEngine() for _ in range(engines)))
@@ -62,41 +62,41 @@
 
     async def __aenter__(self) -> Self:
         await super().__aenter__()
-        self.asker = await self.client()
+        self.query_client = await self.client()
         return self
 
     @property
-    def feed(self) -> EndpointWatch:
+    def watch(self) -> EndpointWatch:
         return self.router.endpoint_watch
 
     @property
-    def signs(self) -> int:
+    def gap_detections(self) -> int:
         """How often something showed that events are missing."""
-        return self.feed._gap.signs if self.feed._gap is not None else 0
+        return self.watch._gap.detections if self.watch._gap is not None else 0
 
     def host(self, number: int, state: str = "SERVING") -> dict[str, Any]:
         return host(f"s-{number}", self.engines[number].port, state)
 
     def wait_for_silence(self) -> None:
-        """Let the time pass after which the watch is taken for silent."""
-        due = self.feed._due
-        assert due is not None
-        assert due.action is not None
-        at = next(at for at, _, timer in self.router.timers._heap if timer is due)
-        assert at <= self.router.clock.fresh() + journal_module.SILENCE_US
-        due.action()
-
-    async def ask(self) -> int:
-        """Which engine serves a request."""
+        """Fire the timer after which the connection counts as silent."""
+        timer = self.watch._timer
+        assert timer is not None
+        assert timer.action is not None
+        at = next(at for at, _, queued in self.router.timers._heap if queued is timer)
+        assert at <= self.router.clock.fresh() + endpoint_watch.SILENCE_TIMEOUT_US
+        timer.action()
+
+    async def query_engine(self) -> int:
+        """Send a query and return the number of the engine that serves it."""
         before = [len(engine.named("POST")) for engine in self.engines]
-        self.asker.query()
-        answer = await self.asker.answer()
+        self.query_client.query()
+        answer = await self.query_client.answer()
         assert "result" in answer, answer
         after = [len(engine.named("POST")) for engine in self.engines]
         return next(n for n, (old, new) in enumerate(zip(before, after, strict=True)) if new > old)
 
-    async def used(self, times: int = 4) -> set[int]:
-        return {await self.ask() for _ in range(times)}
+    async def used_engines(self, times: int = 4) -> set[int]:
+        return {await self.query_engine() for _ in range(times)}
 
     def state(self, name: str) -> EngineState:
         return self.decisions.engines.by_id[name.encode()].entry.state
@@ -104,7 +104,7 @@
 
 @contextmanager
 def no_descriptors() -> Iterator[None]:
-    """The system gives this process no further one."""
+    """The process cannot open further file descriptors."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (3, hard))
     try:
