--- a/slipbay/config/__init__.py
+++ b/slipbay/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration of a router and of its optional parts: read, checked, given defaults."""
+"""Configuration of a router and of its optional parts: reading, validation and defaults."""
--- a/slipbay/config/fields.py
+++ b/slipbay/config/fields.py
@@ -12,29 +12,29 @@
 from slipbay.config.validation import ConfigError, read_toml
 
 PORT = re.compile("[0-9]{1,5}")
-HIGHEST_PORT = 65535
+MAX_PORT = 65535
 
-Part = TypeVar("Part")
+Result = TypeVar("Result")
 
 
 def address(value: object, key: str) -> Address:
-    """Parse ``1.2.3.4:80``; names are not resolved, as there is no DNS.
+    """Parse ``1.2.3.4:80``; names are not resolved, as the platform has no DNS.
 
     Raises:
-        ConfigError: if ``value`` is no IPv4 address with a port; names ``key``.
+        ConfigError: if ``value`` is not an IPv4 address with a port; the error names ``key``.
     """
     host, colon, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     try:
         ipaddress.IPv4Address(host)
     except ValueError:
         colon = ""
-    if not colon or not PORT.fullmatch(port) or int(port) > HIGHEST_PORT:
+    if not colon or not PORT.fullmatch(port) or int(port) > MAX_PORT:
         raise ConfigError(f"want an IPv4 address and a port, as in 10.0.0.4:8443; got {value!r}", key)
     return host, int(port)
 
 
 class Keys:
-    """One object of the configuration. Every method raises ``ConfigError`` naming the key at fault."""
+    """One object of the configuration. Every method raises ``ConfigError``, which names the key at fault."""
 
     def __init__(self, data: object, path: str = "") -> None:
         if not isinstance(data, dict):
@@ -43,41 +43,41 @@
         self.path = path
 
     def name(self, key: str) -> str:
-        """The whole path of a key of this object."""
+        """Return the full path of a key of this object."""
         return f"{self.path}.{key}" if self.path else key
 
-    def get(self, key: str, kind: type | tuple[type, ...], wanted: str, default: Any = None) -> Any:
-        """The value of a key, of type ``kind``; without a default the key is required."""
+    def get(self, key: str, kind: type | tuple[type, ...], expected: str, default: Any = None) -> Any:
+        """Return the value of a key, of type ``kind``; without a default the key is required."""
         value = self.data.get(key, default)
         if value is None and default is None:
             raise ConfigError("missing", self.name(key))
         if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-            raise ConfigError(f"want {wanted}; got {value!r}", self.name(key))
+            raise ConfigError(f"want {expected}; got {value!r}", self.name(key))
         return value
 
     def text(self, key: str, default: str | None = None) -> str:
-        """The string of a key."""
+        """Return the string of a key."""
         return str(self.get(key, str, "a string", default))
 
-    def number(self, key: str, least: float, default: float | None = None) -> float:
-        """The number of a key, at least ``least``."""
+    def number(self, key: str, minimum: float, default: float | None = None) -> float:
+        """Return the number of a key, which must be at least ``minimum``."""
         value = self.get(key, (int, float), "a number", default)
-        if not value >= least:
-            raise ConfigError(f"want a number of at least {least:g}; got {value!r}", self.name(key))
+        if not value >= minimum:
+            raise ConfigError(f"want a number of at least {minimum:g}; got {value!r}", self.name(key))
         return float(value)
 
     def only(self, *known: str) -> None:
-        """Check that the object has no key but those that are known."""
+        """Check that the object has no keys other than ``known``."""
         for key in self.data:
             if key not in known:
                 raise ConfigError(f"no such key; there are {', '.join(known)}", self.name(key))
 
     def part(self, key: str, default: Any = None) -> Keys:
-        """The object of a key."""
+        """Return the object of a key."""
         return Keys(self.get(key, dict, "an object", default), self.name(key))
 
     def names(self, key: str) -> tuple[str, ...]:
-        """A list of strings, or of objects that have a ``name``."""
+        """Return the names in a list of strings, or of objects with a ``name``."""
         items = self.get(key, list, "a list", [])
         values = [item.get("name") if isinstance(item, dict) else item for item in items]
         if not all(isinstance(value, str) for value in values):
@@ -86,12 +86,12 @@
 
 
 def optional_address(keys: Keys, key: str) -> Address | None:
-    """The address of a key; None where the key is absent or empty."""
+    """Return the address of a key; None if the key is absent or empty."""
     return address(keys.data[key], keys.name(key)) if keys.data.get(key) else None
 
 
-def operator_file(path: Path, read: Callable[[Keys], Part]) -> Part | None:
-    """What ``read`` makes of a TOML file; None where the file is absent or does not say ``enabled = true``.
+def operator_file(path: Path, read: Callable[[Keys], Result]) -> Result | None:
+    """Return the result of ``read`` for a TOML file; None if the file is absent or ``enabled`` is not true.
 
     Raises:
         ConfigError: with the name of the file and the key at fault.
--- a/slipbay/config/model.py
+++ b/slipbay/config/model.py
@@ -1,5 +1,7 @@
-"""What a router is configured with, as typed values. Sizes in bytes and times in us unless a name says
-otherwise."""
+"""The configuration of a router as typed values.
+
+Sizes are in bytes and times in us unless a name has another unit.
+"""
 
 from __future__ import annotations
 
@@ -13,15 +15,15 @@
 from slipbay.policy.settings import Settings
 
 CLIENT_SHARE = (2, 5)
-"""Part of all descriptors for client connections; the platform promises clients a third."""
+"""Fraction of all file descriptors for client connections; the platform guarantees clients a third."""
 RESERVED_SOCKETS = 32  # for the endpoint watch, the peers, the listeners and the loop itself
-LEAST_ENGINE_SOCKETS = 8
+MIN_ENGINE_SOCKETS = 8
 MEMORY_DIVISOR = 4  # a quarter of the memory for client connections, another for open requests
 
 
 @dataclass(frozen=True)
 class ClassRule:
-    """Statements that a pattern finds something in belong to a class."""
+    """Statements in which a pattern matches belong to a class."""
 
     pattern: re.Pattern[str]
     service_class: int
@@ -29,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Estimate:
-    """What a statement of a class is expected to need, where it does not say so itself."""
+    """Expected cost and memory of a statement of a class, where the statement gives none itself."""
 
     cost_us: int | None
     memory_mb: float
@@ -37,7 +39,7 @@
 
 @dataclass(frozen=True)
 class User:
-    """Who may log in with a password."""
+    """A user who logs in with a password."""
 
     tenant: int
     password: bytes
@@ -45,7 +47,7 @@
 
 @dataclass(frozen=True)
 class SpiffeConfig:
-    """How clients show their identity by X.509-SVIDs, and which tenant each SPIFFE ID stands for."""
+    """Authentication of clients by X.509-SVIDs, and the tenant of each SPIFFE ID."""
 
     trust_domain: str
     certificate: Path
@@ -78,7 +80,7 @@
 
 @dataclass(frozen=True)
 class StoreConfig:
-    """Where and how what must survive a router's death is kept. Sizes in bytes, times in µs."""
+    """The durable store, which holds what must survive a crash of the router. Sizes in bytes, times in us."""
 
     folder: Path
     segment_bytes: int
@@ -93,23 +95,23 @@
     recovery_us: int
     later_us: int
     stop_on_failure: bool
-    loss: LossConfig | None = None  # None: a store that opens is taken for the newest
+    loss: LossConfig | None = None  # None: a store that opens is assumed to be up to date
 
 
 @dataclass(frozen=True)
 class LossConfig:
-    """How the loss or rollback of a store is detected, and what clients do (docs/store-loss.md)."""
+    """How the loss or rollback of a store is detected, and how clients repeat (docs/store-loss.md)."""
 
     window_us: int
-    marked: tuple[bytes, ...]  # frontends, by the first part of their keys
+    marked: tuple[bytes, ...]  # prefixes of the keys of frontends whose clients mark repeats
     anywhere: bool
     marker: Path | None
-    fleet: bool  # other routers remember what a store held when it was closed
+    fleet: bool  # other routers record the state of a store at its close
 
 
 @dataclass(frozen=True)
 class Limits:
-    """What the platform gives this process, and how it is shared out."""
+    """The resources that the platform gives this process, and how they are divided."""
 
     cores: float
     memory_mb: int
@@ -117,30 +119,29 @@
 
     @property
     def client_sockets(self) -> int:
-        """How many client connections may be open."""
-        part, whole = CLIENT_SHARE
-        return self.sockets * part // whole
+        """Maximum number of open client connections."""
+        numerator, denominator = CLIENT_SHARE
+        return self.sockets * numerator // denominator
 
     @property
     def engine_sockets(self) -> int:
-        """How many engine connections may be open: the rest, less the reserve."""
-        return max(LEAST_ENGINE_SOCKETS, self.sockets - self.client_sockets - RESERVED_SOCKETS)
+        """Maximum number of open engine connections: the rest without the reserve."""
+        return max(MIN_ENGINE_SOCKETS, self.sockets - self.client_sockets - RESERVED_SOCKETS)
 
     @property
     def connection_bytes(self) -> int:
-        """Answers that wait for slow readers, and requests that came in part, over all client connections."""
+        """Limit on unsent answers and incomplete requests of all client connections."""
         return self.memory_mb * 1024 * 1024 // MEMORY_DIVISOR
 
     @property
     def request_bytes(self) -> int:
-        """Statements of all requests that are open."""
+        """Limit on the statements of all open requests."""
         return self.memory_mb * 1024 * 1024 // MEMORY_DIVISOR
 
 
 @dataclass(frozen=True)
 class Config:
-    """The whole configuration of a router, but for the parts that are read from operator files of their
-    own."""
+    """The configuration of a router without the parts that have operator files of their own."""
 
     name: str
     listen: Address
@@ -160,4 +161,4 @@
     idle_us: int
     max_open: int
     mysql: MysqlConfig | None = None  # None: the MySQL frontend is off
-    store: StoreConfig | None = None  # None: nothing is kept over a restart
+    store: StoreConfig | None = None  # None: nothing survives a restart
--- a/slipbay/config/mysql.py
+++ b/slipbay/config/mysql.py
@@ -1,5 +1,5 @@
-"""Reads ``deploy/mysql.toml``: where the MySQL frontend listens, who may log in, and how statements are
-classed."""
+"""Reads ``deploy/mysql.toml``: the address of the MySQL frontend, its users, and how statements are
+classified."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from slipbay.wire.spiffe import InvalidSpiffeIdError, check_id
 
 DEFAULT_PACKET_BYTES = 1024 * 1024
-LEAST_PACKET_BYTES = 1024
+MIN_PACKET_BYTES = 1024
 DEFAULT_IDLE_S = 600.0
 
 
 def load_mysql(config: Config, path: Path) -> MysqlConfig | None:
-    """The MySQL frontend's configuration; None if the file is absent or says ``enabled = false``.
+    """Return the MySQL frontend's configuration; None if the file is absent or has ``enabled = false``.
 
     Raises:
         ConfigError: with the name of the file and the key at fault.
@@ -26,16 +26,16 @@
     return operator_file(path, lambda keys: _MysqlReader(config, keys, path.parent).read())
 
 
-def _choice(part: Keys, key: str, names: tuple[str, ...]) -> int:
-    """The position of a key's value among ``names``."""
-    name = part.text(key)
+def _choice(keys: Keys, key: str, names: tuple[str, ...]) -> int:
+    """Return the index of a key's value in ``names``."""
+    name = keys.text(key)
     if name not in names:
-        raise ConfigError(f"want one of {', '.join(names)}; got {name!r}", part.name(key))
+        raise ConfigError(f"want one of {', '.join(names)}; got {name!r}", keys.name(key))
     return names.index(name)
 
 
 class _MysqlReader:
-    """Reads the file's tables; paths in them are relative to ``folder``."""
+    """Reads the tables of the file; paths in them are relative to ``folder``."""
 
     def __init__(self, config: Config, keys: Keys, folder: Path) -> None:
         self._config = config
@@ -46,7 +46,7 @@
         self._estimates = keys.part("estimates", {})
 
     def read(self) -> MysqlConfig:
-        """The whole file, checked."""
+        """Return the checked configuration of the file."""
         prepare_class = self._class_for_prepare()
         write_class = self._class_for_writes()
         self._check_class_names()
@@ -56,12 +56,12 @@
         users = keys.part("users", {})
         spiffe = self._spiffe(keys.part("spiffe")) if "spiffe" in keys.data else None
         if not users.data and spiffe is None:
-            raise ConfigError("want at least one, or a part spiffe", "users")
+            raise ConfigError("want at least one, or a table spiffe", "users")
         rules = self._classes.get("rules", list, "a list", [])
         return MysqlConfig(
             listen=address(keys.text("listen"), "listen"),
             schema=keys.text("schema", ""),
-            most_packet_bytes=int(keys.number("max_packet_bytes", LEAST_PACKET_BYTES, DEFAULT_PACKET_BYTES)),
+            most_packet_bytes=int(keys.number("max_packet_bytes", MIN_PACKET_BYTES, DEFAULT_PACKET_BYTES)),
             idle_us=int(keys.number("idle_s", 1, DEFAULT_IDLE_S) * 1_000_000),
             hint=keys.text("hint", "slipbay"),
             read_class=_choice(self._classes, "read", self._config.classes),
@@ -88,13 +88,13 @@
     def _class_for_writes(self) -> int:
         number = _choice(self._classes, "write", self._config.classes)
         if self._config.settings.classes[number].effect is not Effect.UNSAFE:
-            raise ConfigError("want a class that is never run twice", "classes.write")
+            raise ConfigError("want a class whose effect is unsafe", "classes.write")
         return number
 
     def _check_class_names(self) -> None:
-        for part in (self._deadlines, self._estimates):
-            for name in part.data.keys() - set(self._config.classes):
-                raise ConfigError("no such class", part.name(name))
+        for table in (self._deadlines, self._estimates):
+            for name in table.data.keys() - set(self._config.classes):
+                raise ConfigError("no such class", table.name(name))
 
     def _deadlines_us(self) -> tuple[int, ...]:
         return tuple(
@@ -103,34 +103,34 @@
         )
 
     def _estimate(self, name: str) -> Estimate:
-        part = self._estimates.part(name, {})
-        cost_ms = part.number("cpu_ms", 0) if "cpu_ms" in part.data else None
-        return Estimate(None if cost_ms is None else int(cost_ms * 1000), part.number("ram_mb", 0, 0.0))
+        keys = self._estimates.part(name, {})
+        cost_ms = keys.number("cpu_ms", 0) if "cpu_ms" in keys.data else None
+        return Estimate(None if cost_ms is None else int(cost_ms * 1000), keys.number("ram_mb", 0, 0.0))
 
     def _rule(self, number: int, item: object) -> ClassRule:
-        part = Keys(item, f"classes.rules[{number}]")
+        keys = Keys(item, f"classes.rules[{number}]")
         try:
-            pattern = re.compile(part.text("pattern"), re.IGNORECASE | re.DOTALL)
+            pattern = re.compile(keys.text("pattern"), re.IGNORECASE | re.DOTALL)
         except (re.error, OverflowError, RecursionError) as problem:
-            raise ConfigError(str(problem), part.name("pattern")) from None
-        return ClassRule(pattern, _choice(part, "class", self._config.classes))
+            raise ConfigError(str(problem), keys.name("pattern")) from None
+        return ClassRule(pattern, _choice(keys, "class", self._config.classes))
 
-    def _user(self, part: Keys) -> User:
-        return User(_choice(part, "tenant", self._config.tenants), self._secret(part, "password_file"))
+    def _user(self, keys: Keys) -> User:
+        return User(_choice(keys, "tenant", self._config.tenants), self._secret(keys, "password_file"))
 
-    def _secret(self, part: Keys, key: str) -> bytes:
-        """The first line of a file; no password stands in the configuration itself."""
-        return first_line(self._folder / part.text(key), part.name(key)).rstrip(b"\r")
+    def _secret(self, keys: Keys, key: str) -> bytes:
+        """Return the first line of the file that a key names: the configuration itself holds no passwords."""
+        return first_line(self._folder / keys.text(key), keys.name(key)).rstrip(b"\r")
 
     def _spiffe(self, keys: Keys) -> SpiffeConfig:
         trust_domain = keys.text("trust_domain")
         tenants = keys.part("tenants")
         for spiffe_id in tenants.data:
             try:
-                found = check_id(spiffe_id)
+                id_domain = check_id(spiffe_id)
             except InvalidSpiffeIdError as problem:
                 raise ConfigError(str(problem), tenants.name(spiffe_id)) from None
-            if found != trust_domain:
+            if id_domain != trust_domain:
                 raise ConfigError(f"want an ID of the trust domain {trust_domain}", tenants.name(spiffe_id))
         return SpiffeConfig(
             trust_domain,
--- a/slipbay/config/router.py
+++ b/slipbay/config/router.py
@@ -18,7 +18,7 @@
 
 DEFAULT_MEMORY_MB = 192
 DEFAULT_SOCKETS = 1024
-LEAST_SOCKETS = 64
+MIN_SOCKETS = 64
 DEFAULT_CONNECT_TIMEOUT_US = 250_000
 DEFAULT_IDLE_US = 30_000_000
 DEFAULT_MAX_OPEN = 4096
@@ -27,7 +27,7 @@
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """Read what the platform tells a router by way of its environment, and its operator files.
+    """Read the configuration that the platform names in the environment, and the operator files.
 
     Raises:
         ConfigError: with file, key and reason of the first mistake.
@@ -49,21 +49,21 @@
 
 
 def from_json(text: str | bytes, environment: Mapping[str, str]) -> Config:
-    """The configuration in ``text``; ``GW_NAME`` and ``GW_LISTEN`` of ``environment`` override its keys.
+    """Read the configuration in ``text``; ``GW_NAME`` and ``GW_LISTEN`` of ``environment`` override its keys.
 
     Raises:
         ConfigError: with key and reason of the first mistake.
     """
     keys = Keys(_parse(text))
-    info = keys.part("settings")
+    settings_keys = keys.part("settings")
     try:
-        settings = read_settings(json.dumps(info.data).encode())
+        settings = read_settings(json.dumps(settings_keys.data).encode())
     except SettingsError as problem:
         raise ConfigError(str(problem)) from None
-    policy_limits = info.part("policyLimits", {})
+    policy_limits = settings_keys.part("policyLimits", {})
     peers = keys.get("peers", list, "a list of addresses", [])
     return Config(
-        known=_known(keys),
+        known=_initial_events(keys),
         name=environment.get("GW_NAME") or keys.text("name"),
         listen=address(environment.get("GW_LISTEN") or keys.text("listen"), "listen"),
         seed=_seed(keys),
@@ -73,10 +73,10 @@
         peers=tuple(address(peer, f"peers[{number}]") for number, peer in enumerate(peers)),
         peers_all=optional_address(keys, "peers_all"),
         settings=settings,
-        classes=info.names("profiles"),
-        tenants=info.names("realms"),
-        zones=info.names("dcs"),
-        kinds=info.names("kinds"),
+        classes=settings_keys.names("profiles"),
+        tenants=settings_keys.names("realms"),
+        zones=settings_keys.names("dcs"),
+        kinds=settings_keys.names("kinds"),
         connect_timeout_us=int(policy_limits.number("connectTimeoutUs", 1, DEFAULT_CONNECT_TIMEOUT_US)),
         idle_us=int(policy_limits.number("connIdleUs", 1, DEFAULT_IDLE_US)),
         max_open=min(DEFAULT_MAX_OPEN, int(policy_limits.number("maxOpen", 1, DEFAULT_MAX_OPEN))),
@@ -98,16 +98,16 @@
     return Limits(
         keys.number("cores", 0, 1.0),
         int(keys.number("memory_mb", 1, DEFAULT_MEMORY_MB)),
-        int(keys.number("sockets", LEAST_SOCKETS, DEFAULT_SOCKETS)),
+        int(keys.number("sockets", MIN_SOCKETS, DEFAULT_SOCKETS)),
     )
 
 
-def _known(keys: Keys) -> dict[str, Any]:
-    """Events of the endpoint list that are known at the start, checked as far as every watch needs it."""
-    known = keys.part("known", {"pos": 0, "entries": []})
-    known.number("pos", 0, 0)
-    known.get("entries", list, "a list of events", [])
-    return known.data
+def _initial_events(keys: Keys) -> dict[str, Any]:
+    """Return the configured events of the endpoint list; each event is checked only by the endpoint watch."""
+    events = keys.part("known", {"pos": 0, "entries": []})
+    events.number("pos", 0, 0)
+    events.get("entries", list, "a list of events", [])
+    return events.data
 
 
 def _seed(keys: Keys) -> int:
--- a/slipbay/config/store.py
+++ b/slipbay/config/store.py
@@ -1,4 +1,4 @@
-"""Reads ``deploy/store.toml``: where the durable store lies, its limits, and how its loss is detected."""
+"""Reads ``deploy/store.toml``: the folder of the durable store, its limits, and how its loss is detected."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 if TYPE_CHECKING:
     from slipbay.store.config_schema import StoreFile
 
-KEY_BYTES = 850  # of memory for a key that the store holds, in the index and in the ledger (docs/store.md)
-DEFAULT_MOST_KEYS = 100_000
-MOST_ANSWER_KB = 4096  # of an answer that is kept for a repeat
-LEAST_SEGMENTS = 4  # that must fit in the store's limit
+KEY_BYTES = 850  # memory for each stored key, in the index and in the ledger (docs/store.md)
+DEFAULT_MAX_KEYS = 100_000
+MAX_ANSWER_KB = 4096  # of an answer that is stored for a repeat
+MIN_SEGMENTS = 4  # that must fit in the store's size limit
 
-CHANGEABLE = ("retention_us", "most_answer_bytes", "most_keys", "later_us", "stop_on_failure")
-"""Of a ``StoreConfig``: what a running router takes over."""
+RELOADABLE_FIELDS = ("retention_us", "most_answer_bytes", "most_keys", "later_us", "stop_on_failure")
+"""Fields of ``StoreConfig`` that a reload applies to a running router."""
 
 FRONTS = {"jsonrpc": b"json", "mysql": b"mysql"}
-"""Frontends as store.toml names them, and the first word of the keys of their requests."""
+"""Frontends as store.toml names them, and the prefix of the keys of their requests."""
 
 
 def load_store(config: Config, path: Path) -> StoreConfig | None:
-    """The durable store's configuration; None if the file is absent or says ``enabled = false``.
+    """Return the durable store's configuration; None if the file is absent or has ``enabled = false``.
 
     Raises:
         ConfigError: with the name of the file and the key at fault.
@@ -35,85 +35,86 @@
     need_msgspec(path.name, "store")
     from slipbay.store.config_schema import StoreFile
 
-    form = convert(data, StoreFile, path.name)
+    file = convert(data, StoreFile, path.name)
     try:
-        return _store(config, form, path.parent)
+        return _store(config, file, path.parent)
     except ConfigError as problem:
         raise problem.in_file(path.name) from None
 
 
 def store_changes(old: StoreConfig | None, new: StoreConfig | None) -> list[str]:
-    """Fields of the store's configuration that differ and take effect at the next start only."""
+    """Return the fields of the store's configuration that differ and take effect only at the next start."""
     if old is None or new is None:
         return [] if old is new else ["store"]
     return [
         f"store.{item.name}"
         for item in fields(new)
-        if item.name not in CHANGEABLE and getattr(old, item.name) != getattr(new, item.name)
+        if item.name not in RELOADABLE_FIELDS and getattr(old, item.name) != getattr(new, item.name)
     ]
 
 
-def _store(config: Config, form: StoreFile, folder: Path) -> StoreConfig:
-    _check_sizes(form)
-    commit = form.commit
-    keep = form.keep
+def _store(config: Config, file: StoreFile, folder: Path) -> StoreConfig:
+    _check_sizes(file)
+    commit = file.commit
+    keep = file.keep
     return StoreConfig(
-        folder=folder / form.folder,
-        segment_bytes=int(form.segment_mb * 1024 * 1024),
-        most_bytes=int(form.most_mb * 1024 * 1024),
+        folder=folder / file.folder,
+        segment_bytes=int(file.segment_mb * 1024 * 1024),
+        most_bytes=int(file.most_mb * 1024 * 1024),
         group_records=int(commit.most_records),
         group_bytes=int(commit.most_kb * 1024),
         group_wait_us=int(commit.wait_us),
         retry_us=int(commit.retry_ms * 1000),
         retention_us=int(keep.retention_h * 3600 * 1_000_000),
         most_answer_bytes=int(keep.answer_kb * 1024),
-        most_keys=_most_keys(config, form),
-        recovery_us=int(form.recovery.most_s * 1_000_000),
-        later_us=int(form.later_ms * 1000),
-        stop_on_failure=form.when_it_cannot_write == "stop",
-        loss=_loss(form, folder) if form.loss.enabled else None,
+        most_keys=_max_keys(config, file),
+        recovery_us=int(file.recovery.most_s * 1_000_000),
+        later_us=int(file.later_ms * 1000),
+        stop_on_failure=file.when_it_cannot_write == "stop",
+        loss=_loss(file, folder) if file.loss.enabled else None,
     )
 
 
-def _check_sizes(form: StoreFile) -> None:
-    if form.segment_mb * LEAST_SEGMENTS > form.most_mb:
+def _check_sizes(file: StoreFile) -> None:
+    if file.segment_mb * MIN_SEGMENTS > file.most_mb:
         raise ConfigError(
-            f"want at least four times segment_mb ({form.segment_mb:g}); got {form.most_mb:g}", "most_mb"
+            f"want at least four times segment_mb ({file.segment_mb:g}); got {file.most_mb:g}", "most_mb"
         )
-    answer_kb = form.keep.answer_kb
-    if answer_kb > MOST_ANSWER_KB or answer_kb * 1024 > form.segment_mb * 1024 * 1024 / 2:
+    answer_kb = file.keep.answer_kb
+    if answer_kb > MAX_ANSWER_KB or answer_kb * 1024 > file.segment_mb * 1024 * 1024 / 2:
         raise ConfigError(
-            f"want at most {MOST_ANSWER_KB} and half of segment_mb; got {answer_kb:g}", "keep.answer_kb"
+            f"want at most {MAX_ANSWER_KB} and half of segment_mb; got {answer_kb:g}", "keep.answer_kb"
         )
 
 
-def _most_keys(config: Config, form: StoreFile) -> int:
-    """How many keys are held: as the file says, or as many as fit in half of the memory limit."""
-    fitting = config.limits.memory_mb * 1024 * 1024 // 2 // KEY_BYTES
-    wanted = form.keep.most_keys
-    most_keys = int(wanted if wanted is not None else min(DEFAULT_MOST_KEYS, fitting))
-    if most_keys > fitting:
+def _max_keys(config: Config, file: StoreFile) -> int:
+    """Return the maximum number of stored keys: the configured one, or a default that fits in half of the
+    memory."""
+    fitting_keys = config.limits.memory_mb * 1024 * 1024 // 2 // KEY_BYTES
+    configured = file.keep.most_keys
+    max_keys = int(configured if configured is not None else min(DEFAULT_MAX_KEYS, fitting_keys))
+    if max_keys > fitting_keys:
         raise ConfigError(
-            f"{most_keys} keys would take more than half of limits.memory_mb ({config.limits.memory_mb})",
+            f"{max_keys} keys would take more than half of limits.memory_mb ({config.limits.memory_mb})",
             "keep.most_keys",
         )
-    return most_keys
+    return max_keys
 
 
-def _loss(form: StoreFile, folder: Path) -> LossConfig:
-    loss = form.loss
-    window_s = _check_window(form)
+def _loss(file: StoreFile, folder: Path) -> LossConfig:
+    loss = file.loss
+    window_s = _check_window(file)
     if loss.anywhere and not loss.marked:
         raise ConfigError(
-            "want fronts in loss.marked, as nothing else tells a first sending "
-            "from a repeat of what another router ran",
+            "want frontends in loss.marked, as only their marks distinguish a first request "
+            "from a repeat of one that another router ran",
             "loss.anywhere",
         )
     marker = folder / loss.marker if loss.marker is not None else None
     if marker is not None:
-        _check_marker(marker, folder / form.folder)
+        _check_marker(marker, folder / file.folder)
     if marker is not None and loss.fleet:
-        raise ConfigError("want it off where loss.marker is set, which tells more", "loss.fleet")
+        raise ConfigError("want false if loss.marker is set, as a marker detects more", "loss.fleet")
     return LossConfig(
         int(window_s * 1_000_000),
         tuple(FRONTS[name] for name in loss.marked),
@@ -123,13 +124,13 @@
     )
 
 
-def _check_window(form: StoreFile) -> float:
-    """The span in s within which clients repeat; at most the retention of keys."""
-    retention_s = form.keep.retention_h * 3600
-    window_s = retention_s if form.loss.repeat_window_s is None else form.loss.repeat_window_s
+def _check_window(file: StoreFile) -> float:
+    """Return the time (s) within which clients repeat requests; at most the retention of keys."""
+    retention_s = file.keep.retention_h * 3600
+    window_s = retention_s if file.loss.repeat_window_s is None else file.loss.repeat_window_s
     if window_s > retention_s:
         raise ConfigError(
-            f"want at most keep.retention_h ({retention_s:g} s), as keys are not held for longer; "
+            f"want at most keep.retention_h ({retention_s:g} s), as keys are not stored for longer; "
             f"got {window_s:g}",
             "loss.repeat_window_s",
         )
@@ -138,8 +139,10 @@
 
 def _check_marker(marker: Path, store_folder: Path) -> None:
     try:
-        inside = marker.resolve().is_relative_to(store_folder.resolve())
-    except (OSError, RuntimeError) as problem:  # links that lead to themselves
+        is_inside = marker.resolve().is_relative_to(store_folder.resolve())
+    except (OSError, RuntimeError) as problem:  # a loop of symbolic links
         raise ConfigError(str(problem), "loss.marker") from None
-    if inside:
-        raise ConfigError("want a file outside of the store's folder, best on another disk", "loss.marker")
+    if is_inside:
+        raise ConfigError(
+            "want a file outside of the store's folder, preferably on another disk", "loss.marker"
+        )
--- a/slipbay/config/validation.py
+++ b/slipbay/config/validation.py
@@ -1,6 +1,7 @@
 """Reads operator files under ``deploy/``: TOML, checked against a ``msgspec.Struct``.
 
-Mistakes name file, key and reason. A file that is absent or off loads nothing beyond the standard library.
+Errors name the file, the key and the reason. For a file that is absent or not enabled, only modules of the
+standard library are imported.
 """
 
 from __future__ import annotations
@@ -16,21 +17,21 @@
 
 T = TypeVar("T")
 DEPLOY_FOLDER = Path(__file__).parent.parent.parent / "deploy"
-"""Where the operator files lie as the platform deploys them."""
-LEAST_KEY_BYTES = 16  # of a key that seals messages
-MOST_KEY_BYTES = 32
-MOST_NUMBER = 2**63 - 1  # what counters, and times in us, of all parts hold
-MOST_DEPTH = 32  # of tables in tables; the deepest that is known has 5
+"""The folder of the operator files in a deployment on the platform."""
+MIN_KEY_BYTES = 16  # of a key that signs messages
+MAX_KEY_BYTES = 32
+MAX_NUMBER = 2**63 - 1  # fits in all counters and in all times in us
+MAX_DEPTH = 32  # of nested tables; valid files have up to 5 levels
 TOO_DEEP = "nested too deeply"
 
 
 class ConfigError(SlipbayError):
-    """A mistake in the configuration.
+    """An error in the configuration.
 
     Attributes:
-        reason: what is wrong and what is wanted instead.
-        key: the key at fault, as a path (``commit.wait_us``); empty where ``reason`` names it.
-        file: the name of the file at fault; empty where it is the platform's configuration.
+        reason: the fault, and the value that is expected instead.
+        key: the key at fault, as a path (``commit.wait_us``); empty if ``reason`` names it.
+        file: the name of the file at fault; empty for the platform's configuration.
     """
 
     def __init__(self, reason: str, key: str = "", file: str = "") -> None:
@@ -40,15 +41,15 @@
         self.file = file
 
     def in_file(self, file: str) -> ConfigError:
-        """The same mistake, with the name of the file in which it stands."""
+        """Return the same error with the name of the file at fault."""
         return ConfigError(self.reason, self.key, f"{file}: {self.file}" if self.file else file)
 
 
 def read_toml(path: Path) -> dict[str, Any] | None:
-    """All that a file says; None where it is absent.
+    """Return the contents of a file; None if it is absent.
 
     Raises:
-        ConfigError: if the file cannot be read, is no TOML, or holds values that ``check_values`` refuses.
+        ConfigError: if the file cannot be read, is not TOML, or holds values that ``check_values`` rejects.
     """
     try:
         data = tomllib.loads(path.read_text())
@@ -63,12 +64,12 @@
 
 
 def switched_on(path: Path) -> dict[str, Any] | None:
-    """What a file says beside ``enabled = true``; None where it is absent or does not say that.
+    """Return the contents of a file without ``enabled``; None if it is absent or ``enabled`` is not true.
 
-    A part whose Struct is to be loaded only where it is on asks this first.
+    Parts call this before they import their Struct, which is needed only if they are enabled.
 
     Raises:
-        ConfigError: as ``read_toml`` does, or if ``enabled`` is no boolean.
+        ConfigError: as ``read_toml`` does, or if ``enabled`` is not a boolean.
     """
     if (data := read_toml(path)) is None:
         return None
@@ -79,10 +80,10 @@
 
 
 def read_file(path: Path, kind: type[T]) -> T | None:
-    """What a file says, as ``kind``; None where it is absent or does not say ``enabled = true``.
+    """Return the contents of a file as ``kind``; None if it is absent or ``enabled`` is not true.
 
     Args:
-        path: of the operator file.
+        path: the operator file.
         kind: a ``msgspec.Struct`` with ``forbid_unknown_fields=True``.
 
     Raises:
@@ -93,7 +94,7 @@
 
 
 def convert(data: object, kind: type[T], name: str, table: str = "") -> T:
-    """Check what a file named ``name`` held, in ``table`` or in all of it.
+    """Convert the contents of a file, or of one of its tables, to ``kind``.
 
     Raises:
         ConfigError: with the name of the file and the key at fault.
@@ -109,24 +110,24 @@
 
 
 def _explain(text: str, data: object, kind: Any) -> tuple[str, str]:
-    """Key and reason of msgspec's message, in the words of our own errors."""
-    text, _, place = text.partition(" - at `")
-    key = place.removesuffix("`").removeprefix("$").lstrip(".")
+    """Return the key and the reason of msgspec's message, in the form of ``ConfigError``."""
+    text, _, location = text.partition(" - at `")
+    key = location.removesuffix("`").removeprefix("$").lstrip(".")
     path = re.findall(r"[^.\[\]]+", key)
     field = re.search(r"(unknown|required) field `(.*?)`", text)
     if field is not None:
-        reason = "missing" if field[1] == "required" else f"no such key; there are {_known(kind, path)}"
+        reason = "missing" if field[1] == "required" else f"no such key; there are {_known_keys(kind, path)}"
         return f"{key}.{field[2]}", reason
     choices = get_args(_type(kind, path)) if text.startswith("Invalid enum value") else ()
-    wanted = f"want {' or '.join(map(repr, choices))}" if choices else text
-    return key, wanted + _got(data, path)
+    expected = f"want {' or '.join(map(repr, choices))}" if choices else text
+    return key, expected + _got(data, path)
 
 
 def need_msgspec(name: str, extra: str = "fleet") -> None:
-    """Check that msgspec is installed, for a file that is on, before its Struct is loaded.
+    """Check that msgspec is installed, before the Struct of an enabled file is imported.
 
     Raises:
-        ConfigError: naming the extra to install.
+        ConfigError: if it is not; the error names the extra to install.
     """
     try:
         import msgspec  # noqa: F401
@@ -135,7 +136,8 @@
 
 
 def first_line(file: Path, key: str) -> bytes:
-    """Line 1 of a file that holds a secret. ``key``: of the configuration, which names the file.
+    """Return line 1 of a file that holds a secret. ``key`` is the key of the configuration that names the
+    file.
 
     Raises:
         ConfigError: if the file cannot be read.
@@ -147,35 +149,35 @@
 
 
 def read_key(file: Path, key: str) -> bytes:
-    """The key for sealing messages that line 1 of a file holds.
+    """Return the key for signing messages that line 1 of a file holds.
 
     Raises:
         ConfigError: if the file cannot be read, or the key is too short or too long.
     """
-    found = first_line(file, key).strip()
-    if not LEAST_KEY_BYTES <= len(found) <= MOST_KEY_BYTES:
+    signing_key = first_line(file, key).strip()
+    if not MIN_KEY_BYTES <= len(signing_key) <= MAX_KEY_BYTES:
         raise ConfigError(
-            f"want {LEAST_KEY_BYTES} to {MOST_KEY_BYTES} bytes in line 1; got {len(found)}", key
+            f"want {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes in line 1; got {len(signing_key)}", key
         )
-    return found
+    return signing_key
 
 
 def check_values(data: object, file: str = "", path: str = "", depth: int = 0) -> None:
-    """Refuse values that JSON and TOML can say and of which nothing can be made.
+    """Reject values that JSON and TOML can express and that no setting can use.
 
-    These are ``inf`` and ``nan``, numbers that no counter holds, NUL, which no path may have, halves of
-    characters, and nesting without end.
+    These are ``inf`` and ``nan``, numbers that do not fit in 64 bits, NUL, which no path may contain, lone
+    surrogates, and nesting deeper than ``MAX_DEPTH``.
 
     Raises:
         ConfigError: with ``file`` and the path of the value.
     """
     if isinstance(data, float) and not isfinite(data):
         raise ConfigError(f"want a finite number; got {data!r}", path, file)
-    if isinstance(data, int | float) and abs(data) > MOST_NUMBER:
-        raise ConfigError(f"want a number of at most {MOST_NUMBER}", path, file)
+    if isinstance(data, int | float) and abs(data) > MAX_NUMBER:
+        raise ConfigError(f"want a number of at most {MAX_NUMBER}", path, file)
     if isinstance(data, str):
         _check_text(data, path, file)
-    if depth > MOST_DEPTH:
+    if depth > MAX_DEPTH:
         raise ConfigError(TOO_DEEP, path, file)
     for key, value in _items(data):
         if isinstance(key, str):
@@ -202,7 +204,7 @@
 
 
 def _got(data: object, path: list[str]) -> str:
-    """The value at the faulty place, for the end of a reason; empty where there is none."""
+    """Return the value at ``path`` for the end of an error message; empty if there is none."""
     try:
         for key in path:
             data = data[int(key)] if isinstance(data, list) else data[key]  # type: ignore[index]
@@ -212,7 +214,7 @@
 
 
 def _type(kind: Any, path: list[str]) -> Any:
-    """The type that the Struct declares at ``path``; None where it declares none."""
+    """Return the type that the Struct declares at ``path``; None if it declares none."""
     from msgspec.structs import fields
 
     try:
@@ -223,9 +225,11 @@
     return kind
 
 
-def _known(kind: Any, path: list[str]) -> str:
-    """The keys that the table at ``path`` may have."""
+def _known_keys(kind: Any, path: list[str]) -> str:
+    """Return the valid keys of the table at ``path``."""
     from msgspec.structs import fields
 
-    found = _type(kind, path)
-    return ", ".join(field.encode_name for field in fields(found)) if found is not None else "others"
+    table_type = _type(kind, path)
+    return (
+        ", ".join(field.encode_name for field in fields(table_type)) if table_type is not None else "others"
+    )
--- a/tests/test_store_losses.py
+++ b/tests/test_store_losses.py
@@ -227,7 +227,7 @@
     [
         ("repeat_window_s = 7201", "loss.repeat_window_s: want at most keep.retention_h (7200 s)"),
         ('marked = ["http"]', "loss.marked[0]: "),
-        ("anywhere = true", "loss.anywhere: want fronts in loss.marked"),
+        ("anywhere = true", "loss.anywhere: want frontends in loss.marked"),
         ('marker = "data/marker"', "loss.marker: want a file outside of the store's folder"),
     ],
 )
