--- a/slipbay/policy/attempts.py
+++ b/slipbay/policy/attempts.py
@@ -69,7 +69,7 @@
         if query.attempts_sent:
             self.retries.record_retry(now_us)
         elif self.settings.supports_priority:
-            self.outbox.add(UpdateAttempt(query.id, self.priorities.of(class_state)))
+            self.outbox.add(UpdateAttempt(query.id, self.priorities.priority_of(class_state)))
         self.outliers.record_send(engine)
         query.attempts_sent += 1
         query.last_engine = engine
--- a/slipbay/policy/events.py
+++ b/slipbay/policy/events.py
@@ -13,31 +13,31 @@
 class EngineState(IntEnum):
     """State of an engine in the engine list."""
 
-    GONE = 0
-    DRAINING = 1
+    GONE = 0  # removed from the list
+    DRAINING = 1  # gets no new attempts
     READY = 2
 
 
 class ListKind(IntEnum):
     """Type of an engine list event."""
 
-    DELTA = 0
-    FULL = 1
-    CACHED = 2
-    FAILED = 3
+    DELTA = 0  # has the changed entries only
+    FULL = 1  # has all entries
+    CACHED = 2  # has all entries known at the start; may be out of date
+    FAILED = 3  # the list could not be read
 
 
 class Outcome(Enum):
     """How an attempt ended."""
 
     OK = "ok"
-    ERROR = "error"
-    FULL = "full"
+    ERROR = "error"  # the engine answered with an error
+    FULL = "full"  # the engine rejected the attempt because it has no room
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
-    RESET = "reset"
+    RESET = "reset"  # the connection broke during the attempt
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    MOOT = "moot"  # the attempt ended before it started on an engine
 
     @property
     def proves_not_run(self) -> bool:
@@ -48,9 +48,9 @@
 class NoteKind(IntEnum):
     """Type of a progress note."""
 
-    SHARE_DONE = 1
-    SPILLS = 2
-    WAITS = 3
+    SHARE_DONE = 1  # the value is the fraction of the work that is done
+    SPILLS = 2  # the attempt writes intermediate results to disk
+    WAITS = 3  # the attempt waits; the value is the reason
 
 
 WAITS_FOR_LOAD = 2.0
--- a/slipbay/policy/priority.py
+++ b/slipbay/policy/priority.py
@@ -28,6 +28,6 @@
         """
         return max(self.classes, key=lambda c: c.spec.utility / (c.charged_work or SECOND))
 
-    def of(self, class_state: ClassState) -> int:
+    def priority_of(self, class_state: ClassState) -> int:
         """Priority at which engines must run queries of the class."""
         return HIGH_PRIORITY if class_state is self.highest_class() else USUAL_PRIORITY
--- a/slipbay/policy/slow_start.py
+++ b/slipbay/policy/slow_start.py
@@ -56,12 +56,12 @@
         budget = settings.cold_multiple * capacity * engine.cores * CORE_WORK * window_us
         max_slots = min(self.router_count, MAX_COLD_SLOTS)
         slots = self._slot_count(max_slots, budget)
-        by_lottery = slots < self.router_count and self.gossip.is_recent(now_us)
-        budget *= COLD_LOTTERY_BUDGET_SHARE if by_lottery else COLD_BUDGET_SHARE
+        uses_lottery = slots < self.router_count and self.gossip.is_recent(now_us)
+        budget *= COLD_LOTTERY_BUDGET_SHARE if uses_lottery else COLD_BUDGET_SHARE
         if self._slot_position(engine, max_slots, now_us) < slots and self.uptime.age_us(now_us) >= window_us:
             spent = engine.charges.since(now_us - window_us - CHECK_PERIOD_US)
             return spent + class_state.charged_work <= budget / slots
-        return by_lottery and self._wins_lottery(class_state, engine, capacity, budget)
+        return uses_lottery and self._wins_lottery(class_state, engine, capacity, budget)
 
     def _slot_count(self, slots: int, budget: float) -> int:
         """Number of routers that share the budget; lower for heavier queries."""
