--- a/slipbay/policy/gossip.py
+++ b/slipbay/policy/gossip.py
@@ -91,13 +91,13 @@
             report = self.loads.start_period(period, engines)
             if collector != self.router_number:
                 outbox.add(SendGossip(report, collector))
-        elif collector == self.router_number and self._may_close(period, now_us):
+        elif collector == self.router_number and self._may_finish_period(period, now_us):
             body = self.loads.finish_period()
             outbox.add(SendGossip(body))
         if self.loads.receive(body, engines):
             self._apply_sums(now_us)
 
-    def _may_close(self, period: int, now_us: int) -> bool:
+    def _may_finish_period(self, period: int, now_us: int) -> bool:
         has_majority = 2 * self.loads.reports >= self.engines.router_count
         return has_majority and 2 * (now_us - period * GOSSIP_PERIOD_US) >= GOSSIP_PERIOD_US
 
--- a/slipbay/policy/key_queues.py
+++ b/slipbay/policy/key_queues.py
@@ -15,7 +15,7 @@
     def __init__(self, outbox: Outbox) -> None:
         self.outbox = outbox
         self.queues: dict[int, deque[Query]] = {}
-        self.rests: dict[int, int] = {}
+        self.blocked_until_us: dict[int, int] = {}
 
     def enqueue(self, query: Query, now_us: int) -> None:
         """Append a query; it becomes ready when all queries before it have ended."""
@@ -34,7 +34,7 @@
 
     def block(self, key: int, until_us: int) -> None:
         """Block a key until ``until_us``, because the outcome of an attempt is unknown."""
-        self.rests[key] = until_us
+        self.blocked_until_us[key] = until_us
 
     def release_next(self, key: int, now_us: int) -> None:
         """Move the first query of a key to the queue of its class, once the key is not blocked."""
@@ -42,7 +42,7 @@
         if not queue:
             return
         first = queue[0]
-        unblock_us = self.rests.get(key, 0)
+        unblock_us = self.blocked_until_us.get(key, 0)
         if unblock_us > now_us:
             self.outbox.set_timer(unblock_us, partial(self.release_next, key))
         elif first.is_queued and not first.attempts_sent and first not in first.class_state.queue:
@@ -50,4 +50,6 @@
 
     def prune(self, now_us: int) -> None:
         """Remove expired blocks."""
-        self.rests = {key: until_us for key, until_us in self.rests.items() if until_us > now_us}
+        self.blocked_until_us = {
+            key: until_us for key, until_us in self.blocked_until_us.items() if until_us > now_us
+        }
--- a/slipbay/policy/settings.py
+++ b/slipbay/policy/settings.py
@@ -118,6 +118,6 @@
                 min(item.utility, item.late_utility, item.latency_objective_stretch, item.dedup_window_us)
                 >= 0
             )
-        for rule, kept in checks.items():
-            if not kept:
+        for rule, is_met in checks.items():
+            if not is_met:
                 raise InvalidSettingsError(rule)
--- a/slipbay/simhost/host.py
+++ b/slipbay/simhost/host.py
@@ -59,11 +59,11 @@
         reply.add(instance, actions)
 
 
-def read_exactly(source: BinaryIO, size: int, what: str) -> bytes:
-    """Read ``size`` bytes of ``what``; raises ``MalformedInputError`` if the input ends earlier."""
+def read_exactly(source: BinaryIO, size: int, description: str) -> bytes:
+    """Read ``size`` bytes; raises ``MalformedInputError`` if the input ends earlier."""
     data = source.read(size)
     if len(data) != size:
-        raise MalformedInputError(f"the input ends inside {what}: got {len(data)} of {size} bytes")
+        raise MalformedInputError(f"the input ends inside {description}: got {len(data)} of {size} bytes")
     return data
 
 
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -74,19 +74,22 @@
     return RECORDED_TYPES.get(name, name)
 
 
-def plain(value: Any) -> Any:
+def canonical(value: Any) -> Any:
     """Convert a value to a form that is identical in every process; leaves out fields with defaults."""
     if dataclasses.is_dataclass(value):
         return (
             recorded_type(value),
             *(
-                (RECORDED_FIELDS.get((type(value).__name__, f.name), f.name), plain(getattr(value, f.name)))
+                (
+                    RECORDED_FIELDS.get((type(value).__name__, f.name), f.name),
+                    canonical(getattr(value, f.name)),
+                )
                 for f in dataclasses.fields(value)
                 if getattr(value, f.name) != f.default
             ),
         )
     if isinstance(value, tuple | list):
-        return tuple(plain(item) for item in value)
+        return tuple(canonical(item) for item in value)
     return value
 
 
@@ -99,7 +102,7 @@
 
     def note(self, now: int, *values: Any) -> None:
         self.notes += 1
-        self._hashes[now // SECOND].update(repr((now, plain(values))).encode())
+        self._hashes[now // SECOND].update(repr((now, canonical(values))).encode())
 
     def trace(self) -> Trace:
         return [f"{second}:{found.hexdigest()}" for second, found in sorted(self._hashes.items())]
