--- a/slipbay/policy/attempts.py
+++ b/slipbay/policy/attempts.py
@@ -22,14 +22,13 @@
 from slipbay.policy.settings import Effect, Settings
 from slipbay.policy.statistics import SAMPLE_DECAY
 
-# An attempt is overdue if its remaining time exceeds OVERDUE_FACTOR times the time of a restart by at least
-# MIN_MIGRATION_SAVING_US.
+# An attempt is overdue if its remaining time exceeds OVERDUE_FACTOR times the run time of a new attempt
+# by more than MIN_MIGRATION_SAVING_US.
 OVERDUE_FACTOR = 2.0
-MIN_MIGRATION_SAVING_US = 500_000
+MIN_MIGRATION_SAVING_US = 500_000  # a migration that saves less time is not made
 # An attempt without any note is migrated after STUCK_FACTOR times its usual run time plus STUCK_MARGIN_US.
-# The margin covers network delay and random variation.
 STUCK_FACTOR = 4.0
-STUCK_MARGIN_US = 75_000
+STUCK_MARGIN_US = 75_000  # covers network delay and random variation
 
 UNKNOWN_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 """Outcomes after which the attempt may still be running, or may have run."""
