--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,4 +1,7 @@
-"""Loads with the store on, over sockets: repeats, clients cut off, a slow or failing disk, restarts."""
+"""Requests of the class "ticket-load" (loads) with the store enabled, over sockets.
+
+The tests cover repeats, disconnected clients, a slow or failing disk, and restarts of the router.
+"""
 
 from __future__ import annotations
 
@@ -23,11 +26,11 @@
 
 
 class HoldingEngine(StandInEngine):
-    """Loads wait until they are released; other statements are answered at once."""
+    """Holds loads until ``released`` is set; answers other statements at once."""
 
     def __init__(self) -> None:
         super().__init__(self._answer)
-        self.free = asyncio.Event()
+        self.released = asyncio.Event()
 
     def loads(self) -> int:
         return sum(call.headers["x-sort"] == "ticket-load" for call in self.named("POST"))
@@ -35,9 +38,9 @@
     async def _answer(self, call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
         if call.method == "POST" and call.headers["x-sort"] != "ticket-load":
             return await one_page(call, writer)
-        if call.method in ("POST", "GET") and not self.free.is_set():
+        if call.method in ("POST", "GET") and not self.released.is_set():
             try:
-                await asyncio.wait_for(self.free.wait(), 0.2)
+                await asyncio.wait_for(self.released.wait(), 0.2)
             except TimeoutError:
                 return http_answer(202)
         return await one_page(call, writer)
@@ -64,32 +67,32 @@
             team = await load(await net.client(), team="tokachi-oil")
             assert team["error"]["code"] == -32602
             client = await net.client()
-            client.query("lookup", txn=TXN)  # engines know queries by it alone
+            client.query("lookup", txn=TXN)  # engines identify queries by the key alone
             assert (await client.answer())["error"]["message"] == "txn has been used"
             assert len(engine.named("POST")) == 1
 
     run(test)
 
 
-def test_one_that_comes_back_while_it_runs_waits_for_the_same_end(tmp_path: Path) -> None:
-    """The device that lost its connection: its load runs on, and whoever repeats it gets its answer."""
+def test_a_repeat_of_a_running_request_waits_for_its_end(tmp_path: Path) -> None:
+    """A client loses its connection: its load continues, and each client that repeats it gets the answer."""
 
     async def test() -> None:
         engine = HoldingEngine()
         async with Loopback(engine, store_file=store_file(tmp_path)) as net:
-            lost = await net.client()
-            back = await net.client()
+            disconnected = await net.client()
+            second = await net.client()
             third = await net.client()
-            lost.query("ticket-load", "INSERT INTO sales_1.t VALUES (1)", txn=TXN, limit=5000)
+            disconnected.query("ticket-load", "INSERT INTO sales_1.t VALUES (1)", txn=TXN, limit=5000)
             await until(lambda: bool(engine.named("POST")))
-            lost.writer.transport.abort()
-            for client in (back, third):
+            disconnected.writer.transport.abort()
+            for client in (second, third):
                 client.query("ticket-load", "INSERT INTO sales_1.t VALUES (1)", txn=TXN, limit=5000)
             client = await net.client()
             client.query("lookup")
             assert "result" in await client.answer()
-            engine.free.set()
-            answers = [await client.answer() for client in (back, third)]
+            engine.released.set()
+            answers = [await client.answer() for client in (second, third)]
             assert all("result" in answer for answer in answers)
             assert [call.path for call in engine.calls if call.method == "DELETE"] == []
             assert engine.loads() == 1
@@ -97,7 +100,7 @@
     run(test)
 
 
-def test_a_cancelled_request_ends_with_the_last_client_that_wanted_it(tmp_path: Path) -> None:
+def test_a_request_is_cancelled_on_its_engine_when_its_last_client_cancels(tmp_path: Path) -> None:
     async def test() -> None:
         engine = HoldingEngine()
         async with Loopback(engine, store_file=store_file(tmp_path)) as net:
@@ -112,7 +115,7 @@
             waiters = net.router.dispatcher.idempotency_guard._waiting.by_key  # type: ignore[union-attr]
             await until(lambda: len(waiters.get(b"json:" + TXN.encode(), [])) == 1)
             first.cancel(ids[0])
-            await load(first, "00000000000000ab", limit=0)  # its answer comes after the cancel was heard
+            await load(first, "00000000000000ab", limit=0)  # answered after the cancellation was handled
             assert engine.named("DELETE") == []
             second.cancel(ids[1])
             await until(lambda: bool(engine.named("DELETE")))
@@ -124,7 +127,7 @@
     run(test)
 
 
-def test_a_waiter_has_its_own_deadline(tmp_path: Path) -> None:
+def test_a_waiting_repeat_has_its_own_deadline(tmp_path: Path) -> None:
     async def test() -> None:
         engine = HoldingEngine()
         async with Loopback(engine, store_file=store_file(tmp_path)) as net:
@@ -134,27 +137,27 @@
             await until(lambda: bool(engine.named("POST")))
             answer = await load(second, limit=100)
             assert "deadline has passed" in answer["error"]["message"]
-            engine.free.set()
+            engine.released.set()
             assert "result" in await first.answer()
 
     run(test)
 
 
 class SlowDisk(SimDisk):
-    """Its syncs wait while it is shut, and its writes fail while it is dead."""
+    """Syncs wait while ``may_sync`` is not set, and writes fail while ``is_full`` is true."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.open = threading.Event()
-        self.dead = False
-        self.open.set()
+        self.may_sync = threading.Event()
+        self.is_full = False
+        self.may_sync.set()
         self.faults = self._fault
 
-    def _fault(self, what: str, name: str, size: int) -> int:
-        if self.dead and what != "read":
+    def _fault(self, operation: str, name: str, size: int) -> int:
+        if self.is_full and operation != "read":
             raise OSError(errno.ENOSPC, "No space left on device")
-        if what == "sync":
-            assert self.open.wait(30)
+        if operation == "sync":
+            assert self.may_sync.wait(30)
         return size
 
 
@@ -165,19 +168,19 @@
     return slow
 
 
-def test_nothing_leaves_before_its_intent_is_durable(tmp_path: Path, disk: SlowDisk) -> None:
+def test_no_attempt_is_sent_before_its_intent_is_durable(tmp_path: Path, disk: SlowDisk) -> None:
     async def test() -> None:
         engine = StandInEngine()
         async with Loopback(engine, store_file=store_file(tmp_path)) as net:
-            disk.open.clear()
+            disk.may_sync.clear()
             client = await net.client()
             client.query("ticket-load", "INSERT INTO sales_1.t VALUES (1)", txn=TXN, limit=5000)
             other = await net.client()
-            for _ in range(20):  # lookups are not touched
+            for _ in range(20):  # lookups are not affected
                 other.query("lookup")
                 assert "result" in await other.answer()
             assert all(call.headers["x-sort"] == "lookup" for call in engine.named("POST"))
-            disk.open.set()
+            disk.may_sync.set()
             assert "result" in await client.answer()
 
     run(test)
@@ -189,32 +192,32 @@
     async def test() -> None:
         engine = StandInEngine()
         async with Loopback(engine, store_file=store_file(tmp_path)) as net:
-            disk.open.clear()
+            disk.may_sync.clear()
             client = await net.client()
             answer = await load(client, limit=300)
             assert answer["error"]["code"] in (-32000, -32002)
-            disk.open.set()
-            assert "result" in await load(client, "00000000000000ab")  # behind all that waited
+            disk.may_sync.set()
+            assert "result" in await load(client, "00000000000000ab")  # committed after all queued changes
             assert [call.headers["x-hop-id"] for call in engine.named("POST")] == ["00000000000000ab"]
-            assert "result" in await load(client)  # the first never left: its key is free
+            assert "result" in await load(client)  # the first attempt was never sent: its key is free
 
     run(test)
 
 
-def test_while_the_disk_fails_loads_are_refused_with_a_time_to_return(tmp_path: Path, disk: SlowDisk) -> None:
+def test_while_the_disk_fails_loads_are_rejected_with_a_retry_delay(tmp_path: Path, disk: SlowDisk) -> None:
     async def test() -> None:
         engine = StandInEngine()
         file = store_file(tmp_path, later_ms="700", commit="{ retry_ms = 1 }")
         async with Loopback(engine, store_file=file) as net:
             client = await net.client()
-            disk.dead = True
+            disk.is_full = True
             for _ in range(3):
                 answer = await load(client)
                 assert answer["error"]["code"] == -32002
                 assert answer["error"]["data"]["later"] == 700
             client.query("lookup")
             assert "result" in await client.answer()
-            disk.dead = False
+            disk.is_full = False
             coordinator = net.router.idempotency
             await until(lambda: coordinator is not None and coordinator.is_ready)
             assert "result" in await load(client)
@@ -223,8 +226,8 @@
     run(test)
 
 
-def test_an_end_that_the_disk_did_not_take_is_written_once_it_can(tmp_path: Path, disk: SlowDisk) -> None:
-    """Guards against an intent that stays open for good because its end fell into a failure of the disk."""
+def test_an_outcome_that_could_not_be_written_is_written_later(tmp_path: Path, disk: SlowDisk) -> None:
+    """Guards against an intent that stays open forever because the disk failed when its request ended."""
 
     async def test() -> None:
         engine = HoldingEngine()
@@ -234,12 +237,12 @@
             assert coordinator is not None
             client.query("ticket-load", "INSERT INTO sales_1.t VALUES (1)", txn=TXN, limit=5000)
             await until(lambda: engine.loads() == 1)
-            disk.dead = True
-            engine.free.set()
+            disk.is_full = True
+            engine.released.set()
             assert "result" in await client.answer()
             await until(lambda: bool(coordinator._ledger_writer.unwritten))
-            assert "result" not in await load(await net.client())  # its answer was lost with the write
-            disk.dead = False
+            assert "result" not in await load(await net.client())  # the answer was lost when the write failed
+            disk.is_full = False
             await until(lambda: coordinator.is_ready and not coordinator._ledger_writer.unwritten)
         records = survey(disk).records
         assert [b"served" in value for value in records.values()] == [True]
@@ -248,19 +251,19 @@
     run(test)
 
 
-def test_where_the_file_says_so_a_failing_disk_ends_the_router(tmp_path: Path, disk: SlowDisk) -> None:
+def test_a_failing_disk_stops_the_router_if_configured(tmp_path: Path, disk: SlowDisk) -> None:
     async def test() -> None:
         file = store_file(tmp_path, when_it_cannot_write='"stop"')
         async with Loopback(StandInEngine(), store_file=file) as net:
             client = await net.client()
-            disk.dead = True
+            disk.is_full = True
             assert (await load(client))["error"]["code"] == -32002
             await net.router.shutdown.done.wait()
 
     run(test)
 
 
-def test_a_store_that_cannot_be_opened_stops_loads_alone(tmp_path: Path) -> None:
+def test_only_loads_fail_if_the_store_cannot_be_opened(tmp_path: Path) -> None:
     async def test() -> None:
         file = store_file(tmp_path)
         (tmp_path / "data").mkdir()
@@ -269,7 +272,7 @@
         net.wait_for_store = False
         async with net:
             client = await net.client()
-            answer = await load(client)  # a refusal would promise that it has not run
+            answer = await load(client)  # a rejection would state that it has not run
             assert answer["error"]["code"] == -32000
             assert "cannot be read" in answer["error"]["message"]
             client.query("lookup")
@@ -302,7 +305,7 @@
             with pytest.raises(MysqlError) as problem:
                 await clients[0].query(LOAD.replace("k1", "k" * 201))
             assert problem.value.code == 1210
-            for _ in range(2):  # without a key each is its own
+            for _ in range(2):  # statements without a key are independent
                 await clients[0].query("INSERT INTO sales_1.t VALUES (3)")
             assert engine.executed[b"INSERT INTO sales_1.t VALUES (3)"] == 2
             engine.server.close()
@@ -310,10 +313,10 @@
     run(test)
 
 
-# Over the death of a process
+# Restarts of the process
 
 
-def test_a_killed_router_asks_its_engine_and_gives_the_answer_it_learns(tmp_path: Path) -> None:
+def test_a_restarted_router_queries_the_engine_and_returns_the_recovered_answer(tmp_path: Path) -> None:
     async def test() -> None:
         store_file(tmp_path)
         engine = HoldingEngine()
@@ -330,12 +333,12 @@
         client = JsonClient(*await asyncio.open_connection("127.0.0.1", router.ports[0]))
         client.query("ticket-load", "INSERT INTO sales_1.t VALUES (1)", txn=TXN, limit=5000)
         other = JsonClient(*await asyncio.open_connection("127.0.0.1", router.ports[0]))
-        refused = await load(other, "00000000000000ab")  # new ones wait for the recovery's end
-        assert refused["error"]["code"] == -32002
-        assert refused["error"]["data"]["later"] == 1000
+        rejected = await load(other, "00000000000000ab")  # new loads are accepted after the recovery
+        assert rejected["error"]["code"] == -32002
+        assert rejected["error"]["data"]["later"] == 1000
         other.query("lookup")
         assert "result" in await other.answer()
-        engine.free.set()
+        engine.released.set()
         assert "result" in await client.answer()
         assert engine.loads() == 1
         assert await router.end() == 0
@@ -345,7 +348,7 @@
     run(test)
 
 
-def test_a_killed_router_ends_its_mysql_thread_before_it_takes_loads(tmp_path: Path) -> None:
+def test_a_restarted_router_kills_its_mysql_thread_before_it_accepts_loads(tmp_path: Path) -> None:
     async def test() -> None:
         store_file(tmp_path)
         http = StandInEngine()
@@ -360,7 +363,7 @@
         client.command(0x03, LOAD.encode())
         await until(lambda: bool(engine.running))
         await router.kill()
-        engine.uptime_s = 0  # another server, by its age: its threads are not ours
+        engine.uptime_s = 0  # the server was restarted: its thread numbers belong to other clients
         await router.start()
         await router.read.wait()
         again = await MysqlClient.connect(router.ports[1])
@@ -372,7 +375,7 @@
             lambda: any(
                 b"may have run" in value for value in survey(Folder(tmp_path / "data")).records.values()
             )
-        )  # resolved for good
+        )  # the outcome is stored
         await router.kill()
         assert engine.executed[LOAD.encode()] == 1
         engine.uptime_s = 10_000
@@ -382,7 +385,7 @@
         client = await MysqlClient.connect(router.ports[1])
         client.command(0x03, other.encode())
         await until(lambda: other.encode() in engine.running.values())
-        second = next(number for number, what in engine.running.items() if what == other.encode())
+        second = next(thread for thread, sql in engine.running.items() if sql == other.encode())
         await router.kill()
         await router.start()
         await router.read.wait()
@@ -400,14 +403,14 @@
 
 
 def test_the_retry_budget_is_written_and_restored(tmp_path: Path) -> None:
-    """Retries of an incarnation that ended count in the next one."""
+    """Retries that one incarnation sent count in the next one."""
 
-    async def turn_away(call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
+    async def reject(call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
         return http_answer(503, X_No_Effect="1")
 
     async def test() -> None:
         file = store_file(tmp_path)
-        async with Loopback(StandInEngine(turn_away), StandInEngine(turn_away), store_file=file) as net:
+        async with Loopback(StandInEngine(reject), StandInEngine(reject), store_file=file) as net:
             client = await net.client()
             client.query("lookup", limit=400)
             assert "error" in await client.answer()
@@ -419,7 +422,7 @@
     run(test)
 
 
-def test_ended_keys_are_forgotten_after_their_retention(tmp_path: Path) -> None:
+def test_ended_keys_are_deleted_after_their_retention_period(tmp_path: Path) -> None:
     async def test() -> None:
         engine = StandInEngine()
         file = store_file(tmp_path, keep="{ retention_h = 0.001 }")
@@ -438,7 +441,7 @@
     run(test)
 
 
-def test_sighup_takes_over_what_can_change_and_a_bad_file_nothing(tmp_path: Path) -> None:
+def test_sighup_applies_reloadable_settings_and_ignores_an_invalid_file(tmp_path: Path) -> None:
     async def test() -> None:
         store_file(tmp_path)
         engine = StandInEngine()
@@ -446,14 +449,14 @@
         router = RouterProcess(tmp_path, {"s-0": engine.port})
         await router.start()
         await router.read.wait()
-        for more, told in (
+        for changes, expected in (
             ({"later_ms": "-1"}, "the old one stays: store.toml: later_ms"),
             ({"later_ms": "5", "segment_mb": "4"}, "next start: store.segment_bytes"),
         ):
-            store_file(tmp_path, **more)
+            store_file(tmp_path, **changes)
             assert router.process is not None
             router.process.send_signal(signal.SIGHUP)
-            await router.tells(told)
+            await router.tells(expected)
         client = JsonClient(*await asyncio.open_connection("127.0.0.1", router.ports[0]))
         assert "result" in await load(client)
         assert await router.end() == 0
