--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -1,4 +1,4 @@
-"""A real router killed at random points: nothing runs twice, and what is told agrees with what ran."""
+"""A router process is killed at random points: no request runs twice, and answers agree with what ran."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_killed_again_and_again_nothing_runs_twice(seed: int) -> None:
+def test_no_request_runs_twice_if_the_router_is_killed_repeatedly(seed: int) -> None:
     result = sweep(kills=15, seed=seed, limit_s=120)
     print(result)
     assert result.faults == []
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,5 +1,7 @@
-"""The store: cut at every byte of a history, and its parts alone. Random histories with faults are driven by
-its contract."""
+"""The embedded store: interrupted at every byte of a history, and its components alone.
+
+``contracts/test_store_contract.py`` runs random histories with faults.
+"""
 
 from __future__ import annotations
 
@@ -39,14 +41,14 @@
 
 
 class History:
-    """A store on a simulated disk, with the state after each change and what was told as done by when."""
+    """A store on a simulated disk, with the state after each change and the progress of its commits."""
 
     def __init__(self, bounds: plan.Bounds = SMALL) -> None:
         self.disk = SimDisk()
         self.store = Store.open(self.disk, bounds)
         self.states: list[Model] = [{}]  # by sequence
-        self.done: list[tuple[int, int]] = [(0, 0)]  # operations on the disk, sequence told as done by then
-        self.begun: list[tuple[int, int]] = [(0, 0)]  # operations before a commit, sequence it goes up to
+        self.finished: list[tuple[int, int]] = [(0, 0)]  # disk operations, sequence reported as durable
+        self.begun: list[tuple[int, int]] = [(0, 0)]  # disk operations before a commit, its last sequence
 
     def commit(self, *changes: Change) -> None:
         for key, value in changes:
@@ -58,18 +60,19 @@
             self.states.append(state)
         self.begun.append((len(self.disk.ops), len(self.states) - 1))
         self.store.commit(list(changes))
-        self.done.append((len(self.disk.ops), len(self.states) - 1))
+        self.finished.append((len(self.disk.ops), len(self.states) - 1))
 
-    def promised(self, operations: int) -> int:
-        """The last sequence that was told as done before so many operations on the disk were over."""
-        return max(sequence for at, sequence in self.done if at <= operations)
+    def guaranteed(self, operations: int) -> int:
+        """The last sequence that was reported as durable after at most ``operations`` disk operations."""
+        return max(sequence for at, sequence in self.finished if at <= operations)
 
     def possible(self, operations: int) -> int:
+        """The last sequence of the commits that had begun after at most ``operations`` disk operations."""
         return max(sequence for at, sequence in self.begun if at <= operations)
 
 
 def scripted() -> History:
-    """Commits alone and in groups, overwrites, deletions, rotations, compactions among further commits."""
+    """A history of single and grouped commits, overwrites, deletions, new segments and compactions."""
     history = History()
     random = Random(7)
     for number in range(60):
@@ -93,39 +96,39 @@
     return dict(store.items())
 
 
-def test_cut_at_every_byte_keeps_all_commits_and_invents_nothing() -> None:
-    """P1 to P5 for every moment of a history with compaction, under each fate of what was not synced."""
+def test_a_crash_at_any_byte_keeps_all_commits_and_adds_nothing() -> None:
+    """Checks P1 to P5 at every point of a history with compaction, whatever unsynced data survives."""
     history = scripted()
     random = Random(3)
     count = 0
     assert history.store.totals.compactions >= 2
     for number, size in cuts(history.disk.ops):
-        least = history.promised(number)
-        most = history.possible(number)
+        min_sequence = history.guaranteed(number)
+        max_sequence = history.possible(number)
         for keep in ("all", "none", "any"):
             found = Store.open(image(history.disk.ops, number, size, keep, random), SMALL)
             state = contents(found)
-            assert least <= found.sequence <= most, (number, size, keep)
+            assert min_sequence <= found.sequence <= max_sequence, (number, size, keep)
             assert state == history.states[found.sequence], (number, size, keep)
             count += 1
-            if count % 50 == 0:  # opened twice it is the same, and it can be written on
+            if count % 50 == 0:  # a second opening finds the same state, and the store is writable
                 disk = found._disk
                 sequence = found.sequence
                 found.close()
-                again = Store.open(disk, SMALL)
-                assert contents(again) == state
-                assert again.sequence == sequence
-                again.commit([(b"after", b"1")])
-                assert contents(again) == {**state, b"after": b"1"}
+                reopened = Store.open(disk, SMALL)
+                assert contents(reopened) == state
+                assert reopened.sequence == sequence
+                reopened.commit([(b"after", b"1")])
+                assert contents(reopened) == {**state, b"after": b"1"}
     print(f"{count} cuts")
     assert count > 10_000
 
 
-def test_cut_again_while_the_repair_runs() -> None:
+def test_a_second_crash_during_the_repair_loses_nothing() -> None:
     history = scripted()
     random = Random(5)
-    moments = list(cuts(history.disk.ops))
-    for number, size in random.sample(moments, 60):
+    points = list(cuts(history.disk.ops))
+    for number, size in random.sample(points, 60):
         first = image(history.disk.ops, number, size, "any", random)
         before = {name: bytes(file.data) for name, file in first.files.items()}
         Store.open(first, SMALL)
@@ -139,12 +142,12 @@
             ops = [*prefix, ("sync_folder", "", b""), *first.ops]
             second = image(ops, at + len(prefix) + 1, part, "any", random)
             found = Store.open(second, SMALL)
-            assert history.promised(number) <= found.sequence <= history.possible(number)
+            assert history.guaranteed(number) <= found.sequence <= history.possible(number)
             assert contents(found) == history.states[found.sequence]
 
 
-def test_real_files_cut_at_every_byte(tmp_path: Path) -> None:
-    """The last segment of a real folder, cut by the ordinary opening at each byte."""
+def test_files_truncated_at_any_byte_keep_the_complete_commits(tmp_path: Path) -> None:
+    """The last segment in a directory is truncated at each byte and opened as usual."""
     store = Store.open(Folder(tmp_path / "whole"), SMALL)
     ends = [store.used_bytes]
     for number in range(12):
@@ -167,15 +170,15 @@
         shutil.rmtree(folder)
 
 
-def fail_after(what: str, calls: int, code: int) -> Callable[[str, str, int], int]:
-    """The call after so many of a kind fails; an append fails in its middle."""
-    left = [calls]
+def fail_after(operation: str, calls: int, code: int) -> Callable[[str, str, int], int]:
+    """After ``calls`` successful calls of an operation the next one fails; a full disk writes half of it."""
+    remaining = [calls]
 
     def fault(called: str, name: str, size: int) -> int:
-        if called == what:
-            left[0] -= 1
-            if left[0] == -1:
-                if what == "append" and code == errno.ENOSPC:
+        if called == operation:
+            remaining[0] -= 1
+            if remaining[0] == -1:
+                if operation == "append" and code == errno.ENOSPC:
                     return size // 2
                 raise OSError(code, os.strerror(code))
         return size
@@ -184,7 +187,7 @@
 
 
 def crashed(disk: SimDisk, keep: str, random: Random) -> SimDisk:
-    """A crash now; the new disk remembers its start as synced operations."""
+    """The disk after a crash; its initial contents are recorded as synced operations."""
     found = image(disk.ops, len(disk.ops), 0, keep, random)
     files = {name: bytes(file.data) for name, file in found.files.items()}
     found.ops = [
@@ -196,17 +199,17 @@
     return found
 
 
-def test_a_dead_disk_makes_it_read_only_until_it_heals() -> None:
+def test_a_full_disk_makes_the_store_read_only_until_it_is_writable_again() -> None:
     disk = SimDisk()
     store = Store.open(disk)
     store.commit([(b"a", b"1")])
 
-    def dead(what: str, name: str, size: int) -> int:
-        if what != "read":
+    def is_full(operation: str, name: str, size: int) -> int:
+        if operation != "read":
             raise OSError(errno.ENOSPC, "No space left on device")
         return size
 
-    disk.faults = dead
+    disk.faults = is_full
     for _ in range(2):
         with pytest.raises(StoreWriteError, match="No space left"):
             store.commit([(b"b", b"1")])
@@ -219,21 +222,21 @@
     assert contents(store) == {b"a": b"1", b"b": b"2"}
 
 
-def test_it_never_passes_the_most_bytes_and_deletions_make_room() -> None:
+def test_the_store_stays_within_its_maximum_size_and_deletions_free_space() -> None:
     bounds = plan.Bounds(segment_bytes=1000, max_bytes=8000)
     disk = SimDisk()
     store = Store.open(disk, bounds)
     random = Random(1)
-    taken = []
+    stored = []
     with pytest.raises(StoreFullError):
         for number in range(1000):
             store.commit([(b"%d" % number, random.randbytes(100))])
-            taken.append(number)
+            stored.append(number)
             while store.compact_step():
                 pass
-    assert len(taken) > 40
+    assert len(stored) > 40
     assert store.used_bytes <= 7000
-    store.commit([(b"%d" % number, None) for number in taken[::2]], use_reserve=True)
+    store.commit([(b"%d" % number, None) for number in stored[::2]], use_reserve=True)
     while store.compact_step():
         pass
     assert store.used_bytes < 5500
@@ -241,8 +244,8 @@
     store.commit([(b"again", b"1")])
 
 
-def test_a_flipped_bit_before_the_last_commit_is_damage_and_says_where() -> None:
-    """Guards against taking damage for a torn end, which would forget what was told as done."""
+def test_a_flipped_bit_before_the_last_commit_is_reported_as_damage_with_its_position() -> None:
+    """Guards against treating damage as a torn end, which would discard durable changes."""
     history = History(plan.Bounds())
     for number in range(20):
         history.commit((b"key%d" % number, b"value"))
@@ -256,49 +259,49 @@
             with pytest.raises(DamagedStoreError, match=f"{name}: byte"):
                 Store.open(SimDisk(files))
             assert survey(SimDisk(files)).exit_code == 2
-        else:  # in the last commit it can't be told from a torn end
+        else:  # in the last commit, damage cannot be distinguished from a torn end
             assert len(Store.open(SimDisk(files))) == 19
 
 
-def test_corrupt_sealed_segments_manifests_and_newer_formats_are_refused_by_name() -> None:
+def test_errors_name_the_corrupt_segment_or_manifest_and_newer_formats() -> None:
     history = scripted()
     files = {name: bytes(file.data) for name, file in history.disk.files.items()}
     sealed = history.store.segments[0].name
 
-    def opened(**changed: bytes | None) -> None:
-        now = {name: data for name, data in {**files, **changed}.items() if data is not None}
-        Store.open(SimDisk(now), SMALL)
+    def open_with(**changed: bytes | None) -> None:
+        changed_files = {name: data for name, data in {**files, **changed}.items() if data is not None}
+        Store.open(SimDisk(changed_files), SMALL)
 
     with pytest.raises(
         DamagedStoreError, match=f"{sealed}: the segment is missing, but the manifest names it"
     ):
-        opened(**{sealed: None})
+        open_with(**{sealed: None})
     with pytest.raises(DamagedStoreError, match=f"{sealed}: .* bytes were durable"):
-        opened(**{sealed: files[sealed][:-1]})
+        open_with(**{sealed: files[sealed][:-1]})
     middle = len(files[sealed]) // 2
     with pytest.raises(DamagedStoreError, match=sealed):
-        opened(**{sealed: files[sealed][:middle] + b"\xff\xff" + files[sealed][middle + 2 :]})
+        open_with(**{sealed: files[sealed][:middle] + b"\xff\xff" + files[sealed][middle + 2 :]})
     with pytest.raises(DamagedStoreError, match="MANIFEST: the manifest is missing"):
-        opened(MANIFEST=None)
+        open_with(MANIFEST=None)
     with pytest.raises(DamagedStoreError, match="MANIFEST: the file is not a manifest"):
-        opened(MANIFEST=b"x")
+        open_with(MANIFEST=b"x")
     newer = manifest.HEAD.pack(manifest.MAGIC, frame.FORMAT + 1, 0, 0)
     with pytest.raises(NewerFormatError, match="MANIFEST: format 2; this program reads formats up to 1"):
-        opened(MANIFEST=newer)
+        open_with(MANIFEST=newer)
     head = frame.HEAD.pack(frame.MAGIC, frame.FORMAT + 1, 1, 0)
     with pytest.raises(NewerFormatError, match=f"{sealed}: format 2"):
-        opened(**{sealed: head + files[sealed][len(head) :]})
+        open_with(**{sealed: head + files[sealed][len(head) :]})
     with pytest.raises(DamagedStoreError, match="has the head of another"):
-        opened(**{sealed: files[history.store.segments[-1].name] + b"x" * 1000})
+        open_with(**{sealed: files[history.store.segments[-1].name] + b"x" * 1000})
 
 
-def test_files_of_others_are_left_alone_and_our_own_orphans_removed() -> None:
+def test_foreign_files_are_kept_and_orphaned_store_files_are_removed() -> None:
     disk = SimDisk({"notes.txt": b"mine", "00000009.seg": frame.encode_head(9, 0), "MANIFEST.new": b"half"})
     Store.open(disk)
     assert disk.names() == ["00000001.seg", "MANIFEST", "notes.txt"]
 
 
-def test_compaction_frees_what_is_dead_and_keeps_what_is_written_meanwhile() -> None:
+def test_compaction_frees_dead_records_and_keeps_concurrent_changes() -> None:
     disk = SimDisk()
     store = Store.open(disk, plan.Bounds(segment_bytes=200_000))
     model = {}
@@ -325,7 +328,7 @@
     )
 
 
-def test_a_store_opens_in_one_process_only_and_fails_on_a_read_only_folder(tmp_path: Path) -> None:
+def test_a_store_opens_in_only_one_process_and_fails_on_a_read_only_directory(tmp_path: Path) -> None:
     store = Store.open(Folder(tmp_path))
     code = (
         "import sys, pathlib\nfrom slipbay.store.disk import Folder\n"
@@ -334,37 +337,39 @@
         "try: Store.open(Folder(pathlib.Path(sys.argv[1])))\n"
         "except StoreInUseError as problem: print(problem)"
     )
-    told = subprocess.run([sys.executable, "-c", code, str(tmp_path)], capture_output=True, text=True)
-    assert "another process has this store open" in told.stdout, told.stderr
+    process = subprocess.run([sys.executable, "-c", code, str(tmp_path)], capture_output=True, text=True)
+    assert "another process has this store open" in process.stdout, process.stderr
     with pytest.raises(StoreInUseError):
         Store.open(Folder(tmp_path))
     store.commit([(b"a", b"1")])
-    assert survey(Folder(tmp_path, writable=False)).records == {b"a": b"1"}  # a look needs no lock
+    assert survey(Folder(tmp_path, writable=False)).records == {b"a": b"1"}  # reading needs no lock
     store.close()
     assert contents(Store.open(Folder(tmp_path))) == {b"a": b"1"}
     assert stat.S_IMODE((tmp_path / "MANIFEST").stat().st_mode) == 0o600
     disk = SimDisk()
 
-    def sealed(what: str, name: str, size: int) -> int:
-        if what in ("create", "append"):
+    def read_only(operation: str, name: str, size: int) -> int:
+        if operation in ("create", "append"):
             raise OSError(errno.EROFS, "Read-only file system")
         return size
 
-    disk.faults = sealed
+    disk.faults = read_only
     with pytest.raises(OSError, match="Read-only"):
         Store.open(disk)
     assert not disk.locked
 
 
-def test_compaction_plans_merge_from_the_oldest_where_that_frees_enough() -> None:
+def test_compaction_merges_the_oldest_segments_if_that_frees_enough() -> None:
     bounds = plan.Bounds(1000, 10_000)
     sizes = plan.SegmentSizes
     assert plan.choose_merge_count([], 0, bounds) == 0
     assert plan.choose_merge_count([sizes(1000, 900)] * 3, 3000, bounds) == 0
     assert plan.choose_merge_count([sizes(1000, 100), sizes(1000, 900)], 2000, bounds) == 1
     assert plan.choose_merge_count([sizes(1000, 0), sizes(1000, 0), sizes(1000, 900)], 3000, bounds) == 2
-    assert plan.choose_merge_count([sizes(1000, 800)] * 8, 8000, bounds) == 8  # little room is left
-    assert plan.choose_merge_count([sizes(1000, 900)] * 8, 8000, bounds) == 0  # and nothing to win
+    assert plan.choose_merge_count([sizes(1000, 800)] * 8, 8000, bounds) == 8  # the store is nearly full
+    assert (
+        plan.choose_merge_count([sizes(1000, 900)] * 8, 8000, bounds) == 0
+    )  # but a merge would free too little
     assert (
         plan.choose_merge_count([sizes(10, 10)] * (plan.MAX_SEALED + 1), 650, bounds) == plan.MAX_SEALED + 1
     )
@@ -379,7 +384,7 @@
     assert not plan.has_room(10_000, 1, True, bounds)
 
 
-def test_a_survey_tells_torn_ends_from_damage_and_writes_nothing() -> None:
+def test_an_inspection_distinguishes_torn_ends_from_damage_and_writes_nothing() -> None:
     history = scripted()
     files = {name: bytes(file.data) for name, file in history.disk.files.items()}
     active = history.store.segments[-1].name
@@ -396,27 +401,27 @@
 # The writer
 
 
-class Gate:
-    """A disk whose syncs wait while the gate is shut."""
+class BlockingDisk:
+    """A disk whose syncs wait until ``may_sync`` is set."""
 
     def __init__(self) -> None:
-        self.disk, self.open, self.reached = SimDisk(), threading.Event(), threading.Event()
-        self.open.set()
+        self.disk, self.may_sync, self.sync_reached = SimDisk(), threading.Event(), threading.Event()
+        self.may_sync.set()
         self.disk.faults = self._wait
 
-    def _wait(self, what: str, name: str, size: int) -> int:
-        if what == "sync":
-            self.reached.set()
-            assert self.open.wait(10)
+    def _wait(self, operation: str, name: str, size: int) -> int:
+        if operation == "sync":
+            self.sync_reached.set()
+            assert self.may_sync.wait(10)
         return size
 
 
 def poster(loop: asyncio.AbstractEventLoop) -> Callable[[Callable[[], None]], None]:
-    return lambda call: void(loop.call_soon_threadsafe(call))
+    return lambda call: discard(loop.call_soon_threadsafe(call))
 
 
-def void(handle: object) -> None:
-    """For calls whose answer nobody wants."""
+def discard(handle: object) -> None:
+    """Ignore a return value."""
 
 
 async def opened(disk: SimDisk, grouping: Grouping | None = None) -> Writer:
@@ -428,32 +433,32 @@
     return writer
 
 
-def test_appends_are_grouped_and_answered_in_order_while_the_disk_is_slow() -> None:
+def test_appends_are_grouped_and_reported_in_order_while_the_disk_is_slow() -> None:
     async def test() -> None:
-        gate = Gate()
-        told = list[int]()
-        writer = await opened(gate.disk)
-        gate.open.clear()
-        gate.reached.clear()
-        all_told = asyncio.Event()
+        blocking = BlockingDisk()
+        reported = list[int]()
+        writer = await opened(blocking.disk)
+        blocking.may_sync.clear()
+        blocking.sync_reached.clear()
+        all_reported = asyncio.Event()
 
         def done(number: int, problem: StoreError | None) -> None:
             assert problem is None
-            told.append(number)
-            if len(told) == 50:
-                all_told.set()
+            reported.append(number)
+            if len(reported) == 50:
+                all_reported.set()
 
         for number in range(50):
             writer.append([(b"%d" % number, b"")], partial(done, number))
             if number == 0:
-                await asyncio.to_thread(gate.reached.wait)
+                await asyncio.to_thread(blocking.sync_reached.wait)
         await asyncio.sleep(0)
-        assert told == []  # the loop goes on, and nothing is told before its time
-        syncs = sum(op[0] == "sync" for op in gate.disk.ops)
-        gate.open.set()
-        await all_told.wait()
-        assert told == list(range(50))
-        assert sum(op[0] == "sync" for op in gate.disk.ops) - syncs == 2
+        assert reported == []  # the event loop is not blocked, and nothing is reported before it is durable
+        syncs = sum(op[0] == "sync" for op in blocking.disk.ops)
+        blocking.may_sync.set()
+        await all_reported.wait()
+        assert reported == list(range(50))
+        assert sum(op[0] == "sync" for op in blocking.disk.ops) - syncs == 2
         writer.close()
 
     asyncio.run(asyncio.wait_for(test(), 20))
@@ -470,13 +475,13 @@
             writer.append([(key, b"1")], answer.set_result)
             return await answer
 
-        def dead(what: str, name: str, size: int) -> int:
-            if what != "read":
+        def failing(operation: str, name: str, size: int) -> int:
+            if operation != "read":
                 raise OSError(errno.EIO, "Input/output error")
             return size
 
         assert await append(b"a") is None
-        disk.faults = dead
+        disk.faults = failing
         assert isinstance(await append(b"b"), StoreWriteError)
         assert writer.health.state is StoreState.READ_ONLY
         disk.faults = lambda what, name, size: size
@@ -492,12 +497,12 @@
     asyncio.run(asyncio.wait_for(test(), 20))
 
 
-def test_a_store_that_cannot_be_opened_refuses_each_append() -> None:
+def test_each_append_fails_if_the_store_cannot_be_opened() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         opened: asyncio.Future[str] = loop.create_future()
-        spoilt = SimDisk({"MANIFEST": b"x"})
-        writer = Writer(lambda: Store.open(spoilt), Grouping(), poster(loop))
+        corrupt = SimDisk({"MANIFEST": b"x"})
+        writer = Writer(lambda: Store.open(corrupt), Grouping(), poster(loop))
         writer.start(lambda store: None, lambda contents, problem: opened.set_result(problem))
         assert "not a manifest" in await opened
         answer: asyncio.Future[StoreError | None] = loop.create_future()
--- a/tests/test_witnesses.py
+++ b/tests/test_witnesses.py
@@ -1,6 +1,8 @@
-"""Incarnations of stores as other routers record them: on the emulator's network, with messages lost and
-duplicated,
-cuts, witnesses started anew, and stores lost and put back; and between processes of the program."""
+"""Store witnesses: routers that record the incarnations of other routers' stores.
+
+The tests run on the emulator's network, with lost and duplicated messages, network partitions, restarted
+witnesses, and stores that are lost or restored from copies; and between processes of the program.
+"""
 
 from __future__ import annotations
 
@@ -28,41 +30,41 @@
 
 
 class LostRequestError(Exception):
-    """A store was taken for the newest though a load that had run is not in it."""
+    """A store was assessed as current although a request that has run is missing from it."""
 
 
-class OneIsEnough(StoreWitnesses):
-    def __init__(self, me: int, size: int, life: int, now: int) -> None:
-        super().__init__(me, size, life, now)
+class NoMajorityNeeded(StoreWitnesses):
+    def __init__(self, me: int, size: int, incarnation: int, now: int) -> None:
+        super().__init__(me, size, incarnation, now)
         self.majority = 1
 
 
-class RunsAtOnce(StoreWitnesses):
+class RunsWithoutWitnesses(StoreWitnesses):
     @property
     def is_open(self) -> bool:
         return True
 
 
-class Play:
-    """Router 0 starts and dies again and again; its store is a set of loads that it holds."""
+class Scenario:
+    """Router 0 is restarted repeatedly; its store is modelled as the set of requests that it records."""
 
-    def __init__(self, seed: int, kind: type[StoreWitnesses], weather: LinkConditions | None) -> None:
+    def __init__(self, seed: int, witness_type: type[StoreWitnesses], weather: LinkConditions | None) -> None:
         self.random = Random(seed)
-        self.kind = kind
+        self.witness_type = witness_type
         self.routers = ChannelFleet(SIZE, self._make, seed, weather=weather)
         self.identity: StoreIdentity | None = None
-        self.held = set[int]()
+        self.stored = set[int]()
         self.sequence = 0
         self.ran = set[int]()
         self.copies = [self._state()]
         self.statuses: list[StoreStatus] = []
-        self.loads = 0
+        self.requests = 0
 
-    def _make(self, me: int, life: int, now: int) -> dict[int, ChannelEndpoint]:
-        return {FrameKind.LIVES: self.kind(me, SIZE, self.random.getrandbits(32), now)}
+    def _make(self, me: int, incarnation: int, now: int) -> dict[int, ChannelEndpoint]:
+        return {FrameKind.LIVES: self.witness_type(me, SIZE, self.random.getrandbits(32), now)}
 
     def _state(self) -> tuple[StoreIdentity | None, set[int], int]:
-        return copy.deepcopy((self.identity, self.held, self.sequence))
+        return copy.deepcopy((self.identity, self.stored, self.sequence))
 
     def run_incarnation(self, closes: bool, settle: bool = False) -> None:
         routers = self.routers
@@ -76,10 +78,10 @@
         status = store_generation.determine_status(self.identity, self.sequence, witness)
         self.statuses.append(status)
         if status is StoreStatus.CURRENT:
-            if not self.ran <= self.held:
+            if not self.ran <= self.stored:
                 raise LostRequestError
         else:
-            self.ran = set(self.held)  # the uncertainty window covers the others
+            self.ran = set(self.stored)  # the uncertainty window covers the other requests
         if not settle and self.random.random() < 0.2:
             routers.network.cut([0], range(1, SIZE))
         self.identity = store_generation.begin(self.identity, status, 0, self.random.randbytes(16))
@@ -88,10 +90,10 @@
         for _ in range(self.random.randrange(6)):
             routers.run(self.random.choice((0.0, 0.5)) * self.random.random())
             if witnesses.is_open:
-                self.loads += 1
+                self.requests += 1
                 self.sequence += 1
-                self.held.add(self.loads)
-                self.ran.add(self.loads)
+                self.stored.add(self.requests)
+                self.ran.add(self.requests)
             if self.random.random() < 0.2:
                 self.copies.append(self._state())
         if settle:
@@ -106,7 +108,7 @@
         if self.random.random() < 0.5:
             self.copies.append(self._state())
         if self.random.random() < 0.5:
-            self.identity, self.held, self.sequence = copy.deepcopy(self.random.choice(self.copies[-4:]))
+            self.identity, self.stored, self.sequence = copy.deepcopy(self.random.choice(self.copies[-4:]))
         for number in self.random.sample(range(1, SIZE), self.random.choice((0, 0, 1, 2))):
             self.routers.kill([number])
             self.routers.start([number])
@@ -114,52 +116,53 @@
             self.routers.run(self.random.random())
 
 
-def search(kind: type[StoreWitnesses], plays: int) -> tuple[int, int]:
-    """Plays until one breaks the rule; the stores taken for the newest, and loads."""
-    current = loads = 0
-    for seed in range(plays):
-        play = Play(seed, kind, LinkConditions(most_us=300_000, loss=0.2, double=0.2))
-        play.routers.start(range(1, SIZE))
+def search(witness_type: type[StoreWitnesses], scenarios: int) -> tuple[int, int]:
+    """Run scenarios until one violates the rule; returns how many stores were current, and the requests."""
+    current = requests = 0
+    for seed in range(scenarios):
+        scenario = Scenario(seed, witness_type, LinkConditions(most_us=300_000, loss=0.2, double=0.2))
+        scenario.routers.start(range(1, SIZE))
         for _ in range(12):
-            play.step()
-        current += play.statuses.count(StoreStatus.CURRENT)
-        loads += play.loads
-    return current, loads
+            scenario.step()
+        current += scenario.statuses.count(StoreStatus.CURRENT)
+        requests += scenario.requests
+    return current, requests
 
 
-def test_no_store_is_judged_current_that_lacks_a_load_that_ran() -> None:
-    current, loads = search(StoreWitnesses, 100)
+def test_a_store_that_lacks_a_request_that_ran_is_never_current() -> None:
+    current, requests = search(StoreWitnesses, 100)
     assert current >= 5
-    assert loads > 300
+    assert requests > 300
 
 
-@pytest.mark.parametrize("kind", [OneIsEnough, RunsAtOnce])
-def test_the_search_finds_what_is_left_out(kind: type[StoreWitnesses]) -> None:
+@pytest.mark.parametrize("witness_type", [NoMajorityNeeded, RunsWithoutWitnesses])
+def test_the_search_finds_incomplete_implementations(witness_type: type[StoreWitnesses]) -> None:
     with pytest.raises(LostRequestError):
-        search(kind, 1000)
+        search(witness_type, 1000)
 
 
-def test_after_an_orderly_end_the_next_incarnation_is_certain_of_its_store() -> None:
-    play = Play(1, StoreWitnesses, None)
-    play.routers.start(range(1, SIZE))
+def test_after_a_proper_shutdown_the_next_incarnation_finds_its_store_current() -> None:
+    scenario = Scenario(1, StoreWitnesses, None)
+    scenario.routers.start(range(1, SIZE))
     for closes in (True, True, True, False, True, True):
-        play.run_incarnation(closes, settle=True)
-        play.routers.run(1)
-    assert play.statuses == [
+        scenario.run_incarnation(closes, settle=True)
+        scenario.routers.run(1)
+    assert scenario.statuses == [
         StoreStatus.EMPTY,
         *[StoreStatus.CURRENT] * 3,
         StoreStatus.UNKNOWN,
         StoreStatus.CURRENT,
     ]
-    play.routers.kill(range(1, SIZE))
-    play.routers.start(range(1, SIZE))
-    play.run_incarnation(True, settle=True)
-    play.routers.run(1)
-    play.identity = None
-    play.held = set()
-    play.sequence = 0
-    play.run_incarnation(True, settle=True)
-    assert play.statuses[-2:] == [StoreStatus.UNKNOWN, StoreStatus.OTHER]  # the fleet was gone; it remembers
+    scenario.routers.kill(range(1, SIZE))
+    scenario.routers.start(range(1, SIZE))
+    scenario.run_incarnation(True, settle=True)
+    scenario.routers.run(1)
+    scenario.identity = None
+    scenario.stored = set()
+    scenario.sequence = 0
+    scenario.run_incarnation(True, settle=True)
+    # unknown after all witnesses were restarted; then they record the store that was lost
+    assert scenario.statuses[-2:] == [StoreStatus.UNKNOWN, StoreStatus.OTHER]
 
 
 class DropsUnsent(StoreWitnesses):
@@ -167,17 +170,17 @@
         pass
 
 
-@pytest.mark.parametrize(("kind", "least_s", "most_s"), [(StoreWitnesses, 0, 2.3), (DropsUnsent, 3, 9)])
-def test_all_incarnations_are_acknowledged_within_three_windows_of_their_share_after_a_restart_of_all(
-    kind: type[StoreWitnesses], least_s: float, most_s: float
+@pytest.mark.parametrize(("witness_type", "min_s", "max_s"), [(StoreWitnesses, 0, 2.3), (DropsUnsent, 3, 9)])
+def test_after_a_restart_of_all_routers_all_incarnations_are_acknowledged_within_three_budget_windows(
+    witness_type: type[StoreWitnesses], min_s: float, max_s: float
 ) -> None:
-    """Guards against answers lost for want of room, and questions said anew in theirs."""
+    """Guards against answers that the channel's budget drops, and queries repeated in their place."""
     random = Random(1)
     begun = set[int]()
-    took = 0.0
+    elapsed_s = 0.0
     routers = ChannelFleet(
         SIZE,
-        lambda me, life, now: {FrameKind.LIVES: kind(me, SIZE, random.getrandbits(32), now)},
+        lambda me, incarnation, now: {FrameKind.LIVES: witness_type(me, SIZE, random.getrandbits(32), now)},
         parts={FrameKind.LIVES: 0.083, FrameKind.VIEW: 0.9},
     )
     routers.start()
@@ -185,49 +188,48 @@
     for witnesses, mux in zip(found, routers.muxes, strict=True):
         assert mux is not None
         mux.unsent[FrameKind.LIVES] = witnesses.unsent
-    while took < 10 and not all(witnesses.is_open for witnesses in found):
+    while elapsed_s < 10 and not all(witnesses.is_open for witnesses in found):
         routers.run(0.05)
-        took += 0.05
+        elapsed_s += 0.05
         for me, witnesses in enumerate(found):
             if witnesses.is_decided and me not in begun:
                 begun.add(me)
                 routers.say(me, FrameKind.LIVES, witnesses.begin(bytes([me]) * 8, 1))
-    assert least_s < took < most_s
+    assert min_s < elapsed_s < max_s
 
 
-def test_late_or_duplicated_messages_take_no_witness_back_and_reach_no_other_incarnation() -> None:
+def test_delayed_or_duplicated_messages_do_not_revert_records_or_affect_other_incarnations() -> None:
     first = StoreWitnesses(0, 3, 1, 0)
     second = StoreWitnesses(0, 3, 2, 0)
     witness = StoreWitnesses(1, 3, 3, 0)
-    said: list[bytes] = []  # to the witness, as it may come again
+    sent: list[bytes] = []  # to the witness; the test delivers these messages again
 
-    def hand(witnesses: StoreWitnesses, sends: list[tuple[int, bytes]]) -> list[bytes]:
-        """To the witness and back; what came back."""
+    def exchange(witnesses: StoreWitnesses, sends: list[tuple[int, bytes]]) -> list[bytes]:
+        """Deliver messages to the witness, and its answers back; returns the answers."""
         bodies = [body for to, body in sends if to == 1]
-        said.extend(bodies)
-        back = [answer for body in bodies for _, answer in witness.receive(0, 0, 1, body)]
-        for answer in back:
+        sent.extend(bodies)
+        replies = [answer for body in bodies for _, answer in witness.receive(0, 0, 1, body)]
+        for answer in replies:
             witnesses.receive(0, 1, 1, answer)
-        return back
+        return replies
 
-    answers = hand(first, first.tick(0)) + hand(first, first.begin(b"a" * 8, 1))
-    first.receive(
-        0, 2, 1, answers[0][:5] + b"9999" + answers[0][9:]
-    )  # the other witness, of incarnation 9999
-    hand(first, first.begin(b"a" * 8, 1))
+    answers = exchange(first, first.tick(0)) + exchange(first, first.begin(b"a" * 8, 1))
+    # an answer of the other witness, whose incarnation is b"9999"
+    first.receive(0, 2, 1, answers[0][:5] + b"9999" + answers[0][9:])
+    exchange(first, first.begin(b"a" * 8, 1))
     first.receive(0, 2, 1, answers[-1][:5] + b"9999")
     assert first.is_open
-    hand(first, first.close(7))
+    exchange(first, first.close(7))
     assert witness.records[0].witness == StoreWitness(b"a" * 8, 1, 7)
-    before = hand(second, second.tick(0))
-    hand(second, second.begin(b"a" * 8, 2))
-    held = copy.deepcopy(witness.records)
-    assert held[0].witness == StoreWitness(b"a" * 8, 2, None)
-    for body in said[:-1]:
+    before = exchange(second, second.tick(0))
+    exchange(second, second.begin(b"a" * 8, 2))
+    recorded = copy.deepcopy(witness.records)
+    assert recorded[0].witness == StoreWitness(b"a" * 8, 2, None)
+    for body in sent[:-1]:
         witness.receive(0, 0, 1, body)
-    assert witness.records == held
-    hand(second, StoreWitnesses.begin(second, b"b" * 8, 1))  # if uncertain, it would be another store
-    for body in said[:-1]:
+    assert witness.records == recorded
+    exchange(second, StoreWitnesses.begin(second, b"b" * 8, 1))  # a store that is not trusted gets a new id
+    for body in sent[:-1]:
         witness.receive(0, 0, 1, body)
     assert witness.records[0].witness == StoreWitness(b"b" * 8, 1, None)
     third = StoreWitnesses(0, 3, 4, 0)
@@ -235,15 +237,14 @@
     third.receive(0, 2, 1, before[0])
     assert not third.is_decided
     assert third.last_known() is None
-    anew = StoreWitnesses(
-        1, 3, 5, 0
-    )  # a new incarnation of the witness takes nothing that was meant for the one before
-    for body in said:
-        anew.receive(0, 0, 1, body)
-    assert not anew.records
+    # a new incarnation of the witness ignores messages to the previous one
+    restarted = StoreWitnesses(1, 3, 5, 0)
+    for body in sent:
+        restarted.receive(0, 0, 1, body)
+    assert not restarted.records
 
 
-def test_an_unreadable_message_changes_nothing() -> None:
+def test_an_invalid_message_changes_nothing() -> None:
     witnesses = StoreWitnesses(0, SIZE, 7, 0)
     for body in (
         b"",
@@ -261,24 +262,24 @@
         assert not witnesses.is_decided
 
 
-def tier(folder: Path, count: int, engine: int) -> list[RouterProcess]:
-    """Routers that know each other's addresses, with a store and the channel each."""
+def make_routers(folder: Path, count: int, engine_port: int) -> list[RouterProcess]:
+    """Create routers that have a store each and are connected by the peer channel."""
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for each in sockets:
         each.bind((HOST, 0))
     peers = [f"{HOST}:{each.getsockname()[1]}" for each in sockets]
     for each in sockets:
         each.close()
-    found = []
+    routers = []
     for number in range(count):
-        own = folder / str(number)
-        own.mkdir()
-        (own / "channel.toml").write_text("enabled = true\n")
-        store_file(own, later_ms="20", loss="{ enabled = true, fleet = true }")
-        found.append(
+        router_folder = folder / str(number)
+        router_folder.mkdir()
+        (router_folder / "channel.toml").write_text("enabled = true\n")
+        store_file(router_folder, later_ms="20", loss="{ enabled = true, fleet = true }")
+        routers.append(
             RouterProcess(
-                own,
-                {"s-0": engine},
+                router_folder,
+                {"s-0": engine_port},
                 settings={
                     **SETTINGS,
                     "balancers": count,
@@ -289,14 +290,14 @@
                 peer_listen=peers[number],
             )
         )
-    return found
+    return routers
 
 
-def test_other_routers_vouch_for_a_store_that_was_closed_and_for_no_other(tmp_path: Path) -> None:
+def test_other_routers_witness_only_the_store_that_was_closed_properly(tmp_path: Path) -> None:
     async def test() -> None:
         engine = StandInEngine()
         await engine.start()
-        routers = tier(tmp_path, 4, engine.port)
+        routers = make_routers(tmp_path, 4, engine.port)
         first = routers[0]
         data = tmp_path / "0" / "data"
         data.mkdir()
@@ -305,8 +306,8 @@
         await again(first, "an operator vouches")
         assert "result" in await ask(
             first, "00000000000000a1"
-        )  # once the others have acknowledged this incarnation
-        await asyncio.sleep(1.2)  # the channel's budget of a window has room again
+        )  # runs once the other routers have acknowledged this incarnation
+        await asyncio.sleep(1.2)  # until the next window of the channel's budget
         assert await first.end() == 0
         shutil.copytree(data, tmp_path / "copy")
         await first.journal.start()
@@ -319,13 +320,13 @@
         await first.journal.start()
         await again(first, "it is an older state")
         runs = len(engine.named("POST"))
-        answer = await ask(first, "00000000000000a2")  # it ran in the incarnation that is lost
+        answer = await ask(first, "00000000000000a2")  # it ran in the incarnation that was lost
         assert answer["error"]["code"] == -32000
         assert "may have run" in answer["error"]["message"]
         assert "result" in await ask(first, "00000000000000a1")
         assert len(engine.named("POST")) == runs == 2
         await first.kill()
-        await again(first, "nobody outside of it can tell")  # it was not closed
+        await again(first, "nobody outside of it can tell")  # the store was not closed
         await first.kill()
         shutil.rmtree(data)
         await again(first, "another store was in its place")
