--- a/tests/kill_sweep.py
+++ b/tests/kill_sweep.py
@@ -1,4 +1,6 @@
-"""Kills a real router again and again under loads over both fronts; checks what ran against what was told.
+"""Kills a router process repeatedly while clients send loads through both frontends.
+
+Checks that the answers to the clients agree with what the engines ran.
 
 ``python tests/kill_sweep.py --kills 300 --seed 1`` runs a long sweep; CI runs a short one (test_kills.py).
 """
@@ -25,23 +27,23 @@
 
 Attempt = Callable[[RouterProcess, str, int], Awaitable[bool]]
 
-HOLD_S = 0.25
-CLIENTS = 4  # of each front
+MAX_RESPONSE_S = 0.25  # then the engine answers that the query still runs
+CLIENTS = 4  # for each frontend
 
 
 class CountingEngine(StandInEngine):
-    """Runs loads for a random while and counts how often it runs each; its answers say which run made them.
+    """Runs each load for a random time and counts its runs; an answer contains the number of its run.
 
-    As engines do, it holds calls for 250 ms at most, gives a good end again, drops a query that is deleted,
-    and turns some away unseen.
+    Like a real engine, it answers a call after 250 ms at most, returns the result of a finished query again,
+    drops a query that is deleted, and rejects some queries without running them.
     """
 
-    def __init__(self, random: Random, moved: Callable[[], None]) -> None:
+    def __init__(self, random: Random, on_event: Callable[[], None]) -> None:
         super().__init__(self._answer)
         self._random = random
-        self._moved = moved
+        self._on_event = on_event
         self.runs: Counter[str] = Counter()
-        self.ends: dict[str, asyncio.Future[bytes | None]] = {}  # of the last run; None: dropped
+        self.results: dict[str, asyncio.Future[bytes | None]] = {}  # of the last run; None: dropped
 
     async def _answer(self, call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
         if call.method == "PUT" or call.path == "/ping":
@@ -53,73 +55,73 @@
                 return http_answer(503, X_No_Effect="1")
             name = call.headers["x-hop-id"]
             self.runs[name] += 1
-            self._moved()
+            self._on_event()
             loop = asyncio.get_running_loop()
-            end = self.ends[name] = loop.create_future()
+            result = self.results[name] = loop.create_future()
             answer = f"{name}\t{self.runs[name]}\tdone\n".encode()
-            loop.call_later(self._random.random() * 0.06, settle, end, answer)
+            loop.call_later(self._random.random() * 0.06, resolve, result, answer)
         else:
             name = call.path.split("/")[2]
-        if name not in self.ends:
+        if name not in self.results:
             return http_answer(204 if call.method == "DELETE" else 500)
-        end = self.ends[name]
+        result = self.results[name]
         if call.method == "DELETE":
-            settle(end, None)
+            resolve(result, None)
             return http_answer(204)
         try:
-            done = await asyncio.wait_for(asyncio.shield(end), HOLD_S)
+            rows = await asyncio.wait_for(asyncio.shield(result), MAX_RESPONSE_S)
         except TimeoutError:
             return http_answer(202)
-        return http_answer(500) if done is None else http_answer(200, done, X_Sheets="1")
+        return http_answer(500) if rows is None else http_answer(200, rows, X_Sheets="1")
 
 
-def settle(end: asyncio.Future[bytes | None], answer: bytes | None) -> None:
-    if not end.done():
-        end.set_result(answer)
+def resolve(result: asyncio.Future[bytes | None], answer: bytes | None) -> None:
+    if not result.done():
+        result.set_result(answer)
 
 
 @dataclass
 class Result:
-    """What a sweep saw."""
+    """The counts and faults of a sweep."""
 
     kills: int = 0
     loads: int = 0
     served: int = 0
     tries: int = 0
-    refused: int = 0
+    rejected: int = 0
     may_have_run: int = 0
     faults: list[str] = field(default_factory=list)
 
     def __str__(self) -> str:
         return (
             f"{self.kills} kills, {self.loads} loads in {self.tries} tries: {self.served} served, "
-            f"{self.may_have_run} may have run, {self.refused} refusals; {len(self.faults)} faults"
+            f"{self.may_have_run} may have run, {self.rejected} rejections; {len(self.faults)} faults"
         )
 
 
 class Sweep:
-    marks = False  # whether clients of JSON-RPC mark their repeats
-    patience_s = 1e9  # for which clients repeat
-    pause_s = 0.0  # of a client whose load may have run
+    marks_repeats = False  # whether JSON-RPC clients mark their repeats
+    repeat_time_s = 1e9  # time for which clients repeat a load
+    pause_s = 0.0  # pause of a client whose load may have run
 
     def __init__(self, folder: Path, kills: int, seed: int) -> None:
         self.random = Random(seed)
         self.kills = kills
         self.result = Result()
-        self._moves, self._moved = 0, asyncio.Event()
-        self.http = CountingEngine(self.random, self.move)
+        self._event_count, self._event = 0, asyncio.Event()
+        self.http = CountingEngine(self.random, self.count_event)
         self.mysql = MysqlEngine(self._mysql_fault)
         self._folder = folder
-        self._over = False
+        self._is_over = False
 
     async def _mysql_fault(self, point: str) -> None:
         if point == "execute":
-            self.move()
+            self.count_event()
             await asyncio.sleep(self.random.random() * 0.03)
 
-    def move(self) -> None:
-        self._moves += 1
-        self._moved.set()
+    def count_event(self) -> None:
+        self._event_count += 1
+        self._event.set()
 
     async def run(self) -> Result:
         await self.http.start()
@@ -137,69 +139,69 @@
         )
         await self.router.start()
         clients = [
-            asyncio.create_task(self._client(kind, number))
-            for kind in (self._json_try, self._mysql_try)
+            asyncio.create_task(self._client(send, number))
+            for send in (self._send_json, self._send_mysql)
             for number in range(CLIENTS)
         ]
         while self.result.kills < self.kills:
-            await self._wait_for_a_moment()
+            await self._wait_for_random_point()
             await self.router.kill()
             self.result.kills += 1
             await self.router.start()
-        self._over = True
+        self._is_over = True
         await asyncio.gather(*clients)
         if await self.router.end() != 0:
             self.result.faults.append("the router did not end with 0")
         found = survey(Folder(self._folder / "data"))
         if found.exit_code:
-            self.result.faults.append(f"the store is not sound: {found.problem}")
+            self.result.faults.append(f"the store is not valid: {found.problem}")
         self.http.server.close()
         self.mysql.server.close()
         return self.result
 
-    async def _wait_for_a_moment(self) -> None:
-        """For so many events since the last start, or for the store to be read: then it recovers."""
+    async def _wait_for_random_point(self) -> None:
+        """Wait for a random number of events, or until the store is read, which is when recovery begins."""
         if self.random.random() < 0.25:
             await self.router.read.wait()
             return
-        until = self._moves + self.random.randrange(1, 12)
-        while self._moves < until:
-            self._moved.clear()
-            await self._moved.wait()
-        await asyncio.sleep(self.random.random() * 0.02)  # spreads kills over the life of a load
+        until = self._event_count + self.random.randrange(1, 12)
+        while self._event_count < until:
+            self._event.clear()
+            await self._event.wait()
+        await asyncio.sleep(self.random.random() * 0.02)  # spreads the kills over the duration of a load
 
     # Clients
 
     async def _client(self, attempt: Attempt, number: int) -> None:
         count = 0
-        while not self._over:
-            name = f"{'a' if attempt == self._json_try else 'b'}{number:07x}{count:08x}"
+        while not self._is_over:
+            name = f"{'a' if attempt == self._send_json else 'b'}{number:07x}{count:08x}"
             count += 1
             self.result.loads += 1
             tries = 0
             since = asyncio.get_running_loop().time()
-            while not await self._once(attempt, name, tries):
+            while not await self._try_once(attempt, name, tries):
                 tries += 1
-                if asyncio.get_running_loop().time() - since > self.patience_s:
+                if asyncio.get_running_loop().time() - since > self.repeat_time_s:
                     break
-            self.move()
+            self.count_event()
 
     def choose(self, name: str, tries: int) -> RouterProcess:
-        """The router that a try goes to."""
+        """The router that an attempt is sent to."""
         return self.router
 
-    async def _once(self, attempt: Attempt, name: str, tries: int) -> bool:
-        """One try; whether it brought the end. After a cut the same is asked again, once the router is up."""
+    async def _try_once(self, attempt: Attempt, name: str, tries: int) -> bool:
+        """Send a load once; False if it must be repeated, also because the connection was lost."""
         router = self.choose(name, tries)
         await router.up.wait()
         self.result.tries += 1
         try:
             return await attempt(router, name, tries)
-        except (OSError, EOFError, AssertionError):  # the connection ended
+        except (OSError, EOFError, AssertionError):  # the connection was lost
             await asyncio.sleep(0)
             return False
 
-    async def _json_try(self, router: RouterProcess, name: str, tries: int) -> bool:
+    async def _send_json(self, router: RouterProcess, name: str, tries: int) -> bool:
         client = JsonClient(*await asyncio.open_connection(HOST, router.ports[0]))
         try:
             client.query(
@@ -207,7 +209,7 @@
                 "INSERT INTO sales_1.t VALUES (1)",
                 txn=name,
                 limit=10_000,
-                **({"second": 1} if self.marks and tries else {}),
+                **({"second": 1} if self.marks_repeats and tries else {}),
             )
             answer = await client.answer()
         finally:
@@ -216,12 +218,12 @@
         if "result" in answer:
             self.result.served += 1
             rows = base64.b64decode(answer["result"]["data"])
-            if rows != f"{name}\t1\tdone\n".encode() or self.http.ends[name].result() != rows:
-                self.result.faults.append(f"{name}: served with {rows!r}, which its one run did not make")
+            if rows != f"{name}\t1\tdone\n".encode() or self.http.results[name].result() != rows:
+                self.result.faults.append(f"{name}: served with {rows!r}, not with the rows of its only run")
         elif answer["error"]["code"] == -32002:
-            self.result.refused += 1
+            self.result.rejected += 1
             if runs:
-                self.result.faults.append(f"{name}: refused, though it ran")
+                self.result.faults.append(f"{name}: rejected, though it ran")
             await asyncio.sleep(answer["error"]["data"]["later"] / 1000)
             return False
         else:
@@ -232,7 +234,7 @@
             self.result.faults.append(f"{name}: ran {runs} times")
         return True
 
-    async def _mysql_try(self, router: RouterProcess, name: str, tries: int) -> bool:
+    async def _send_mysql(self, router: RouterProcess, name: str, tries: int) -> bool:
         statement = f"/* slipbay: key={name} */ INSERT INTO sales_2.t VALUES ('{name}')"
         client = await MysqlClient.connect(router.ports[1])
         served = True
@@ -241,9 +243,9 @@
         except MysqlError as problem:
             served = False
             if problem.code == 9503:
-                self.result.refused += 1
+                self.result.rejected += 1
                 if self.mysql.executed[statement.encode()]:
-                    self.result.faults.append(f"{name}: refused, though it ran")
+                    self.result.faults.append(f"{name}: rejected, though it ran")
                 await asyncio.sleep(0.01)
                 return False
         finally:
@@ -259,7 +261,7 @@
 
 
 def sweep(kills: int, seed: int, limit_s: float) -> Result:
-    """Run one sweep in a folder of its own."""
+    """Run one sweep in a temporary directory."""
 
     async def limited(folder: Path) -> Result:
         started = Sweep(folder, kills, seed)
--- a/tests/lose_sweep.py
+++ b/tests/lose_sweep.py
@@ -1,10 +1,11 @@
-"""Kills two routers with stores again and again, and loses, cuts or puts back stores while they are down.
+"""Kills two routers with stores repeatedly, and loses, truncates or restores their stores meanwhile.
 
-Clients of JSON-RPC mark their repeats and come back at either router; those of MySQL mark nothing, come back
-to the router that they came to first, and stop within the window. Nothing may run twice.
+JSON-RPC clients mark their repeats and send them to either router. MySQL clients do not mark repeats, send
+them to the router of the first sending, and stop within the window. No load may run twice.
 
-``python tests/lose_sweep.py --restarts 300 --seed 1`` runs a long sweep; ``--off`` leaves the part off,
-loses each store, and must find loads that ran twice. CI runs a short one of each (test_store_losses.py).
+``python tests/lose_sweep.py --restarts 300 --seed 1`` runs a long sweep. ``--off`` disables the detection of
+store loss and loses each store; it must find loads that ran twice. CI runs a short sweep of each
+(test_store_losses.py).
 """
 
 from __future__ import annotations
@@ -28,8 +29,8 @@
 from slipbay.store.frame import HEAD_BYTES
 
 WINDOW_S = 12.0
-PATIENCE_S = 3.0
-ON = (
+REPEAT_TIME_S = 3.0
+LOSS_DETECTION = (
     f'{{ enabled = true, repeat_window_s = {WINDOW_S}, marked = ["jsonrpc"], anywhere = true, '
     'marker = "marker" }'
 )
@@ -38,24 +39,24 @@
 
 
 def active(folder: Path) -> Path:
-    """The segment of a store that is written to."""
+    """The file of a store's active segment."""
     return folder / manifest.decode((folder / manifest.NAME).read_bytes()).active.name
 
 
 class LoseSweep(Sweep):
-    marks = True
-    patience_s = PATIENCE_S
+    marks_repeats = True
+    repeat_time_s = REPEAT_TIME_S
     pause_s = 0.05
 
-    def __init__(self, folder: Path, kills: int, seed: int, on: bool) -> None:
+    def __init__(self, folder: Path, kills: int, seed: int, detects_loss: bool) -> None:
         super().__init__(folder, kills, seed)
-        self.breaks = Random(seed)  # of its own: the engines draw from the other one in no fixed order
-        self.on = on
-        self.done = Counter[str]()
+        self.fault_random = Random(seed)  # separate, as the engines use ``random`` in no fixed order
+        self.detects_loss = detects_loss
+        self.fault_counts = Counter[str]()
         self.routers: list[RouterProcess] = []
 
     def choose(self, name: str, tries: int) -> RouterProcess:
-        if name[0] == "a" and self.on:
+        if name[0] == "a" and self.detects_loss:
             return self.random.choice(self.routers)
         return self.routers[int(name[7]) % 2]
 
@@ -72,9 +73,9 @@
                 keep="{ answer_kb = 1 }",
                 recovery="{ most_s = 5 }",
                 later_ms="10",
-                **({"loss": ON} if self.on else {}),
+                **({"loss": LOSS_DETECTION} if self.detects_loss else {}),
             )
-            if self.on:  # the first start is an operator's word
+            if self.detects_loss:  # an operator adopts the store before the first start
                 (folder / "data").mkdir()
                 adopted = CliRunner().invoke(
                     main, ["store", "adopt", str(folder / "data"), "--because", "a first start"]
@@ -85,21 +86,21 @@
             )
         await asyncio.gather(*(router.start() for router in self.routers))
         clients = [
-            asyncio.create_task(self._client(kind, number))
-            for kind in (self._json_try, self._mysql_try)
+            asyncio.create_task(self._client(send, number))
+            for send in (self._send_json, self._send_mysql)
             for number in range(CLIENTS)
         ]
-        while self.result.kills < self.kills and (self.on or self.most_runs() < 2):
-            at = self.breaks.randrange(2)
+        while self.result.kills < self.kills and (self.detects_loss or self.max_runs() < 2):
+            at = self.fault_random.randrange(2)
             self.router = self.routers[at]
-            if self.breaks.random() < 0.5:
-                self._copy(at)  # of a store in use: it may be torn
-            await self._wait_for_a_moment()
+            if self.fault_random.random() < 0.5:
+                self._copy(at)  # the store is in use, so the copy may have a torn end
+            await self._wait_for_random_point()
             await self.router.kill()
             self.result.kills += 1
-            self._break(at)
+            self._damage(at)
             await self.router.start()
-        self._over = True
+        self._is_over = True
         await asyncio.gather(*clients)
         for router in self.routers:
             if await router.end() != 0:
@@ -114,35 +115,35 @@
         self.mysql.server.close()
         return self.result
 
-    def most_runs(self) -> int:
-        """Of one load."""
+    def max_runs(self) -> int:
+        """The largest number of runs of a load."""
         return max([*self.http.runs.values(), *self.mysql.executed.values()], default=0)
 
     def _copy(self, at: int) -> None:
         shutil.rmtree(self._copied(at), ignore_errors=True)
         try:
             shutil.copytree(self._data(at), self._copied(at))
-        except (OSError, shutil.Error):  # it changed meanwhile
+        except (OSError, shutil.Error):  # the store changed during the copy
             shutil.rmtree(self._copied(at), ignore_errors=True)
 
-    def _break(self, at: int) -> None:
-        """What happens to a store while its router is down."""
-        fault = self.breaks.choices(FAULTS, WEIGHTS if self.on else (0, 1, 0, 0))[0]
+    def _damage(self, at: int) -> None:
+        """Apply a random fault to a store while its router is down."""
+        fault = self.fault_random.choices(FAULTS, WEIGHTS if self.detects_loss else (0, 1, 0, 0))[0]
         if any("cannot be opened" in line for line in self.routers[at].lines):
-            fault = "lost"  # as the operators' page says of one that is damaged
+            fault = "lost"  # operators remove a damaged store
         self.routers[at].lines.clear()
         if fault == "put back" and not self._copied(at).exists():
             fault = "lost"
-        self.done[fault] += 1
+        self.fault_counts[fault] += 1
         if fault in ("lost", "put back"):
             shutil.rmtree(self._data(at))
         if fault == "put back":
             shutil.copytree(self._copied(at), self._data(at))
         if fault == "cut" and (self._data(at) / manifest.NAME).exists():
             file = active(self._data(at))
-            held = file.stat().st_size - HEAD_BYTES
-            os.truncate(file, HEAD_BYTES + int(held * self.breaks.random()))
-        if self.breaks.random() < 0.3:
+            content_bytes = file.stat().st_size - HEAD_BYTES
+            os.truncate(file, HEAD_BYTES + int(content_bytes * self.fault_random.random()))
+        if self.fault_random.random() < 0.3:
             self._copy(at)
 
     def _data(self, at: int) -> Path:
@@ -152,13 +153,13 @@
         return self._folder / str(at) / "copy"
 
 
-def sweep(kills: int, seed: int, limit_s: float, on: bool = True) -> tuple[Result, Counter[str]]:
-    """Run one sweep in a folder of its own. Without ``on`` it ends with the first fault."""
+def sweep(kills: int, seed: int, limit_s: float, detects_loss: bool = True) -> tuple[Result, Counter[str]]:
+    """Run one sweep in a temporary directory; without ``detects_loss`` it ends with the first fault."""
 
     async def limited(folder: Path) -> tuple[Result, Counter[str]]:
-        started = LoseSweep(folder, kills, seed, on)
+        started = LoseSweep(folder, kills, seed, detects_loss)
         try:
-            return await asyncio.wait_for(started.run(), limit_s), started.done
+            return await asyncio.wait_for(started.run(), limit_s), started.fault_counts
         finally:
             for router in started.routers:
                 if router.process is not None and router.process.returncode is None:
@@ -174,8 +175,8 @@
     options.add_argument("--seed", type=int, default=1)
     options.add_argument("--off", action="store_true")
     chosen = options.parse_args()
-    found, done = sweep(chosen.restarts, chosen.seed, chosen.restarts * 10, not chosen.off)
-    print(found, dict(done))
+    found, fault_counts = sweep(chosen.restarts, chosen.seed, chosen.restarts * 10, not chosen.off)
+    print(found, dict(fault_counts))
     for fault in found.faults:
         print(fault)
     raise SystemExit(bool(found.faults))
--- a/tests/sim_disk.py
+++ b/tests/sim_disk.py
@@ -1,7 +1,7 @@
-"""A folder in memory that keeps every operation on it, so that a crash can be tried at each of them.
+"""A simulated disk that records every operation, so that tests can simulate a crash at each of them.
 
-A crash image is what a machine may find after a loss of power at some moment: of the operations up to then,
-those that were synced are there; of the rest, by choice, all, none, or some of each file's.
+A crash image is the contents of the disk after a loss of power at some point. It contains all operations that
+were synced before that point, and all, none or a random part of the other operations.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from slipbay.store.errors import StoreInUseError
 
-Op = tuple[str, str, bytes]  # what, the file's name (or both names of a rename), the bytes
+Op = tuple[str, str, bytes]  # operation, file name (for a rename both names), data
 
 
 @dataclass
@@ -48,16 +48,19 @@
 
 
 class SimDisk:
-    """``faults(what, name, size)`` may raise OSError, or return how many bytes of an append are written."""
+    """A simulated directory.
+
+    ``faults(operation, name, size)`` may raise OSError, or return how many bytes of an append are written.
+    """
 
     def __init__(self, files: dict[str, bytes] | None = None) -> None:
         self.files = {name: File(bytearray(data), len(data)) for name, data in (files or {}).items()}
         self.ops: list[Op] = []
-        self.faults: Callable[[str, str, int], int] = lambda what, name, size: size
+        self.faults: Callable[[str, str, int], int] = lambda operation, name, size: size
         self.locked = False
 
-    def fault(self, what: str, name: str, size: int) -> int:
-        return self.faults(what, name, size)
+    def fault(self, operation: str, name: str, size: int) -> int:
+        return self.faults(operation, name, size)
 
     def names(self) -> list[str]:
         return sorted(self.files)
@@ -72,7 +75,7 @@
     def create(self, name: str) -> SimHandle:
         self.fault("create", name, 0)
         self.ops.append(("create", name, b""))
-        if name in self.files:  # the same file, cut to nothing
+        if name in self.files:  # the existing file is truncated
             self.files[name].data.clear()
             self.files[name].synced = 0
         else:
@@ -105,46 +108,50 @@
 
 
 def cuts(ops: list[Op]) -> Iterator[tuple[int, int]]:
-    """Every moment of a history: before each operation, and after each byte of each append."""
-    for number, (what, _, data) in enumerate(ops):
+    """Every point of a history at which a crash may occur.
+
+    These are the points before each operation, and after each byte of each append.
+    """
+    for number, (operation, _, data) in enumerate(ops):
         yield number, 0
-        if what == "append":
+        if operation == "append":
             for size in range(1, len(data)):
                 yield number, size
     yield len(ops), 0
 
 
 def image(ops: list[Op], number: int, size: int, keep: str, random: Random) -> SimDisk:
-    """What is found after a crash after ``number`` operations and ``size`` bytes of the next.
+    """The disk after a crash that occurs after ``number`` operations and ``size`` bytes of the next one.
 
-    ``keep``: "all" that was not synced, "none" of it, or "any": of each file any stretch from its synced end,
-    and of the changes of names that the folder's sync has not covered, any, in their order.
+    ``keep`` decides which unsynced operations the disk contains: "all", "none" or "any". With "any", each
+    file keeps a random number of its unsynced bytes, and a random selection of the creations, renames and
+    removals since the last sync of the directory takes effect, in order.
     """
-    done = ops[:number]
+    completed = ops[:number]
     if size:
-        what, name, data = ops[number]
-        done = [*done, (what, name, data[:size])]
-    names: dict[str, File] = {}  # as the folder shows them
-    durable: dict[str, File] = {}  # as the last sync of the folder left them
+        operation, name, data = ops[number]
+        completed = [*completed, (operation, name, data[:size])]
+    names: dict[str, File] = {}  # current directory entries
+    durable: dict[str, File] = {}  # directory entries at the last sync of the directory
     pending: list[Op] = []
-    made: dict[int, File] = {}  # by the operation that made it
-    for at, op in enumerate(done):
-        what, name, data = op
-        if what == "create" and name in names:
+    created: dict[int, File] = {}  # by the number of the operation that created the file
+    for at, op in enumerate(completed):
+        operation, name, data = op
+        if operation == "create" and name in names:
             names[name].data.clear()
             names[name].synced = 0
-        elif what == "create":
-            names[name] = made[at] = File()
-            pending.append((what, f"{name} {at}", b""))
-        elif what == "append":
+        elif operation == "create":
+            names[name] = created[at] = File()
+            pending.append((operation, f"{name} {at}", b""))
+        elif operation == "append":
             names[name].data += data
-        elif what == "sync":
+        elif operation == "sync":
             names[name].synced = len(names[name].data)
-        elif what == "sync_folder":
+        elif operation == "sync_folder":
             durable = dict(names)
             pending = []
         else:
-            if what == "rename":
+            if operation == "rename":
                 old, new = name.split(" ")
                 names[new] = names.pop(old)
             else:
@@ -153,13 +160,13 @@
     found = names
     if keep != "all":
         found = durable
-        for what, name, _ in pending if keep == "any" else []:
+        for operation, name, _ in pending if keep == "any" else []:
             if random.random() < 0.5:
                 continue
-            if what == "create":
-                name, made_at = name.split(" ")
-                found[name] = made[int(made_at)]
-            elif what == "rename":
+            if operation == "create":
+                name, created_at = name.split(" ")
+                found[name] = created[int(created_at)]
+            elif operation == "rename":
                 old, new = name.split(" ")
                 if old in found:
                     found[new] = found.pop(old)
--- a/tests/test_store_generation.py
+++ b/tests/test_store_generation.py
@@ -1,6 +1,8 @@
-"""Generations of a store without I/O: under any history of loads, deaths, losses and copies, what may have
-run
-never runs again within the window, and what proves new runs."""
+"""Store generations, without I/O.
+
+In any history of requests, crashes, losses and copies of the store, a request that may have run never runs
+again within the uncertainty window, and a request that is proved to be new runs.
+"""
 
 from __future__ import annotations
 
@@ -33,8 +35,11 @@
 
 
 class Stores(RuleBasedStateMachine):
-    """One router with a marker. Clients of one front mark their repeats, those of the other don't; each key
-    is repeated within the window of its first sending only."""
+    """Histories of one router with a marker.
+
+    Clients of one frontend mark their repeats, those of the other do not. A key is repeated only within the
+    window after its first sending.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -43,20 +48,20 @@
         self.sent = dict[bytes, int]()
         self.runs: Counter[bytes] = Counter()
         self.identity: StoreIdentity | None = store_generation.adopt(A, "a first start")
-        # of the store
-        self.held = set[bytes]()
+        # contents of the store
+        self.stored = set[bytes]()
         self.sequence = 1
         self.witness: StoreWitness | None = None
         self.copies = [self.state()]
         self.uncertainty: UncertaintyWindow | None = None
 
     def state(self) -> tuple[StoreIdentity | None, set[bytes], int]:
-        return copy.deepcopy((self.identity, self.held, self.sequence))
+        return copy.deepcopy((self.identity, self.stored, self.sequence))
 
     @precondition(lambda self: self.uncertainty is None)
     @rule(witness_lost=st.booleans())
     def start(self, witness_lost: bool) -> None:
-        """A death between the two writes of a start is one that comes before the witness was written."""
+        """Start the router. ``witness_lost``: it crashes after the store, before the marker is written."""
         status = store_generation.determine_status(self.identity, self.sequence, self.witness)
         self.ids += 1
         self.identity = store_generation.begin(self.identity, status, WINDOW, self.ids.to_bytes(16, "big"))
@@ -73,48 +78,48 @@
 
     @precondition(lambda self: self.uncertainty is not None)
     @rule(front=st.sampled_from([b"marked", b"bare"]), number=NUMBERS, torn=st.booleans(), more=st.booleans())
-    def ask(self, front: bytes, number: int, torn: bool, more: bool) -> None:
-        """``torn``: the death comes after the intent was committed and before the witness was written."""
+    def send_request(self, front: bytes, number: int, torn: bool, more: bool) -> None:
+        """Send a request. ``torn``: the router crashes after the intent, before the marker is written."""
         assert self.uncertainty is not None
         key = front + b":%d" % number
-        repeats = key in self.sent
+        is_repeat = key in self.sent
         self.sent.setdefault(key, self.now)
-        if key in self.held:
+        if key in self.stored:
             return
-        new = self.uncertainty.is_new(key, True, repeats, self.now)
-        if (front == b"marked" and not repeats) or not self.uncertainty.remaining_us(self.now):
-            assert new
-        if new:
-            self.held.add(key)
+        may_run = self.uncertainty.is_new(key, True, is_repeat, self.now)
+        if (front == b"marked" and not is_repeat) or not self.uncertainty.remaining_us(self.now):
+            assert may_run
+        if may_run:
+            self.stored.add(key)
             self.sequence += 1
             if torn:
-                self.die()
+                self.crash()
                 return
             self.write_witness()
             self.runs[key] += 1
             assert self.runs[key] == 1
         elif more:
-            self.sequence += 1  # another change, of which no witness is written
+            self.sequence += 1  # another change, which is not written to the marker
 
     @precondition(lambda self: self.uncertainty is not None)
     @rule()
-    def die(self) -> None:
+    def crash(self) -> None:
         self.uncertainty = None
 
     @rule()
-    def copy(self) -> None:
+    def take_copy(self) -> None:
         self.copies = [*self.copies[-3:], self.state()]
 
     @precondition(lambda self: self.uncertainty is None)
     @rule(which=st.integers(0, 9))
-    def put_back(self, which: int) -> None:
-        self.identity, self.held, self.sequence = copy.deepcopy(self.copies[which % len(self.copies)])
+    def restore_copy(self, which: int) -> None:
+        self.identity, self.stored, self.sequence = copy.deepcopy(self.copies[which % len(self.copies)])
 
     @precondition(lambda self: self.uncertainty is None)
     @rule()
-    def lose(self) -> None:
+    def lose_store(self) -> None:
         self.identity = None
-        self.held = set()
+        self.stored = set()
         self.sequence = 0
 
     @precondition(lambda self: self.uncertainty is None)
@@ -126,21 +131,23 @@
     def wait(self, us: int) -> None:
         self.now += us
         for key, at in list(self.sent.items()):
-            if self.now - at > WINDOW:  # no client comes back under it: the name is another load's now
+            if (
+                self.now - at > WINDOW
+            ):  # no client repeats the key any more; from now on it is another request
                 del self.sent[key]
                 self.runs[key] = 0
-                self.held.discard(key)
-                for _, held, _ in self.copies:
-                    held.discard(key)
+                self.stored.discard(key)
+                for _, stored, _ in self.copies:
+                    stored.discard(key)
         if self.uncertainty is not None:
-            told = self.uncertainty.identity_to_store(self.now)
-            if told is not None:
-                self.identity = told
+            changed = self.uncertainty.identity_to_store(self.now)
+            if changed is not None:
+                self.identity = changed
                 self.sequence = self.sequence + 1
 
 
-class WitnessedAtStartOnly(Stores):
-    """Is witnessed at its start alone, so the loads after a copy of the same incarnation show nowhere."""
+class MarkerWrittenAtStartOnly(Stores):
+    """Writes the marker only at the start, so requests after a copy in the same incarnation go unnoticed."""
 
     def write_witness(self) -> None:
         if self.uncertainty is None:
@@ -166,32 +173,32 @@
 TestStores = Stores.TestCase
 
 
-def copied_within_an_incarnation(play: Stores) -> None:
-    play.start(False)
-    play.copy()
-    play.ask(b"bare", 0, False, False)
-    play.die()
-    play.put_back(len(play.copies) - 1)
-    play.start(False)
-    play.ask(b"bare", 0, False, False)
+def copied_within_an_incarnation(stores: Stores) -> None:
+    stores.start(False)
+    stores.take_copy()
+    stores.send_request(b"bare", 0, False, False)
+    stores.crash()
+    stores.restore_copy(len(stores.copies) - 1)
+    stores.start(False)
+    stores.send_request(b"bare", 0, False, False)
 
 
-def lost_and_started_twice(play: Stores) -> None:
-    play.start(False)
-    play.ask(b"bare", 0, False, False)
+def lost_and_started_twice(stores: Stores) -> None:
+    stores.start(False)
+    stores.send_request(b"bare", 0, False, False)
     for _ in range(2):
-        play.die()
-        if not play.identity or (play.identity.generation == 1 and play.held):
-            play.lose()
-        play.start(False)
-    play.ask(b"bare", 0, False, False)
+        stores.crash()
+        if not stores.identity or (stores.identity.generation == 1 and stores.stored):
+            stores.lose_store()
+        stores.start(False)
+    stores.send_request(b"bare", 0, False, False)
 
 
 @pytest.mark.parametrize(
     "broken, history",
-    [(WitnessedAtStartOnly, copied_within_an_incarnation), (ForgetsUncertainty, lost_and_started_twice)],
+    [(MarkerWrittenAtStartOnly, copied_within_an_incarnation), (ForgetsUncertainty, lost_and_started_twice)],
 )
-def test_histories_in_which_a_load_runs_twice_where_a_part_is_left_out(
+def test_incomplete_implementations_run_a_request_twice(
     broken: type[Stores], history: Callable[[Stores], None]
 ) -> None:
     history(Stores())
@@ -216,13 +223,13 @@
         (StoreIdentity(A, 0), 9, StoreWitness(A, 1, 10), StoreStatus.BEHIND),
     ],
 )
-def test_a_store_is_judged_by_its_identity_and_its_witness(
+def test_the_status_of_a_store_follows_from_its_identity_and_its_witness(
     found: StoreIdentity | None, sequence: int, witness: StoreWitness | None, status: StoreStatus
 ) -> None:
     assert store_generation.determine_status(found, sequence, witness) is status
 
 
-def test_a_key_that_proved_new_may_come_back_and_one_without_a_mark_waits_the_window_out() -> None:
+def test_a_key_proved_to_be_new_may_be_repeated_and_other_keys_wait_for_the_end_of_the_window() -> None:
     uncertainty = UncertaintyWindow(
         ClientRepeatRules(WINDOW, (b"json",), repeat_anywhere=True), StoreIdentity(A, 1, WINDOW), 0
     )
@@ -232,11 +239,11 @@
     assert not uncertainty.is_new(b"mysql::1", True, False, WINDOW - 1)
     assert uncertainty.is_new(b"mysql::1", False, False, 0)
     assert uncertainty.is_new(b"mysql::1", True, False, WINDOW)
-    assert not uncertainty.is_new(b"json:2", True, True, 2 * WINDOW)  # it may have run at another router
+    assert not uncertainty.is_new(b"json:2", True, True, 2 * WINDOW)  # it may have run on another router
 
 
 @given(st.lists(st.integers(1, 3_000_000), max_size=30))
-def test_the_stored_uncertainty_is_never_shorter_than_what_remains(waits: list[int]) -> None:
+def test_the_stored_uncertainty_is_never_shorter_than_the_remaining_window(waits: list[int]) -> None:
     written = StoreIdentity(A, 1, WINDOW)
     now = 0
     uncertainty = UncertaintyWindow(ClientRepeatRules(WINDOW), written, 0)
@@ -251,7 +258,7 @@
         assert store_generation.decode(store_generation.encode(written)) == written
 
 
-def test_a_marker_cut_at_any_byte_of_a_write_holds_one_of_the_two_witnesses(tmp_path: Path) -> None:
+def test_a_marker_write_interrupted_at_any_byte_leaves_one_of_the_two_witnesses(tmp_path: Path) -> None:
     path = tmp_path / "marker"
     assert Marker(path).read() is None
     marker = Marker(path)
@@ -265,10 +272,10 @@
     at -= at % SLOT_BYTES
     for cut in range(at, at + SLOT_BYTES + 1):
         path.write_bytes(after[:cut] + before[cut:])
-        again = Marker(path)
-        assert again.read() in (StoreWitness(A, 1, 2), StoreWitness(A, 2, 3))
-        again.write(StoreWitness(B, 1, 1))
-        again.close()
+        reopened = Marker(path)
+        assert reopened.read() in (StoreWitness(A, 1, 2), StoreWitness(A, 2, 3))
+        reopened.write(StoreWitness(B, 1, 1))
+        reopened.close()
         assert Marker(path).read() == StoreWitness(B, 1, 1)
     path.write_bytes(b"x" * 100)
     with pytest.raises(DamagedStoreError):
--- a/tests/test_store_losses.py
+++ b/tests/test_store_losses.py
@@ -1,4 +1,7 @@
-"""Stores lost, cut and put back under real routers: nothing runs twice; without the part something does."""
+"""Stores of router processes are lost, truncated and restored from copies: no request runs twice.
+
+With the detection of store loss disabled, requests do run twice.
+"""
 
 from __future__ import annotations
 
@@ -26,20 +29,20 @@
 from slipbay.store.marker import Marker
 
 
-def test_stores_lost_cut_and_put_back_make_nothing_run_twice() -> None:
-    result, done = sweep(kills=12, seed=1, limit_s=120)
-    print(result, done)
+def test_no_request_runs_twice_if_stores_are_lost_truncated_or_restored() -> None:
+    result, fault_counts = sweep(kills=12, seed=1, limit_s=120)
+    print(result, fault_counts)
     assert result.faults == []
     assert result.kills == 12
-    assert sum(done.values()) - done["kept"] >= 4
+    assert sum(fault_counts.values()) - fault_counts["kept"] >= 4
     assert result.served > 2 * result.kills
     assert result.may_have_run
     assert result.tries > result.loads
 
 
-def test_the_same_sweep_finds_loads_that_ran_twice_with_the_part_off() -> None:
-    result, done = sweep(kills=60, seed=1, limit_s=120, on=False)
-    print(result, done)
+def test_the_same_sweep_finds_requests_that_ran_twice_with_loss_detection_disabled() -> None:
+    result, fault_counts = sweep(kills=60, seed=1, limit_s=120, detects_loss=False)
+    print(result, fault_counts)
     assert any(re.search("ran ([2-9]|..+) times", fault) for fault in result.faults), result.faults
 
 
@@ -50,7 +53,7 @@
 
 
 async def ask(router: RouterProcess, txn: str = TXN, **more: Any) -> dict[str, Any]:
-    """The end of a load. Who is refused, as the fate of others is being learned, comes back."""
+    """The final answer to a load; the client repeats a load that is rejected during the recovery."""
     client = JsonClient(*await asyncio.open_connection(HOST, router.ports[0]))
     try:
         while True:
@@ -65,7 +68,7 @@
 
 
 async def ask_mysql(router: RouterProcess, statement: str) -> str:
-    """What the client is told; "" where it was served. Who is refused comes back."""
+    """The error that the client gets, empty if it is served; the client repeats a rejected statement."""
     client = await MysqlClient.connect(router.ports[1])
     try:
         while True:
@@ -91,26 +94,27 @@
     return router, http, engine
 
 
-async def again(router: RouterProcess, *told: str) -> None:
+async def restart(router: RouterProcess, *expected: str) -> None:
+    """Start a router and wait until it has logged the expected texts."""
     router.lines.clear()
     await router.start()
-    await router.tells(*told)
+    await router.tells(*expected)
 
 
 def adopt(folder: Path, because: str) -> Result:
     return CliRunner().invoke(main, ["store", "adopt", str(folder), "--because", because])
 
 
-def test_a_load_whose_store_was_lost_runs_again_with_the_part_off(tmp_path: Path) -> None:
-    """The need: nothing else holds its key."""
+def test_a_load_whose_store_was_lost_runs_again_with_loss_detection_disabled(tmp_path: Path) -> None:
+    """Shows the problem that loss detection solves: the key is recorded in the store only."""
 
     async def test() -> None:
         router, http, _ = await started(tmp_path, "")
-        await again(router, "store: read")
+        await restart(router, "store: read")
         assert "result" in await ask(router)
         await router.kill()
         shutil.rmtree(tmp_path / "data")
-        await again(router, "store: read")
+        await restart(router, "store: read")
         assert "result" in await ask(router, second=1)
         assert len(http.named("POST")) == 2
         await router.end()
@@ -118,51 +122,51 @@
     run(test)
 
 
-def test_over_every_loss_a_repeat_may_have_run_and_a_first_sending_is_served(tmp_path: Path) -> None:
+def test_after_any_loss_a_repeat_may_have_run_and_a_first_sending_is_served(tmp_path: Path) -> None:
     async def test() -> None:
         data = tmp_path / "data"
         data.mkdir()
         assert adopt(data, " ").exit_code == 2
         assert adopt(data, "a first start").exit_code == 0
         router, http, engine = await started(tmp_path, LOST)
-        await again(router, "an operator vouches for it adoption_reason=20", "a first start")
+        await restart(router, "an operator vouches for it adoption_reason=20", "a first start")
         assert "result" in await ask(router)
         assert await ask_mysql(router, SQL) == ""
         assert await router.end() == 0
         shutil.copytree(data, tmp_path / "first")
         await router.journal.start()
-        await again(router, "generation=2 status=it holds all")
+        await restart(router, "generation=2 status=it holds all")
         assert "result" in await ask(router, "00000000000000ab")
         await router.kill()
         shutil.copytree(data, tmp_path / "second")
-        await again(router, "generation=3 status=it holds all")  # after a kill too
+        await restart(router, "generation=3 status=it holds all")  # also after a kill
         assert "result" in await ask(router, "00000000000000ac")
         assert "result" in await ask(router, "00000000000000ac", second=1)
         runs = len(http.named("POST"))
 
-        def delete() -> None:
+        def delete_store() -> None:
             shutil.rmtree(data)
 
-        def old(name: str) -> None:
-            delete()
+        def restore_copy(name: str) -> None:
+            delete_store()
             shutil.copytree(tmp_path / name, data)
 
-        def cut() -> None:
-            """All that the last life wrote is gone, as where a file lost its end."""
+        def truncate_store() -> None:
+            """Remove all that the last incarnation wrote, as if its file had lost its end."""
             os.truncate(active(data), HEAD_BYTES + 1)
 
-        harms: list[tuple[Callable[[], None], str]] = [
-            (partial(old, "second"), "it is an older state"),
-            (delete, "another store was in its place"),
-            (partial(old, "first"), "another store was"),
-            (cut, "another store was"),
+        losses: list[tuple[Callable[[], None], str]] = [
+            (partial(restore_copy, "second"), "it is an older state"),
+            (delete_store, "another store was in its place"),
+            (partial(restore_copy, "first"), "another store was"),
+            (truncate_store, "another store was"),
         ]
-        for number, (harm, told) in enumerate(harms):
+        for number, (lose, expected) in enumerate(losses):
             assert "result" in await ask(router, f"{number:016x}")
             assert await ask_mysql(router, SQL.replace("k1", f"n{number}")) == ""
             await router.kill()
-            harm()
-            await again(router, told, "store: uncertainty window begins seconds=3600.0")
+            lose()
+            await restart(router, expected, "store: uncertainty window begins seconds=3600.0")
             for answer in (await ask(router, f"{number:016x}", second=1), await ask(router, second=1)):
                 assert "result" in answer or "may have run" in answer["error"]["message"]
             assert "may have run" in await ask_mysql(router, MARKED.replace("k1", f"n{number}"))
@@ -174,31 +178,33 @@
         assert len(names) == len(set(names)) == runs + 8
         assert set(engine.executed.values()) == {1}
         await router.kill()
-        told = CliRunner().invoke(main, ["store", "status", str(data)]).output
-        assert "generation 1, uncertain for 3" in told
+        status = CliRunner().invoke(main, ["store", "status", str(data)]).output
+        assert "generation 1, uncertain for 3" in status
         assert "may have run" not in adopt(data, "no client of ours is left").output
-        await again(router, "no client of ours is left")
+        await restart(router, "no client of ours is left")
         assert "result" in await ask(router, second=1)
         assert await router.end() == 0
 
     run(test, 120)
 
 
-def test_without_a_marker_or_marks_the_window_is_waited_out_over_restarts(tmp_path: Path) -> None:
+def test_without_a_marker_or_marked_repeats_loads_wait_for_the_end_of_the_window_over_restarts(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         loss = "{ enabled = true, repeat_window_s = %s }"
         router, http, _ = await started(tmp_path, loss % 3600)
-        await again(router, "it is empty")
+        await restart(router, "it is empty")
         answer = await ask(router)
         assert answer["error"]["code"] == -32000
         assert "may have run" in answer["error"]["message"]
         assert http.named("POST") == []
         await router.kill()
-        await again(router, "nobody outside of it can tell")
+        await restart(router, "nobody outside of it can tell")
         assert "error" in await ask(router)
         await router.kill()
         store_file(tmp_path, loss=loss % 0.3)
-        await again(router, "uncertainty window ends")
+        await restart(router, "uncertainty window ends")
         assert "result" in await ask(router)
         assert len(http.named("POST")) == 1
         assert await router.end() == 0
@@ -206,15 +212,17 @@
     run(test)
 
 
-def test_where_the_marker_fails_no_load_leaves(tmp_path: Path) -> None:
+def test_no_load_is_sent_if_the_marker_cannot_be_opened(tmp_path: Path) -> None:
     async def test() -> None:
         loss = LOST.replace('"marker"', '"away/marker"')
         router, http, _ = await started(tmp_path, loss)
-        await again(router, "cannot be opened")  # its folder is not there: a disk that is not mounted
+        await restart(
+            router, "cannot be opened"
+        )  # the marker's directory is missing, as if its disk were not mounted
         assert "error" in await ask(router)
         await router.kill()
         (tmp_path / "away").mkdir()
-        await again(router, "store: read")
+        await restart(router, "store: read")
         assert "result" in await ask(router)
         assert len(http.named("POST")) == 1
         assert await router.end() == 0
@@ -223,7 +231,7 @@
 
 
 @pytest.mark.parametrize(
-    "loss, told",
+    "loss, expected",
     [
         ("repeat_window_s = 7201", "loss.repeat_window_s: want at most keep.retention_h (7200 s)"),
         ('marked = ["http"]', "loss.marked[0]: "),
@@ -231,17 +239,17 @@
         ('marker = "data/marker"', "loss.marker: want a file outside of the store's folder"),
     ],
 )
-def test_mistakes_in_the_part_name_file_and_key(tmp_path: Path, loss: str, told: str) -> None:
+def test_configuration_errors_name_the_file_and_the_key(tmp_path: Path, loss: str, expected: str) -> None:
     net = Loopback(
         store_file=store_file(tmp_path, keep="{ retention_h = 2 }", loss="{ enabled = true, " + loss + " }")
     )
     with pytest.raises(ConfigError) as problem:
         net.journal.port = 1
         net.config([])
-    assert str(problem.value).startswith("store.toml: " + told)
+    assert str(problem.value).startswith("store.toml: " + expected)
 
 
-def test_a_marker_that_cannot_be_written_keeps_attempts_back(
+def test_no_attempt_is_sent_if_the_marker_cannot_be_written(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -251,7 +259,7 @@
             client = await net.client()
             write = Marker.write
 
-            def fail(marker: Marker, word: StoreWitness) -> None:
+            def fail(marker: Marker, witness: StoreWitness) -> None:
                 raise OSError(errno.EIO, "Input/output error")
 
             monkeypatch.setattr(Marker, "write", fail)
@@ -260,6 +268,6 @@
             assert engine.named("POST") == []
             monkeypatch.setattr(Marker, "write", write)
             client.query("ticket-load", "INSERT INTO sales_1.t VALUES (1)", txn=TXN, limit=5000, second=1)
-            assert "result" in await client.answer()  # the key proved new before
+            assert "result" in await client.answer()  # the key was proved to be new before
 
     run(test)
--- a/tests/test_witnesses.py
+++ b/tests/test_witnesses.py
@@ -17,7 +17,7 @@
 import pytest
 from loopback import HOST, SETTINGS, StandInEngine, run
 from routers import RouterProcess, store_file
-from test_store_losses import adopt, again, ask
+from test_store_losses import adopt, ask, restart
 
 from slipbay.emulator.channel_fleet import ChannelFleet
 from slipbay.emulator.network import LinkConditions
@@ -303,7 +303,7 @@
         data.mkdir()
         assert adopt(data, "a first start").exit_code == 0
         await asyncio.gather(*(router.start() for router in routers[1:]))
-        await again(first, "an operator vouches")
+        await restart(first, "an operator vouches")
         assert "result" in await ask(
             first, "00000000000000a1"
         )  # runs once the other routers have acknowledged this incarnation
@@ -311,14 +311,14 @@
         assert await first.end() == 0
         shutil.copytree(data, tmp_path / "copy")
         await first.journal.start()
-        await again(first, "generation=2 status=it holds all")
+        await restart(first, "generation=2 status=it holds all")
         assert "result" in await ask(first, "00000000000000a2")
         await asyncio.sleep(1.2)
         assert await first.end() == 0
         shutil.rmtree(data)
         shutil.copytree(tmp_path / "copy", data)
         await first.journal.start()
-        await again(first, "it is an older state")
+        await restart(first, "it is an older state")
         runs = len(engine.named("POST"))
         answer = await ask(first, "00000000000000a2")  # it ran in the incarnation that was lost
         assert answer["error"]["code"] == -32000
@@ -326,10 +326,10 @@
         assert "result" in await ask(first, "00000000000000a1")
         assert len(engine.named("POST")) == runs == 2
         await first.kill()
-        await again(first, "nobody outside of it can tell")  # the store was not closed
+        await restart(first, "nobody outside of it can tell")  # the store was not closed
         await first.kill()
         shutil.rmtree(data)
-        await again(first, "another store was in its place")
+        await restart(first, "another store was in its place")
         assert [await router.end() for router in routers] == [0] * 4
         engine.server.close()
 
