--- a/tests/compat/make_data.py
+++ b/tests/compat/make_data.py
@@ -1,11 +1,11 @@
-"""Makes the kept data of this folder. Run on commit 5d63481 only, at the root:
+"""Creates the stored data of this directory. Run on commit 5d63481 only, in the root directory:
 ``PYTHONPATH=.:tests python tests/compat/make_data.py``.
 
-The tests compare what later commits do with what this commit did, so data made anew by a later commit
-prove nothing. What is made: ``store`` and ``marker`` by a router of that commit with stand-in engines,
-``stored.json`` by reading them, ``wire.json`` by encoding the cases of ``test_wire_bytes.py``,
-``simulator.bin.xz`` by letting ``simulated_input.py`` play against the program, and ``replies.json`` by
-hashing its replies.
+The tests compare the behavior of later commits with that of this commit, so data created by a later commit
+would prove nothing. A router of that commit with stand-in engines writes ``store`` and ``marker``;
+``stored.json`` contains what is read from them. ``wire.json`` contains the encoded cases of
+``test_wire_bytes.py``, ``simulator.bin.xz`` the input that ``simulated_input.py`` sends to the program, and
+``replies.json`` the hashes of the replies.
 """
 
 from __future__ import annotations
@@ -44,33 +44,33 @@
 
 
 class Engine(StandInEngine):
-    """Serves loads, but for those whose statement says that they fail, answer at length, or are held."""
+    """Serves loads. Some words in a statement make it fail, return a long answer, or be held."""
 
     def __init__(self) -> None:
         super().__init__(self._script)
-        self.free = asyncio.Event()
+        self.released = asyncio.Event()
 
     async def _script(self, call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
         if b"fails" in call.body or stored.MAY_HAVE_RUN[0] in call.path:
             return http_answer(500)
         if b"long" in call.body:
             return http_answer(200, stored.LONG_ANSWER, X_Sheets="1")
-        held = any(name in call.path for name in (stored.OPEN_ENDED[0], stored.OPEN_LOST[0]))
-        if b"held" in call.body or (held and call.method == "GET" and not self.free.is_set()):
+        is_held = any(name in call.path for name in (stored.OPEN_ENDED[0], stored.OPEN_LOST[0]))
+        if b"held" in call.body or (is_held and call.method == "GET" and not self.released.is_set()):
             await asyncio.sleep(0.1)
             return http_answer(202)
-        if call.method == "POST":  # each its own: the same answer soon after another may be the old one
+        if call.method == "POST":  # distinct answers: an equal one could be an earlier answer
             return http_answer(200, b"rows of " + call.body + b"\n", X_Sheets="1")
         return await one_page(call, writer)
 
 
-async def first_life(folder: Path) -> None:
-    """Loads that end in all ways; the router ends in order."""
+async def run_first_incarnation(folder: Path) -> None:
+    """Run loads with all outcomes; the router shuts down properly."""
     engine = Engine()
     server = MysqlEngine()
 
-    async def lose(what: str) -> None:
-        if what == "executed" and b"key=k2" in server.commands[-1]:
+    async def lose(point: str) -> None:
+        if point == "executed" and b"key=k2" in server.commands[-1]:
             raise Cut
 
     server.fault = lose
@@ -87,7 +87,7 @@
 
 
 def compact(folder: Path) -> None:
-    """All that the first life wrote comes into one compacted segment."""
+    """Compact all that the first incarnation wrote into one segment."""
     store = stored.open_store(folder / "data")
     while store.compact_step(force=True):
         if any(segment.compacted for segment in store.segments) and len(store.segments) <= 2:
@@ -96,7 +96,7 @@
 
 
 async def hold(net: Loopback, engine: Engine, request: tuple[str, str, str]) -> None:
-    """Send a load until the engine has it; the router may refuse it for a while."""
+    """Send a load repeatedly until the engine has it, as the router may reject it at first."""
     name, statement, _ = request
     for _ in range(20):
         client = await net.client()
@@ -108,8 +108,8 @@
     raise TimeoutError(f"{name} was never sent")
 
 
-async def second_life(folder: Path) -> None:
-    """Three loads run while the store and its marker are copied, as a kill would leave them."""
+async def run_second_incarnation(folder: Path) -> None:
+    """Copy the store and its marker while three loads run, in the state that a kill would leave."""
     engine = Engine()
     server = MysqlEngine()
     server.hold = asyncio.Event()
@@ -117,30 +117,30 @@
     files = {"mysql_file": mysql_file(folder, server), "store_file": stored.router_files(folder)}
     async with Loopback(engine, **files) as net:
         client = await net.client()
-        print(await stored.load(client, stored.SECOND_LIFE))
+        print(await stored.load(client, stored.SECOND_INCARNATION))
         mysql = await MysqlClient.connect(net.port(1))
-        held = asyncio.create_task(stored.mysql_load(mysql, stored.MYSQL_OPEN))
+        open_load = asyncio.create_task(stored.mysql_load(mysql, stored.MYSQL_OPEN))
         await asyncio.wait_for(until(lambda: bool(server.running)), 5)
         for request in (stored.OPEN_ENDED, stored.OPEN_LOST):
             await hold(net, engine, request)
         shutil.rmtree(DATA / "store", ignore_errors=True)
         shutil.copytree(folder / "data", DATA / "store", ignore=shutil.ignore_patterns("LOCK"))
         shutil.copyfile(folder / "marker", DATA / "marker")
-        engine.free.set()
+        engine.released.set()
         server.hold.set()
-        await held
+        await open_load
     server.server.close()
 
 
 def fixed_records(folder: Path) -> None:
-    """A retry budget and both snapshots with known contents, as the router writes them from time to time."""
+    """Write a retry budget and both snapshots with known contents, as a router does periodically."""
     store = stored.open_store(folder)
-    words = wire.gather_party(0, 4, 40 * wire.SECOND).bodies(41 * wire.SECOND)
+    gossip_bodies = wire.gather_party(0, 4, 40 * wire.SECOND).bodies(41 * wire.SECOND)
     store.commit(
         [
-            (RETRY_BUDGET, retry_budget.encode(stored.remembered())),
-            (SNAPSHOT, snapshot.write(stored.inherited(), 9, stored.MADE_US)),
-            (SNAPSHOT + b"g", service.snapshot(words, stored.MADE_US)),
+            (RETRY_BUDGET, retry_budget.encode(stored.stored_retry_budget())),
+            (SNAPSHOT, snapshot.write(stored.stored_estimates(), 9, stored.MADE_US)),
+            (SNAPSHOT + b"g", service.snapshot(gossip_bodies, stored.MADE_US)),
         ]
     )
     store.close()
@@ -149,16 +149,16 @@
 
 async def make_stored() -> None:
     with tempfile.TemporaryDirectory() as name:
-        await first_life(Path(name))
+        await run_first_incarnation(Path(name))
         compact(Path(name))
-        await second_life(Path(name))
+        await run_second_incarnation(Path(name))
     fixed_records(DATA / "store")
     found: dict[str, Any] = {}
     with tempfile.TemporaryDirectory() as name:
-        folder = stored.put_back(Path(name))
+        folder = stored.copy_data(Path(name))
         found["store"] = stored.observe_store(folder / "data", folder / "marker")
     with tempfile.TemporaryDirectory() as name:
-        found["router"] = await stored.observe_router(stored.put_back(Path(name)))
+        found["router"] = await stored.observe_router(stored.copy_data(Path(name)))
     with tempfile.TemporaryDirectory() as name:
         found["written"] = stored.written(Path(name))
     write("stored.json", found)
@@ -175,8 +175,8 @@
     )
 
 
-class Feed:
-    """A stream that the simulation fills while the program reads it."""
+class FrameStream:
+    """A stream that the simulation writes while the program reads it."""
 
     def __init__(self) -> None:
         self.frames: queue.Queue[bytes] = queue.Queue()
@@ -199,15 +199,15 @@
         self._reply = b""
         self.replies.put(reply)
 
-    def ask(self, frame: bytes) -> bytes:
+    def exchange(self, frame: bytes) -> bytes:
         self.frames.put(frame)
         return self.replies.get(timeout=20)
 
 
 def program() -> simulated_input.Handler:
-    feed = Feed()
-    threading.Thread(target=host.serve, args=(feed, feed), daemon=True).start()
-    return feed.ask
+    stream = FrameStream()
+    threading.Thread(target=host.serve, args=(stream, stream), daemon=True).start()
+    return stream.exchange
 
 
 def make_replies() -> None:
--- a/tests/contracts/test_store_contract.py
+++ b/tests/contracts/test_store_contract.py
@@ -1,4 +1,4 @@
-"""What every store must keep (docs/contracts.md, S1 to S8), and stores that break one obligation each."""
+"""The obligations of every store (docs/contracts.md, S1 to S8), and stores that break one of them each."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 Contents = dict[bytes, bytes]
 KEYS = st.sampled_from([b"a", b"b", b"c", b"long" * 9])
-Fault: TypeAlias = tuple[str, int, int]  # kind of call, how many do well before, error
+Fault: TypeAlias = tuple[str, int, int]  # operation, number of successful calls before the fault, errno
 FAULTS = st.tuples(
     st.sampled_from(["append", "sync", "create", "rename", "sync_folder"]),
     st.integers(0, 3),
@@ -34,49 +34,52 @@
 
 
 class Medium(Protocol):
-    """What a store lies on, and what may happen to it. ``open`` makes the store that is tested."""
+    """The storage of a store and the faults that can be simulated; ``open`` opens the store under test."""
 
     full: bool  # no byte can be written
-    errs: bool  # a call to the disk is about to fail, or has
+    has_fault: bool  # a call to the disk fails later, or has failed
 
     def open(self) -> Any: ...
 
     def crash(self, keep: str, random: Random) -> Medium:
-        """A machine that lost its power now. Of what was not synced it keeps "all", "none" or "any"; a medium
-        that can lose only the process may keep all."""
+        """The medium after a loss of power.
+
+        ``keep`` decides which unsynced data it contains: "all", "none" or "any". A medium that can simulate
+        only a crash of the process may keep all data.
+        """
 
     def newer(self) -> Medium:
-        """A copy as a later release would have left it."""
+        """A copy in the format of a later release."""
 
-    def lacking(self) -> Medium | None:
-        """A copy without a part that the rest names; None where it has no such part yet."""
+    def incomplete(self) -> Medium | None:
+        """A copy without a file that the manifest names; None if there is no such file yet."""
 
     def state(self) -> object:
-        """All that is there, to compare."""
+        """The complete contents, for comparison."""
 
-    def err(self, fault: Fault) -> None:
-        """The call to the disk after so many of a kind fails, where such can be played."""
+    def inject(self, fault: Fault) -> None:
+        """Make a later call to the disk fail, if the medium supports it."""
 
     def remove(self) -> None: ...
 
 
-class Simulated:
+class SimulatedMedium:
     """The store on the simulated disk."""
 
     def __init__(self, disk: SimDisk | None = None) -> None:
         self.disk = disk or SimDisk()
         self.full = False
-        self.errs = False
+        self.has_fault = False
         self.disk.faults = self._fault
 
-    def err(self, fault: Fault) -> None:
-        self._once = fail_after(*fault)
-        self.errs = True
+    def inject(self, fault: Fault) -> None:
+        self._fail_once = fail_after(*fault)
+        self.has_fault = True
 
-    def _fault(self, what: str, name: str, size: int) -> int:
-        if self.full and what == "append":
+    def _fault(self, operation: str, name: str, size: int) -> int:
+        if self.full and operation == "append":
             return size // 2
-        return self._once(what, name, size) if self.errs else size
+        return self._fail_once(operation, name, size) if self.has_fault else size
 
     def open(self) -> Store:
         return Store.open(self.disk, SMALL)
@@ -91,7 +94,7 @@
     def newer(self) -> Medium:
         return self._copy(MANIFEST=NEWER)
 
-    def lacking(self) -> Medium | None:
+    def incomplete(self) -> Medium | None:
         sealed = manifest.decode(self.disk.read(manifest.NAME)).segments[:-1]
         return self._copy(**{sealed[0].name: None}) if sealed else None
 
@@ -105,31 +108,31 @@
 NEWER = manifest.HEAD.pack(manifest.MAGIC, frame.FORMAT + 1, 0, 0)
 
 
-class TightFolder(Folder):
-    """A folder whose disk can be full."""
+class LimitedFolder(Folder):
+    """A directory whose disk can be full."""
 
     full = False
 
     def create(self, name: str) -> Handle:
         folder = self
 
-        class Tight(FileHandle):
+        class LimitedFile(FileHandle):
             def append(self, data: bytes) -> None:
                 if folder.full:
                     raise OSError(errno.ENOSPC, "No space left on device")
                 super().append(data)
 
-        return Tight(self.path / name)
+        return LimitedFile(self.path / name)
 
 
 class RealFolder:
-    """The store on an ordinary folder; of a machine it can lose the process alone."""
+    """The store in a directory of the file system; only crashes of the process can be simulated."""
 
-    errs = False
+    has_fault = False
 
     def __init__(self, path: Path | None = None) -> None:
         self.path = path or Path(tempfile.mkdtemp())
-        self._folders: list[TightFolder] = []
+        self._folders: list[LimitedFolder] = []
 
     @property
     def full(self) -> bool:
@@ -141,7 +144,7 @@
             folder.full = value
 
     def open(self) -> Store:
-        folder = TightFolder(self.path)
+        folder = LimitedFolder(self.path)
         self._folders.append(folder)
         return Store.open(folder, SMALL)
 
@@ -158,7 +161,7 @@
         (copy.path / manifest.NAME).write_bytes(NEWER)
         return copy
 
-    def lacking(self) -> Medium | None:
+    def incomplete(self) -> Medium | None:
         copy = self._copy()
         sealed = manifest.decode((copy.path / manifest.NAME).read_bytes()).segments[:-1]
         if not sealed:
@@ -170,29 +173,29 @@
     def state(self) -> object:
         return {file.name: file.read_bytes() for file in self.path.iterdir() if file.name != "LOCK"}
 
-    def err(self, fault: Fault) -> None: ...
+    def inject(self, fault: Fault) -> None: ...
 
     def remove(self) -> None:
         shutil.rmtree(self.path)
 
 
 class Memory:
-    """A store in memory, as the contract has it in its shortest form; ``keep`` decides on ``unsynced``."""
+    """The simplest store that meets the contract, in memory; a crash keeps a prefix of ``unsynced``."""
 
     def __init__(self, synced: list[Change] | None = None) -> None:
         self.synced = synced or []
-        self.unsynced: list[Change] = []  # of a commit that failed half way
+        self.unsynced: list[Change] = []  # changes of a commit that was written in part
         self.full = False
-        self.errs = False
+        self.has_fault = False
         self.locked = False
         self.format = 1
-        self.whole = True
+        self.is_complete = True
 
     def open(self) -> Any:
         if self.locked:
             raise StoreInUseError("in use")
-        if self.format > 1 or not self.whole:
-            raise StoreError("not for this program, or not whole")
+        if self.format > 1 or not self.is_complete:
+            raise StoreError("newer format, or incomplete")
         self.locked = True
         return self.store(self)
 
@@ -208,15 +211,15 @@
         copy.format = 2
         return copy
 
-    def lacking(self) -> Medium | None:
+    def incomplete(self) -> Medium | None:
         copy = self._copy()
-        copy.whole = False
+        copy.is_complete = False
         return copy
 
     def state(self) -> object:
         return list(self.synced)
 
-    def err(self, fault: Fault) -> None: ...
+    def inject(self, fault: Fault) -> None: ...
 
     def remove(self) -> None:
         pass
@@ -258,12 +261,12 @@
         self.medium = type(self).make()
         self.random = Random(1)
         self.store = self.medium.open()
-        self.model: Contents = {}  # what was acknowledged
-        self.maybe: list[Contents] = []  # what a crash may bring too: of commits that failed, in order
+        self.model: Contents = {}  # the acknowledged changes
+        self.possible: list[Contents] = []  # further states that a crash may leave, after failed commits
 
     @initialize()
     def begin(self) -> None:
-        held(dict(self.store.items()) == {}, "S2", "a new store holds something")
+        held(dict(self.store.items()) == {}, "S2", "a new store is not empty")
 
     @rule(changes=CHANGES)
     def commit(self, changes: list[Change]) -> None:
@@ -274,29 +277,29 @@
         try:
             self.store.commit(changes)
         except StoreWriteError:
-            held(self.medium.full or self.medium.errs, "S6", "a commit fails though there is room")
-            self.maybe += states[1:]
+            held(self.medium.full or self.medium.has_fault, "S6", "a commit fails although there is space")
+            self.possible += states[1:]
         else:
-            held(not self.medium.full, "S6", "a commit is acknowledged though nothing can be written")
+            held(not self.medium.full, "S6", "a commit is acknowledged although nothing can be written")
             self.model = states[-1]
-            self.maybe = []
+            self.possible = []
 
     @rule(force=st.booleans())
     def compact(self, force: bool) -> None:
         with suppress(StoreWriteError):
             self.store.compact_step(force=force)
-        held(self._contents() == self.model, "S4", "compaction changed what is read")
+        held(self._contents() == self.model, "S4", "compaction changed the contents")
 
     @rule(full=st.booleans())
     def fill(self, full: bool) -> None:
         self.medium.full = full
-        self.medium.errs = self.medium.errs and full
+        self.medium.has_fault = self.medium.has_fault and full
         if not full and self.store.state is StoreState.READ_ONLY:
-            held(self.store.heal(), "S6", "there is room again, and it does not heal")
+            held(self.store.heal(), "S6", "there is space again, but the store stays read-only")
 
     @rule(fault=FAULTS)
-    def err(self, fault: Fault) -> None:
-        self.medium.err(fault)
+    def inject(self, fault: Fault) -> None:
+        self.medium.inject(fault)
 
     @rule(keep=st.sampled_from(("all", "none", "any")))
     def crash(self, keep: str) -> None:
@@ -306,28 +309,28 @@
         old.remove()
         self._open("S1")
         found = self._contents()
-        changed = set().union(*(dict(state.items() ^ self.model.items()) for state in self.maybe))
+        changed = set().union(*(dict(state.items() ^ self.model.items()) for state in self.possible))
         kept = all(found.get(key) == self.model.get(key) for key in found | self.model if key not in changed)
-        held(kept, "S1", f"{self.model} was acknowledged, {found} is there")
-        held(found in [self.model, *self.maybe], "S3", f"{found} never was")
+        held(kept, "S1", f"{self.model} was acknowledged, but the store holds {found}")
+        held(found in [self.model, *self.possible], "S3", f"{found} is no state of the history")
         self.model = found
-        self.maybe = []
+        self.possible = []
 
     @rule(changes=CHANGES, keep=st.sampled_from(("all", "none", "any")))
     def cut(self, changes: list[Change], keep: str) -> None:
-        """A commit that finds no room, and then a crash."""
+        """A commit fails on a full disk, and then the machine crashes."""
         self.fill(True)
         self.commit(changes)
         self.crash(keep)
 
     @rule()
-    @precondition(lambda self: not (self.medium.full or self.medium.errs))
+    @precondition(lambda self: not (self.medium.full or self.medium.has_fault))
     def reopen(self) -> None:
         for _ in range(2):
             self.store.close()
             self._open("S7")
-            held(self._contents() == self.model, "S7", "it is not the same after it was closed")
-        self.maybe = []  # opening has cut it off
+            held(self._contents() == self.model, "S7", "the contents changed when the store was closed")
+        self.possible = []  # opening cuts off failed commits
 
     @rule()
     def open_twice(self) -> None:
@@ -335,41 +338,41 @@
             self.medium.open()
         except StoreInUseError:
             return
-        raise Broken("S5", "a second one has it open")
+        raise Broken("S5", "the store is open twice")
 
     @rule(key=KEYS)
-    def look(self, key: bytes) -> None:
-        held(self.store.get(key) == self.model.get(key), "S2", "another value than the last one")
+    def read_value(self, key: bytes) -> None:
+        held(self.store.get(key) == self.model.get(key), "S2", "the value is not the last one written")
 
     @rule()
-    def refuse(self) -> None:
-        for medium in (self.medium.newer(), self.medium.lacking()):
+    def open_invalid(self) -> None:
+        for medium in (self.medium.newer(), self.medium.incomplete()):
             if medium is not None:
                 before = medium.state()
                 try:
                     medium.open()
                 except StoreError:
-                    held(medium.state() == before, "S8", "what it refused, it changed")
+                    held(medium.state() == before, "S8", "a failed opening changed the files")
                 else:
-                    raise Broken("S8", "it opens what is newer, or not whole")
+                    raise Broken("S8", "a store of a newer format or an incomplete store was opened")
                 medium.remove()
 
     @invariant()
-    def it_holds_what_was_acknowledged(self) -> None:
-        held(self._contents() == self.model, "S2", f"want {self.model}, {self._contents()} is there")
+    def acknowledged_changes_are_stored(self) -> None:
+        held(self._contents() == self.model, "S2", f"want {self.model}; got {self._contents()}")
         if isinstance(self.store, Store):
             held(
                 self.store.live_bytes
                 == sum(frame.FRAME_BYTES + len(key) + len(value) for key, value in self.model.items()),
                 "S2",
-                "it counts others",
+                "the number of live bytes is wrong",
             )
 
     def _open(self, number: str) -> None:
         try:
             self.store = self.medium.open()
         except StoreError as problem:
-            raise Broken(number, f"it cannot be opened any more: {problem}") from None
+            raise Broken(number, f"the store cannot be opened any more: {problem}") from None
 
     def _contents(self) -> Contents:
         return dict(self.store.items())
@@ -379,8 +382,8 @@
         self.medium.remove()
 
 
-STORES: dict[str, tuple[Callable[[], Medium], int]] = {  # how it is made, and how many histories
-    "simulated disk": (Simulated, 150),
+STORES: dict[str, tuple[Callable[[], Medium], int]] = {  # factory of the medium, number of histories
+    "simulated disk": (SimulatedMedium, 150),
     "folder": (RealFolder, 6),
     "memory": (Memory, 20),
 }
@@ -389,77 +392,77 @@
 # Broken stores
 
 
-class NoSync(Simulated):
-    """S1: its files are never synced."""
+class NoSync(SimulatedMedium):
+    """S1: files are never synced."""
 
     def __init__(self, disk: SimDisk | None = None) -> None:
         super().__init__(disk)
         create = self.disk.create
 
-        def created(name: str) -> SimHandle:
+        def create_without_sync(name: str) -> SimHandle:
             handle = create(name)
             handle.sync = lambda: None  # type: ignore[method-assign]
             return handle
 
-        self.disk.create = created  # type: ignore[method-assign]
+        self.disk.create = create_without_sync  # type: ignore[method-assign]
 
 
-class NoFolderSync(Simulated):
-    """S1: new names are never synced."""
+class NoFolderSync(SimulatedMedium):
+    """S1: directory entries are never synced."""
 
     def __init__(self, disk: SimDisk | None = None) -> None:
         super().__init__(disk)
         self.disk.sync_folder = lambda: None  # type: ignore[method-assign]
 
 
-class LiesWhenFull(Simulated):
-    """S6: what could not be written is told as done."""
+class AcknowledgesWhenFull(SimulatedMedium):
+    """S6: a commit that could not be written is acknowledged."""
 
     def open(self) -> Store:
         store = super().open()
         commit = store.commit
 
-        def quiet(changes: list[Change], use_reserve: bool = False) -> None:
+        def commit_without_error(changes: list[Change], use_reserve: bool = False) -> None:
             with suppress(StoreWriteError):
                 commit(changes, use_reserve)
 
-        store.commit = quiet  # type: ignore[method-assign]
+        store.commit = commit_without_error  # type: ignore[method-assign]
         return store
 
 
-class NoLock(Simulated):
-    """S5: a second opener is let in."""
+class NoLock(SimulatedMedium):
+    """S5: a second process can open the store."""
 
     def open(self) -> Store:
         self.disk.locked = False
         return super().open()
 
 
-class ClosesForGood(Simulated):
-    """S7: closing it loses what it held."""
+class LosesContentsOnClose(SimulatedMedium):
+    """S7: closing the store loses its contents."""
 
     def open(self) -> Store:
         store = super().open()
         close = store.close
 
-        def closed() -> None:
+        def close_and_clear() -> None:
             close()
             self.disk.files.clear()
 
-        store.close = closed  # type: ignore[method-assign]
+        store.close = close_and_clear  # type: ignore[method-assign]
         return store
 
 
 class FirstValueWins(Memory):
-    """S2: an older value comes back."""
+    """S2: an older value replaces a newer one."""
 
     class store(Memory.store):  # noqa: N801
         def items(self) -> Iterator[tuple[bytes, bytes]]:
             return iter({k: v for k, v in reversed(self.medium.synced) if v is not None}.items())
 
 
-class LaterFirst(Memory):
-    """S3: of a commit that was cut the last changes are there without the first."""
+class LosesFirstChange(Memory):
+    """S3: after a crash, an interrupted commit has its last changes without the first."""
 
     def crash(self, keep: str, random: Random) -> Medium:
         return type(self)(self.synced + self.unsynced[1:])
@@ -472,7 +475,7 @@
             super().commit(changes, use_reserve)
 
 
-class CompactionRevives(Memory):
+class CompactionRestoresDeleted(Memory):
     """S4: compaction forgets that a key was deleted."""
 
     class store(Memory.store):  # noqa: N801
@@ -482,14 +485,14 @@
 
 
 class ReadsAnyFormat(Memory):
-    """S8: it opens what a later release wrote."""
+    """S8: a store of a later release is opened."""
 
     def newer(self) -> Medium:
         return self._copy()
 
 
-class ChangesWhatItRefuses(Simulated):
-    """S8: it clears up before it has read."""
+class ChangesInvalidStore(SimulatedMedium):
+    """S8: files are removed before the store is read."""
 
     def open(self) -> Store:
         self.disk.remove(next(iter(self.disk.files))) if manifest.NAME in self.disk.files and (
@@ -501,16 +504,16 @@
 BROKEN = (
     NoSync,
     NoFolderSync,
-    LiesWhenFull,
+    AcknowledgesWhenFull,
     NoLock,
-    ClosesForGood,
+    LosesContentsOnClose,
     FirstValueWins,
-    LaterFirst,
-    CompactionRevives,
+    LosesFirstChange,
+    CompactionRestoresDeleted,
     ReadsAnyFormat,
-    ChangesWhatItRefuses,
+    ChangesInvalidStore,
 )
 
-test_a_store_keeps_its_contract, test_the_contract_finds_the_broken_obligation = suite(
+test_each_store_meets_the_contract, test_the_contract_finds_the_broken_obligation = suite(
     StoreContract, STORES, BROKEN
 )
--- a/tests/obligations.py
+++ b/tests/obligations.py
@@ -1,5 +1,8 @@
-"""What the contracts of ``tests/contracts`` share: an obligation that is not met says its number, and a
-machine that hypothesis drives is run until it finds one."""
+"""Helpers for the contracts in ``tests/contracts``.
+
+A contract is a state machine that hypothesis runs. Its checks raise ``Broken`` with the number of the
+obligation that is not met.
+"""
 
 from __future__ import annotations
 
@@ -14,14 +17,15 @@
 class Broken(AssertionError):
     """An obligation is not met."""
 
-    def __init__(self, number: str, told: str) -> None:
-        super().__init__(f"{number}: {told}")
+    def __init__(self, number: str, reason: str) -> None:
+        super().__init__(f"{number}: {reason}")
         self.number = number
 
 
-def held(kept: object, number: str, told: str = "") -> None:
-    if not kept:
-        raise Broken(number, told)
+def held(is_met: object, number: str, reason: str = "") -> None:
+    """Raise ``Broken`` if an obligation is not met."""
+    if not is_met:
+        raise Broken(number, reason)
 
 
 def keeps(
@@ -30,7 +34,7 @@
     steps: int = 30,
     phases: tuple[Phase, ...] = (Phase.generate, Phase.shrink),
 ) -> None:
-    """Drive a machine with the same choices every time; raises what it finds, made small."""
+    """Run a state machine with the same choices every time; raises the failure in its shortest form."""
     run_state_machine_as_test(
         machine,
         settings=settings(
@@ -46,7 +50,7 @@
 
 
 def found_by(run: Callable[[], object]) -> str:
-    """The number of the obligation that a run finds broken; "" for none."""
+    """The number of the obligation that a run finds broken; empty if there is none."""
     try:
         run()
     except Broken as broken:
@@ -55,8 +59,11 @@
 
 
 def found_in(machine: type[RuleBasedStateMachine], examples: int = 1000, steps: int = 30) -> str:
-    """It stops at the first. Far more examples than are usual: hypothesis takes constants of all modules
-    that were loaded into its draws, so they differ with what the same process tested before."""
+    """The number of the first obligation that a state machine finds broken.
+
+    The number of examples is much larger than usual: hypothesis draws constants from all loaded modules, so
+    the examples depend on the tests that the same process ran before.
+    """
     return found_by(lambda: keeps(machine, examples, steps, (Phase.generate,)))
 
 
@@ -65,30 +72,39 @@
     implementations: Mapping[str, tuple[Any, int]],
     faulty: Iterable[type],
     steps: int = 30,
-    broken: Callable[[type], Any] = lambda part: part,
+    broken: Callable[[type], Any] = lambda component: component,
 ) -> tuple[Callable[..., None], Callable[..., None]]:
-    """The two tests of a contract: each implementation keeps it in so many histories, and each faulty part,
-    made an implementation by ``broken``, breaks the obligation that its docstring begins with. A contract
-    takes what it drives from its ``make``; without one the implementations are machines themselves."""
+    """Create the two tests of a contract.
+
+    The first checks that each implementation meets the contract, in the given number of histories. The second
+    checks that each faulty component breaks the obligation whose number its docstring begins with; ``broken``
+    makes an implementation of the component. A contract creates the object under test with its ``make``;
+    if ``contract`` is None, the implementations are state machines themselves.
+    """
 
     def machine(make: Any) -> type[RuleBasedStateMachine]:
         return type("Machine", (contract,), {"make": staticmethod(make)}) if contract else make
 
     @pytest.mark.parametrize("name", implementations)
-    def keeps_it(name: str) -> None:
+    def test_implementation(name: str) -> None:
         make, examples = implementations[name]
         keeps(machine(make), examples, steps)
 
-    @pytest.mark.parametrize("part", faulty, ids=lambda part: part.__name__)
-    def is_found(part: type) -> None:
+    @pytest.mark.parametrize("part", faulty, ids=lambda component: component.__name__)
+    def test_faulty_component(part: type) -> None:
         assert part.__doc__ is not None
         assert found_in(machine(broken(part)), steps=steps) == part.__doc__[:2]
 
-    return keeps_it, is_found
+    return test_implementation, test_faulty_component
+
 
+def with_part(component: type, places: Iterable[tuple[type, type, str]]) -> type:
+    """A subclass of the class that uses this kind of component, with the component in place of its own.
 
-def with_part(part: type, places: Iterable[tuple[type, type, str]]) -> type:
-    """A subclass of the first of ``places`` whose kind of part it is, with the part in it."""
+    ``places`` lists classes that use a component, the base class of the component, and its attribute.
+    """
     return next(
-        type(part.__name__, (base,), {name: part}) for base, of, name in places if issubclass(part, of)
+        type(component.__name__, (owner,), {name: component})
+        for owner, base, name in places
+        if issubclass(component, base)
     )
