--- a/slipbay/cli/store.py
+++ b/slipbay/cli/store.py
@@ -27,11 +27,11 @@
 def _survey(directory: Path) -> Any:
     try:
         from slipbay.store.disk import Folder
-        from slipbay.store.inspect import survey
+        from slipbay.store.inspect import inspect_store
     except ImportError as problem:
         fail(f"this wants the extra packages of slipbay[store]: {problem}")
     try:
-        return survey(Folder(directory, writable=False))
+        return inspect_store(Folder(directory, writable=False))
     except OSError as problem:
         fail(f"{problem.filename}: {problem.strerror}")
 
--- a/slipbay/core/dispatcher.py
+++ b/slipbay/core/dispatcher.py
@@ -298,14 +298,14 @@
     def _apply_reject(self, action: Reject, now_us: int) -> None:
         request = self.requests.get(action.query)
         if request is not None:
-            late = now_us >= request.deadline_us - ANSWER_GRACE_US
-            self._answer(request, Rejected(action.retry_after_us, late))
+            deadline_passed = now_us >= request.deadline_us - ANSWER_GRACE_US
+            self._answer(request, Rejected(action.retry_after_us, deadline_passed))
 
     def _apply_fail(self, action: Fail, now_us: int) -> None:
         request = self.requests.get(action.query)
         if request is not None:
-            late = now_us >= request.deadline_us - ANSWER_GRACE_US
-            self._answer(request, Failed(QUERY_FAILED, late))
+            deadline_passed = now_us >= request.deadline_us - ANSWER_GRACE_US
+            self._answer(request, Failed(QUERY_FAILED, deadline_passed))
 
     def _apply_set_timer(self, action: SetTimer, _now_us: int) -> None:
         token = action.token
@@ -361,7 +361,7 @@
                 request=request.name,
                 class_=request.service_class,
             )
-            self._answer(request, Failed("the deadline has passed", late=True))
+            self._answer(request, Failed("the deadline has passed", deadline_passed=True))
             self.notify(ClientDisconnected(request.id))
             for attempt in list(request.in_flight.values()):
                 self._stop(attempt, Outcome.CANCELLED)
--- a/slipbay/core/model.py
+++ b/slipbay/core/model.py
@@ -22,7 +22,7 @@
 class ScatteredParts:
     """The parts of a scattered query, as table groups in the order in which the client requested them."""
 
-    asked: tuple[int, ...]
+    requested: tuple[int, ...]
     present: tuple[int, ...]  # complete in the result, which holds them in this order
     missing: tuple[int, ...]  # not in the result
 
@@ -40,7 +40,7 @@
     """The request did not run, so the client may safely retry it, preferably after ``retry_after_us``."""
 
     retry_after_us: int = 0
-    late: bool = False  # the deadline has passed
+    deadline_passed: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -48,8 +48,8 @@
     """The request failed; whether it had an effect is unknown."""
 
     reason: str
-    late: bool = False  # the deadline has passed
-    misuse: bool = False  # the client sent an invalid request
+    deadline_passed: bool = False
+    is_client_error: bool = False  # the client sent an invalid request
 
 
 Answer: TypeAlias = Served | Rejected | Failed
--- a/slipbay/frontends/jsonrpc.py
+++ b/slipbay/frontends/jsonrpc.py
@@ -212,11 +212,11 @@
                 self.write(
                     jsonrpc.result(id, result)
                     if parts is None
-                    else jsonrpc.gathered(id, result, parts.asked, parts.present, parts.missing)
+                    else jsonrpc.gathered(id, result, parts.requested, parts.present, parts.missing)
                 )
             case Rejected(retry_after_us, _):
                 self.write(jsonrpc.error(id, jsonrpc.REFUSED, "refused for now", retry_after_us // 1000))
-            case Failed(reason, misuse=True):
+            case Failed(reason, is_client_error=True):
                 self.write(jsonrpc.error(id, jsonrpc.INVALID_PARAMS, reason))
             case Failed(reason):
                 self.write(jsonrpc.error(id, jsonrpc.FAILED, reason))
--- a/slipbay/frontends/mysql.py
+++ b/slipbay/frontends/mysql.py
@@ -501,7 +501,7 @@
                 self._send(mysql.prepared(self._last_statement, told), sequence + 1)
             case Served(list() as payloads):
                 self._send(payloads, sequence + 1)
-            case Rejected(retry_after_us, late=True):
+            case Rejected(retry_after_us, deadline_passed=True):
                 self._error(
                     sequence,
                     mysql.ER_QUERY_TIMEOUT,
@@ -513,9 +513,9 @@
                     mysql.ER_REFUSED,
                     f"Refused for now; nothing ran, retry after {retry_after_us // 1000} ms",
                 )
-            case Failed(_, late=True):
+            case Failed(_, deadline_passed=True):
                 self._error(sequence, mysql.ER_QUERY_TIMEOUT, "The deadline has passed")
-            case Failed(reason, misuse=True):
+            case Failed(reason, is_client_error=True):
                 self._error(sequence, mysql.ER_WRONG_ARGUMENTS, reason)
             case Failed(reason) if request.idempotency_key and reason != QUERY_FAILED:
                 self._error(sequence, mysql.ER_FAILED, f"The statement failed: {reason}")
--- a/slipbay/idempotency/request_guard.py
+++ b/slipbay/idempotency/request_guard.py
@@ -148,7 +148,7 @@
                 self._ledger_writer.write(ledger.mark_client_notified(ledger.records[key]))
                 self._answer_soon(request, Failed(MAY_HAVE_RUN))
             case KeyDecision.CONFLICT:
-                self._answer_soon(request, Failed(OTHER_STATEMENT, misuse=True))
+                self._answer_soon(request, Failed(OTHER_STATEMENT, is_client_error=True))
             case KeyDecision.NO_ROOM:
                 log("unsafe", "the number of keys has reached the limit in store.toml; new keys are rejected")
                 self._answer_soon(request, Rejected(self.config.later_us))
--- a/slipbay/idempotency/waiting_requests.py
+++ b/slipbay/idempotency/waiting_requests.py
@@ -84,4 +84,6 @@
         self.remove(request)
         if not request.finished:
             request.finished = True
-            request.client.answered(request, Failed("the deadline has passed; it may have run", late=True))
+            request.client.answered(
+                request, Failed("the deadline has passed; it may have run", deadline_passed=True)
+            )
--- a/slipbay/store/inspect.py
+++ b/slipbay/store/inspect.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Survey:
+class Inspection:
     """The contents of a store's directory."""
 
     segments: tuple[Segment, ...] = ()
@@ -36,7 +36,7 @@
         return TORN_END if self.torn_bytes else VALID
 
 
-def survey(disk: Disk) -> Survey:
+def inspect_store(disk: Disk) -> Inspection:
     """Read a whole store.
 
     Faults of the store are reported in ``problem``. Raises ``OSError`` if the directory cannot be read.
@@ -56,8 +56,8 @@
         return -1
 
 
-def _read_once(disk: Disk) -> Survey:
-    found = Survey()
+def _read_once(disk: Disk) -> Inspection:
+    found = Inspection()
     names = disk.names()
     try:
         if manifest.NAME not in names:
@@ -70,7 +70,7 @@
     return found
 
 
-def _classify_files(found: Survey, current: Manifest, names: list[str]) -> None:
+def _classify_files(found: Inspection, current: Manifest, names: list[str]) -> None:
     kept = {segment.name for segment in current.segments}
     found.segments = current.segments
     found.orphans = [name for name in names if manifest.is_store_file(name) and name not in kept]
@@ -79,7 +79,7 @@
     ]
 
 
-def _read_records(found: Survey, disk: Disk, current: Manifest, names: list[str]) -> None:
+def _read_records(found: Inspection, disk: Disk, current: Manifest, names: list[str]) -> None:
     for chunk in scan_segments(disk, current, names):
         for record in chunk.scan.records:
             if record.value is None:
--- a/tests/compat/test_stored_data.py
+++ b/tests/compat/test_stored_data.py
@@ -28,7 +28,7 @@
 from slipbay.scatter_gather import service
 from slipbay.store.disk import Folder
 from slipbay.store.engine import Store
-from slipbay.store.inspect import survey
+from slipbay.store.inspect import inspect_store
 from slipbay.store.marker import Marker
 from slipbay.store.plan import Bounds
 from slipbay.warmup import snapshot
@@ -186,7 +186,7 @@
 
 def raw_of(folder: Path) -> dict[str, Any]:
     """The store as ``slipbay store`` commands read it without opening it."""
-    found = survey(Folder(folder, writable=False))
+    found = inspect_store(Folder(folder, writable=False))
     return {
         "problem": found.problem,
         "sequence": found.sequence,
--- a/tests/contracts/test_exchange_contract.py
+++ b/tests/contracts/test_exchange_contract.py
@@ -11,7 +11,7 @@
 from exchange_models import Check, Draw, EmulatedModel, HastyModel, HttpModel, Model, Moves, MysqlModel
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-from obligations import held, suite, with_part
+from obligations import held, suite, with_component
 
 from slipbay.backends import pool
 from slipbay.backends.http_connection import HttpConnection
@@ -259,5 +259,5 @@
 )
 
 test_an_exchange_keeps_the_contract, test_the_contract_finds_the_broken_obligation = suite(
-    ExchangeContract, EXCHANGES, BROKEN, 40, lambda part: with_part(part, PLACES)
+    ExchangeContract, EXCHANGES, BROKEN, 40, lambda part: with_component(part, PLACES)
 )
--- a/tests/contracts/test_front_contract.py
+++ b/tests/contracts/test_front_contract.py
@@ -13,7 +13,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 from loopback import TXN
 from mysql_standins import EOF, column, packet, text
-from obligations import held, suite, with_part
+from obligations import held, suite, with_component
 
 from slipbay.config.model import Limits
 from slipbay.core.model import Answer, Failed, Rejected, Request, Served
@@ -228,7 +228,7 @@
             (
                 Rejected(250_000),
                 Failed("x"),
-                Failed("x", late=True),
+                Failed("x", deadline_passed=True),
                 Served([b"\1", column("a"), EOF, text("x"), EOF]),
             )
         )
@@ -304,5 +304,5 @@
 PLACES = ((JsonRpc, JsonRpcConnection, "kind"), (Mysql, MysqlConnection, "kind"))
 
 test_a_front_keeps_the_contract, test_the_contract_finds_the_broken_obligation = suite(
-    None, FRONTS, BROKEN, 40, lambda part: with_part(part, PLACES)
+    None, FRONTS, BROKEN, 40, lambda part: with_component(part, PLACES)
 )
--- a/tests/contracts/test_time_contract.py
+++ b/tests/contracts/test_time_contract.py
@@ -11,7 +11,7 @@
 from fakes import FakeLoop
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
-from obligations import held, suite, with_part
+from obligations import held, suite, with_component
 
 from slipbay.clock import Clock
 from slipbay.core import timers as timers_module
@@ -325,5 +325,5 @@
 )
 
 test_a_clock_with_its_timers_keeps_the_contract, test_the_contract_finds_the_broken_obligation = suite(
-    TimeContract, TIMES, BROKEN, broken=lambda part: with_part(part, PLACES)
+    TimeContract, TIMES, BROKEN, broken=lambda part: with_component(part, PLACES)
 )
--- a/tests/kill_sweep.py
+++ b/tests/kill_sweep.py
@@ -23,7 +23,7 @@
 
 from slipbay.idempotency.request_guard import EARLIER
 from slipbay.store.disk import Folder
-from slipbay.store.inspect import survey
+from slipbay.store.inspect import inspect_store
 
 Attempt = Callable[[RouterProcess, str, int], Awaitable[bool]]
 
@@ -152,7 +152,7 @@
         await asyncio.gather(*clients)
         if await self.router.end() != 0:
             self.result.faults.append("the router did not end with 0")
-        found = survey(Folder(self._folder / "data"))
+        found = inspect_store(Folder(self._folder / "data"))
         if found.exit_code:
             self.result.faults.append(f"the store is not valid: {found.problem}")
         self.http.server.close()
--- a/tests/obligations.py
+++ b/tests/obligations.py
@@ -28,7 +28,7 @@
         raise Broken(number, reason)
 
 
-def keeps(
+def run_contract(
     machine: type[RuleBasedStateMachine],
     examples: int,
     steps: int = 30,
@@ -49,7 +49,7 @@
     )
 
 
-def found_by(run: Callable[[], object]) -> str:
+def broken_obligation(run: Callable[[], object]) -> str:
     """The number of the obligation that a run finds broken; empty if there is none."""
     try:
         run()
@@ -58,13 +58,15 @@
     return ""
 
 
-def found_in(machine: type[RuleBasedStateMachine], examples: int = 1000, steps: int = 30) -> str:
+def first_broken_obligation(
+    machine: type[RuleBasedStateMachine], examples: int = 1000, steps: int = 30
+) -> str:
     """The number of the first obligation that a state machine finds broken.
 
     The number of examples is much larger than usual: hypothesis draws constants from all loaded modules, so
     the examples depend on the tests that the same process ran before.
     """
-    return found_by(lambda: keeps(machine, examples, steps, (Phase.generate,)))
+    return broken_obligation(lambda: run_contract(machine, examples, steps, (Phase.generate,)))
 
 
 def suite(
@@ -88,17 +90,17 @@
     @pytest.mark.parametrize("name", implementations)
     def test_implementation(name: str) -> None:
         make, examples = implementations[name]
-        keeps(machine(make), examples, steps)
+        run_contract(machine(make), examples, steps)
 
     @pytest.mark.parametrize("part", faulty, ids=lambda component: component.__name__)
     def test_faulty_component(part: type) -> None:
         assert part.__doc__ is not None
-        assert found_in(machine(broken(part)), steps=steps) == part.__doc__[:2]
+        assert first_broken_obligation(machine(broken(part)), steps=steps) == part.__doc__[:2]
 
     return test_implementation, test_faulty_component
 
 
-def with_part(component: type, places: Iterable[tuple[type, type, str]]) -> type:
+def with_component(component: type, places: Iterable[tuple[type, type, str]]) -> type:
     """A subclass of the class that uses this kind of component, with the component in place of its own.
 
     ``places`` lists classes that use a component, the base class of the component, and its attribute.
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -20,7 +20,7 @@
 
 import slipbay.idempotency.store_opening
 from slipbay.store.disk import Folder
-from slipbay.store.inspect import survey
+from slipbay.store.inspect import inspect_store
 
 TXN = "00000000000000aa"
 
@@ -244,7 +244,7 @@
             assert "result" not in await load(await net.client())  # the answer was lost when the write failed
             disk.is_full = False
             await until(lambda: coordinator.is_ready and not coordinator._ledger_writer.unwritten)
-        records = survey(disk).records
+        records = inspect_store(disk).records
         assert [b"served" in value for value in records.values()] == [True]
         assert engine.loads() == 1
 
@@ -342,7 +342,7 @@
         assert "result" in await client.answer()
         assert engine.loads() == 1
         assert await router.end() == 0
-        assert survey(Folder(tmp_path / "data")).exit_code == 0
+        assert inspect_store(Folder(tmp_path / "data")).exit_code == 0
         engine.server.close()
 
     run(test)
@@ -373,7 +373,8 @@
         assert engine.killed == []
         await until(
             lambda: any(
-                b"may have run" in value for value in survey(Folder(tmp_path / "data")).records.values()
+                b"may have run" in value
+                for value in inspect_store(Folder(tmp_path / "data")).records.values()
             )
         )  # the outcome is stored
         await router.kill()
@@ -436,7 +437,7 @@
             assert len(ledger.records) == 1
             coordinator._ledger.advance_clock(ledger._now + 4_000_000)  # type: ignore[union-attr]
             await until(lambda: not ledger.records)
-        assert survey(Folder(tmp_path / "data")).records == {}
+        assert inspect_store(Folder(tmp_path / "data")).records == {}
 
     run(test)
 
--- a/tests/test_scatter.py
+++ b/tests/test_scatter.py
@@ -232,7 +232,7 @@
     host.act()
     if isinstance(verdict, AnswerNow | Abort) and not host.answers:
         host.scatterer.open[next(iter(host.scatterer.open))].heed(verdict, host.loop.us)
-    host.done(Failed(f"{whole} of 4 parts came in time, which is too few", late=True))
+    host.done(Failed(f"{whole} of 4 parts came in time, which is too few", deadline_passed=True))
 
 
 def test_a_moment_that_waits_for_ever_is_ended_at_the_latest_time_and_looked_at_when_it_asked() -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -33,7 +33,7 @@
     StoreInUseError,
     StoreWriteError,
 )
-from slipbay.store.inspect import survey
+from slipbay.store.inspect import inspect_store
 from slipbay.store.writer import Writer
 
 SMALL = plan.Bounds(segment_bytes=400, max_bytes=100_000)
@@ -258,7 +258,7 @@
         if at < len(whole) - last:
             with pytest.raises(DamagedStoreError, match=f"{name}: byte"):
                 Store.open(SimDisk(files))
-            assert survey(SimDisk(files)).exit_code == 2
+            assert inspect_store(SimDisk(files)).exit_code == 2
         else:  # in the last commit, damage cannot be distinguished from a torn end
             assert len(Store.open(SimDisk(files))) == 19
 
@@ -342,7 +342,7 @@
     with pytest.raises(StoreInUseError):
         Store.open(Folder(tmp_path))
     store.commit([(b"a", b"1")])
-    assert survey(Folder(tmp_path, writable=False)).records == {b"a": b"1"}  # reading needs no lock
+    assert inspect_store(Folder(tmp_path, writable=False)).records == {b"a": b"1"}  # reading needs no lock
     store.close()
     assert contents(Store.open(Folder(tmp_path))) == {b"a": b"1"}
     assert stat.S_IMODE((tmp_path / "MANIFEST").stat().st_mode) == 0o600
@@ -388,14 +388,14 @@
     history = scripted()
     files = {name: bytes(file.data) for name, file in history.disk.files.items()}
     active = history.store.segments[-1].name
-    assert survey(SimDisk(files)).exit_code == 0
-    assert survey(SimDisk(files)).records == history.states[-1]
+    assert inspect_store(SimDisk(files)).exit_code == 0
+    assert inspect_store(SimDisk(files)).records == history.states[-1]
     disk = SimDisk({**files, active: files[active][:-1], "x": b"", "00000077.seg": b""})
-    found = survey(disk)
+    found = inspect_store(disk)
     assert (found.exit_code, found.orphans, found.foreign) == (1, ["00000077.seg"], ["x"])
     assert found.torn_bytes
     assert not disk.ops
-    assert survey(SimDisk({})).problem == "MANIFEST: it is missing; this folder holds no store"
+    assert inspect_store(SimDisk({})).problem == "MANIFEST: it is missing; this folder holds no store"
 
 
 # The writer
