--- a/slipbay/core/dispatcher.py
+++ b/slipbay/core/dispatcher.py
@@ -128,15 +128,15 @@
             or self.idempotency_guard is None
             or self.idempotency_guard.admit(request)
         ):
-            self._open(request)
+            self._open_request(request)
 
     def resubmit(self, request: Request) -> None:
         """Accept a request that waited in the idempotency guard until now."""
         request.expires_in_us = max(1, request.deadline_us - self.clock.now())
         if self.idempotency_guard is None or self.idempotency_guard.admit(request):
-            self._open(request)
+            self._open_request(request)
 
-    def _open(self, request: Request) -> None:
+    def _open_request(self, request: Request) -> None:
         if not self.has_room(1, request.size_bytes):
             self.reject(request, self.settings.max_retry_after_us // 2)
             return
@@ -189,16 +189,16 @@
     def abandon(self, request: Request) -> None:
         """End a request that no client waits for."""
         if not request.finished:
-            self._finish(request)
+            self._finish_request(request)
             self.notify(ClientDisconnected(request.id))
 
     def reject_unsent(self, attempt: Attempt, retry_after_us: int) -> None:
         """Reject the request of an attempt that may not be sent, and stop the attempt; nothing has run."""
         request = attempt.request
         if not request.finished:
-            self._answer(request, Rejected(retry_after_us))
+            self._answer_request(request, Rejected(retry_after_us))
             self.notify(ClientDisconnected(request.id))
-        self._stop(attempt, Outcome.CANCELLED)
+        self._stop_attempt(attempt, Outcome.CANCELLED)
 
     # From attempts
 
@@ -233,7 +233,7 @@
         if not outcome.proves_not_run and request.may_have_run_since_us is None:
             request.may_have_run_since_us = attempt.sent_us
         if outcome is Outcome.OK:
-            self._answer(request, Served(result))
+            self._answer_request(request, Served(result))
         self.notify(
             AttemptEnded(
                 request.id,
@@ -244,7 +244,7 @@
                 request.finished,
             )
         )
-        self._forget(request)
+        self._remove_if_done(request)
 
     # Events and actions of the policy
 
@@ -268,7 +268,7 @@
         finally:
             self._is_applying_actions = False
             while self._finished_parts:
-                self._forget(self._finished_parts.pop())
+                self._remove_if_done(self._finished_parts.pop())
 
     def _apply_dispatch(self, action: Dispatch, now_us: int) -> None:
         request = self.requests.get(action.query)
@@ -282,7 +282,7 @@
             return
         if action.limit_us > 0:
             attempt.time_limit = self.timers.at(
-                now_us + action.limit_us, lambda: self._stop(attempt, Outcome.TIMEOUT)
+                now_us + action.limit_us, lambda: self._stop_attempt(attempt, Outcome.TIMEOUT)
             )
         if self.idempotency_guard is not None:
             self.idempotency_guard.dispatched(attempt)
@@ -293,19 +293,19 @@
     def _apply_cancel(self, action: Cancel, _now_us: int) -> None:
         request = self.requests.get(action.query)
         if request is not None and action.attempt in request.in_flight:
-            self._stop(request.in_flight[action.attempt], Outcome.CANCELLED)
+            self._stop_attempt(request.in_flight[action.attempt], Outcome.CANCELLED)
 
     def _apply_reject(self, action: Reject, now_us: int) -> None:
         request = self.requests.get(action.query)
         if request is not None:
             deadline_passed = now_us >= request.deadline_us - ANSWER_GRACE_US
-            self._answer(request, Rejected(action.retry_after_us, deadline_passed))
+            self._answer_request(request, Rejected(action.retry_after_us, deadline_passed))
 
     def _apply_fail(self, action: Fail, now_us: int) -> None:
         request = self.requests.get(action.query)
         if request is not None:
             deadline_passed = now_us >= request.deadline_us - ANSWER_GRACE_US
-            self._answer(request, Failed(QUERY_FAILED, deadline_passed))
+            self._answer_request(request, Failed(QUERY_FAILED, deadline_passed))
 
     def _apply_set_timer(self, action: SetTimer, _now_us: int) -> None:
         token = action.token
@@ -344,7 +344,7 @@
     def _apply_nothing(self, action: WatchList | FetchList, _now_us: int) -> None:
         """Ignore the action: the endpoint watch reports all changes unrequested and reconnects by itself."""
 
-    def _stop(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _stop_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
         if attempt.exchange is not None and not attempt.finished:
             attempt.exchange.stop(outcome)
 
@@ -361,14 +361,14 @@
                 request=request.name,
                 class_=request.service_class,
             )
-            self._answer(request, Failed("the deadline has passed", deadline_passed=True))
+            self._answer_request(request, Failed("the deadline has passed", deadline_passed=True))
             self.notify(ClientDisconnected(request.id))
             for attempt in list(request.in_flight.values()):
-                self._stop(attempt, Outcome.CANCELLED)
+                self._stop_attempt(attempt, Outcome.CANCELLED)
 
-    def _answer(self, request: Request, answer: Answer) -> None:
+    def _answer_request(self, request: Request, answer: Answer) -> None:
         if not request.finished:
-            self._finish(request)
+            self._finish_request(request)
             self._notify_client(request, answer)
 
     def _notify_client(self, request: Request, answer: Answer) -> None:
@@ -376,16 +376,16 @@
             self.idempotency_guard.answered(request, answer)
         request.client.answered(request, answer)
 
-    def _finish(self, request: Request) -> None:
+    def _finish_request(self, request: Request) -> None:
         request.finished = True
         if request.admitted:
             for gate in self.admission_gates:
                 gate.release(request)
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
-        self._forget(request)
+        self._remove_if_done(request)
 
-    def _forget(self, request: Request) -> None:
+    def _remove_if_done(self, request: Request) -> None:
         """Remove a request once it is answered and all its attempts have ended.
 
         An action that names one part of a scattered query may end another part. A later action of the same
--- a/slipbay/idempotency/digest.py
+++ b/slipbay/idempotency/digest.py
@@ -5,10 +5,10 @@
 from hashlib import blake2b
 
 
-def digest(*parts: bytes) -> bytes:
-    """The 16-byte digest of statement, tenant and parameters (BLAKE2b, RFC 7693)."""
+def digest(*fields: bytes) -> bytes:
+    """The 16-byte digest of the fields: statement, tenant, parameters (BLAKE2b, RFC 7693)."""
     state = blake2b(digest_size=16)
-    for part in parts:
-        state.update(len(part).to_bytes(8, "little"))
-        state.update(part)
+    for field in fields:
+        state.update(len(field).to_bytes(8, "little"))
+        state.update(field)
     return state.digest()
--- a/slipbay/idempotency/recovery.py
+++ b/slipbay/idempotency/recovery.py
@@ -29,23 +29,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownEngine:
+class ListedEngine:
     """An engine as the endpoint list describes it."""
 
     started_us: int
 
 
-def choose_method(intent: Intent | None, engines: Mapping[bytes, KnownEngine]) -> RecoveryMethod:
+def choose_method(intent: Intent | None, engines: Mapping[bytes, ListedEngine]) -> RecoveryMethod:
     """Choose how to query an intent's outcome.
 
     An HTTP engine that was removed or restarted has lost the query and no longer runs it.
     """
     if intent is None:
         return RecoveryMethod.NONE
-    known = engines.get(intent.engine)
+    listed = engines.get(intent.engine)
     if intent.wire == "mysql":  # the server reports its uptime itself
         return RecoveryMethod.KILL
-    if known is None or known.started_us != intent.engine_started_us:
+    if listed is None or listed.started_us != intent.engine_started_us:
         return RecoveryMethod.NONE
     return RecoveryMethod.QUERY
 
@@ -110,9 +110,9 @@
         """Records that were not queried before the end of recovery; each is returned once."""
         if now < self.until_us:
             return []
-        left = self.records[self.next :]
+        remaining = self.records[self.next :]
         self.next = len(self.records)
-        return left
+        return remaining
 
     @property
     def is_complete(self) -> bool:
--- a/slipbay/idempotency/recovery_runner.py
+++ b/slipbay/idempotency/recovery_runner.py
@@ -11,7 +11,7 @@
 from slipbay.idempotency import recovery
 from slipbay.idempotency.answer_codec import pack
 from slipbay.idempotency.key_record import Intent, KeyRecord
-from slipbay.idempotency.recovery import KnownEngine, RecoveredOutcome, RecoveryMethod, RecoveryProgress
+from slipbay.idempotency.recovery import ListedEngine, RecoveredOutcome, RecoveryMethod, RecoveryProgress
 from slipbay.log import log
 from slipbay.policy.events import EngineState, ListKind, Outcome
 
@@ -48,7 +48,7 @@
         self._timers = timers
         self._resolve = resolve
         self._backends: dict[str, OutcomeQueryBackend] = {}  # by wire
-        self._engines: dict[bytes, KnownEngine] = {}
+        self._engines: dict[bytes, ListedEngine] = {}
         self._progress: RecoveryProgress | None = None  # None before recovery starts and after it is complete
 
     @property
@@ -68,12 +68,12 @@
             if host.entry.state is EngineState.GONE:
                 self._engines.pop(host.entry.engine, None)
             else:
-                self._engines[host.entry.engine] = KnownEngine(host.entry.ready_at_us)
+                self._engines[host.entry.engine] = ListedEngine(host.entry.ready_at_us)
 
     def engine_started_us(self, engine: bytes) -> int:
         """Start time of an engine's process from the endpoint list, in us; 0 if the engine is not listed."""
-        known = self._engines.get(engine)
-        return known.started_us if known else 0
+        listed = self._engines.get(engine)
+        return listed.started_us if listed else 0
 
     def start(self, records: list[KeyRecord], until_us: int) -> None:
         """Set the open records that the store holds; those unresolved at ``until_us`` may have run."""
--- a/slipbay/idempotency/request_guard.py
+++ b/slipbay/idempotency/request_guard.py
@@ -95,16 +95,16 @@
                     reason=self._open_error,
                     request=request.name,
                 )
-                self._answer_soon(request, Failed(UNKNOWN))
+                self._schedule_answer(request, Failed(UNKNOWN))
             else:
-                self._wait(request)
+                self._add_waiting(request)
             return False
         if request.idempotency_key not in ledger.records:
             rejection = self._check_new_key(request)
             if rejection is not None:
-                self._answer_soon(request, rejection)
+                self._schedule_answer(request, rejection)
                 return False
-        return self._decide(ledger, request)
+        return self._handle_request(ledger, request)
 
     def _check_new_key(self, request: Request) -> Answer | None:
         """None if a request under a key without a record may run now, else the answer to the request."""
@@ -131,7 +131,7 @@
             return Rejected(self.config.later_us)
         return None
 
-    def _decide(self, ledger: Ledger, request: Request) -> bool:
+    def _handle_request(self, ledger: Ledger, request: Request) -> bool:
         key = request.idempotency_key
         decision = ledger.decide(key, request.statement_digest, request.has_client_key, self._clock.now())
         match decision:
@@ -139,30 +139,30 @@
                 self._running[key] = request
                 return True
             case KeyDecision.ATTACH:
-                self._wait(request)
+                self._add_waiting(request)
             case KeyDecision.REPLAY:
-                self._writer.get(ANSWER + key, lambda value: self._replay(ledger, request, value))
+                self._writer.get(ANSWER + key, lambda value: self._replay_answer(ledger, request, value))
             case KeyDecision.ANSWER_NOT_STORED:
-                self._answer_soon(request, Failed(NOT_KEPT))
+                self._schedule_answer(request, Failed(NOT_KEPT))
             case KeyDecision.MAY_HAVE_RUN:
                 self._ledger_writer.write(ledger.mark_client_notified(ledger.records[key]))
-                self._answer_soon(request, Failed(MAY_HAVE_RUN))
+                self._schedule_answer(request, Failed(MAY_HAVE_RUN))
             case KeyDecision.CONFLICT:
-                self._answer_soon(request, Failed(OTHER_STATEMENT, is_client_error=True))
+                self._schedule_answer(request, Failed(OTHER_STATEMENT, is_client_error=True))
             case KeyDecision.NO_ROOM:
                 log("unsafe", "the number of keys has reached the limit in store.toml; new keys are rejected")
-                self._answer_soon(request, Rejected(self.config.later_us))
+                self._schedule_answer(request, Rejected(self.config.later_us))
         return False
 
-    def _wait(self, request: Request) -> None:
+    def _add_waiting(self, request: Request) -> None:
         if not self._waiting.add(request):
-            self._answer_soon(request, Failed(TOO_MANY_WAIT))
+            self._schedule_answer(request, Failed(TOO_MANY_WAIT))
 
-    def _answer_soon(self, request: Request, answer: Answer) -> None:
+    def _schedule_answer(self, request: Request, answer: Answer) -> None:
         request.finished = True
         self._timers.after(0, lambda: request.client.answered(request, answer))
 
-    def _replay(self, ledger: Ledger, request: Request, value: bytes | None) -> None:
+    def _replay_answer(self, ledger: Ledger, request: Request, value: bytes | None) -> None:
         """Answer a repeated request with the stored answer, if there is one."""
         record = ledger.records.get(request.idempotency_key)
         if record is not None:
--- a/slipbay/idempotency/store_generation.py
+++ b/slipbay/idempotency/store_generation.py
@@ -98,7 +98,9 @@
     return StoreStatus.BEHIND if witness.sequence > sequence else StoreStatus.CURRENT
 
 
-def begin(found: StoreIdentity | None, status: StoreStatus, window_us: int, new_id: bytes) -> StoreIdentity:
+def next_identity(
+    found: StoreIdentity | None, status: StoreStatus, window_us: int, new_id: bytes
+) -> StoreIdentity:
     """The identity of the store in the incarnation that begins.
 
     A store that is not trusted gets ``new_id``, a random id, so that two different histories never share an
--- a/slipbay/idempotency/store_opening.py
+++ b/slipbay/idempotency/store_opening.py
@@ -97,7 +97,7 @@
             marker_damage = str(error)
     status = store_generation.determine_status(found, store.sequence, witness)
     new_id = secrets.token_bytes(store_generation.ID_BYTES)
-    identity = store_generation.begin(found, status, loss.window_us, new_id)
+    identity = store_generation.next_identity(found, status, loss.window_us, new_id)
     store.commit([(IDENTITY_KEY, store_generation.encode(identity))], use_reserve=True)
     if marker is not None:
         _attach_marker(store, marker, identity, writer)
--- a/slipbay/idempotency/witnesses.py
+++ b/slipbay/idempotency/witnesses.py
@@ -108,16 +108,16 @@
 
     def open(self, store: StoreWitness) -> bool:
         """Record an opening; False if a later one is recorded already."""
-        held = self.witness
+        recorded = self.witness
         if store.store_id in self.replaced_stores:
             return False
-        if held.store_id == store.store_id:
-            if store.generation < held.generation:
+        if recorded.store_id == store.store_id:
+            if store.generation < recorded.generation:
                 return False
-            if store.generation == held.generation and held.sequence is not None:
+            if store.generation == recorded.generation and recorded.sequence is not None:
                 return False
         else:
-            self.replaced_stores = (*self.replaced_stores, held.store_id)[-MAX_REPLACED_STORES:]
+            self.replaced_stores = (*self.replaced_stores, recorded.store_id)[-MAX_REPLACED_STORES:]
         self.witness = store
         return True
 
@@ -151,9 +151,9 @@
     def is_decided(self) -> bool:
         """Whether a majority has answered, and further answers cannot change ``last_known``."""
         closed = Counter(store for store in self._answers.values() if store.sequence is not None)
-        most = max(closed.values(), default=0)
+        max_count = max(closed.values(), default=0)
         missing = len(self.witnesses) - len(self._answers)
-        return len(self._answers) >= self.majority and not most < self.majority <= most + missing
+        return len(self._answers) >= self.majority and not max_count < self.majority <= max_count + missing
 
     @property
     def is_open(self) -> bool:
@@ -162,11 +162,11 @@
 
     def last_known(self) -> StoreWitness | None:
         """The last state of the store before this incarnation, from the answers received so far."""
-        held = Counter(store for store in self._answers.values() if store != NO_WITNESS)
-        for store, count in held.items():
+        recorded = Counter(store for store in self._answers.values() if store != NO_WITNESS)
+        for store, count in recorded.items():
             if count >= self.majority and store.sequence is not None:
                 return store
-        newest = max(held, key=lambda store: (store.generation, store.store_id), default=None)
+        newest = max(recorded, key=lambda store: (store.generation, store.store_id), default=None)
         return replace(newest, sequence=None) if newest is not None else None
 
     def begin(self, store_id: bytes, generation: int) -> list[Send]:
@@ -224,8 +224,8 @@
         store = message.store
         record = self.records.get(sender)
         if message.kind is WitnessMessage.QUERY or message.witness_incarnation != self._incarnation:
-            held = NO_WITNESS if record is None else record.witness
-            return [(sender, encode(WitnessMessage.RECORD, owner, self._incarnation, held))]
+            recorded = NO_WITNESS if record is None else record.witness
+            return [(sender, encode(WitnessMessage.RECORD, owner, self._incarnation, recorded))]
         if message.kind is WitnessMessage.CLOSED:
             if record is not None and record.witness == replace(store, sequence=None):
                 record.witness = store
--- a/slipbay/store/inspect.py
+++ b/slipbay/store/inspect.py
@@ -61,7 +61,7 @@
     names = disk.names()
     try:
         if manifest.NAME not in names:
-            raise DamagedStoreError("it is missing; this folder holds no store", manifest.NAME)
+            raise DamagedStoreError("the manifest is missing; the folder holds no store", manifest.NAME)
         current = manifest.decode(disk.read(manifest.NAME))
         _classify_files(found, current, names)
         _read_records(found, disk, current, names)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -15,7 +15,7 @@
 from slipbay.idempotency.digest import digest
 from slipbay.idempotency.key_record import ANSWER, Change, Intent, KeyOutcome, KeyPhase, KeyRecord
 from slipbay.idempotency.ledger import KeyDecision, Ledger, RetentionLimits
-from slipbay.idempotency.recovery import KnownEngine, RecoveredOutcome, RecoveryMethod, RecoveryProgress
+from slipbay.idempotency.recovery import ListedEngine, RecoveredOutcome, RecoveryMethod, RecoveryProgress
 from slipbay.policy.events import EngineEntry, Outcome, RetryBudgetRestored
 
 ONE = digest(b"one")
@@ -305,9 +305,9 @@
 
 
 def test_recovery_queries_only_the_engine_process_that_received_the_attempt() -> None:
-    engines = {b"s-1": KnownEngine(5)}
+    engines = {b"s-1": ListedEngine(5)}
     assert recovery.choose_method(intent(), engines) is RecoveryMethod.QUERY
-    assert recovery.choose_method(intent(), {b"s-1": KnownEngine(6)}) is RecoveryMethod.NONE
+    assert recovery.choose_method(intent(), {b"s-1": ListedEngine(6)}) is RecoveryMethod.NONE
     assert recovery.choose_method(intent(), {}) is RecoveryMethod.NONE
     assert recovery.choose_method(None, engines) is RecoveryMethod.NONE
     assert recovery.choose_method(intent(wire="mysql", thread=3), {}) is RecoveryMethod.KILL
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -395,7 +395,9 @@
     assert (found.exit_code, found.orphans, found.foreign) == (1, ["00000077.seg"], ["x"])
     assert found.torn_bytes
     assert not disk.ops
-    assert inspect_store(SimDisk({})).problem == "MANIFEST: it is missing; this folder holds no store"
+    assert (
+        inspect_store(SimDisk({})).problem == "MANIFEST: the manifest is missing; the folder holds no store"
+    )
 
 
 # The writer
--- a/tests/test_store_generation.py
+++ b/tests/test_store_generation.py
@@ -64,7 +64,9 @@
         """Start the router. ``witness_lost``: it crashes after the store, before the marker is written."""
         status = store_generation.determine_status(self.identity, self.sequence, self.witness)
         self.ids += 1
-        self.identity = store_generation.begin(self.identity, status, WINDOW, self.ids.to_bytes(16, "big"))
+        self.identity = store_generation.next_identity(
+            self.identity, status, WINDOW, self.ids.to_bytes(16, "big")
+        )
         self.sequence += 1
         if not witness_lost:
             self.write_witness()
--- a/tests/test_witnesses.py
+++ b/tests/test_witnesses.py
@@ -84,7 +84,7 @@
             self.ran = set(self.stored)  # the uncertainty window covers the other requests
         if not settle and self.random.random() < 0.2:
             routers.network.cut([0], range(1, SIZE))
-        self.identity = store_generation.begin(self.identity, status, 0, self.random.randbytes(16))
+        self.identity = store_generation.next_identity(self.identity, status, 0, self.random.randbytes(16))
         self.sequence += 1
         routers.say(0, FrameKind.LIVES, witnesses.begin(self.identity.store_id, self.identity.generation))
         for _ in range(self.random.randrange(6)):
