--- a/slipbay/store/compaction.py
+++ b/slipbay/store/compaction.py
@@ -67,9 +67,8 @@
         )
         self._index.add_segment(self._number)
         self._log.switch(self._log.manifest.with_merged(self._count, into if self._moves else None))
-        self.is_switched = (
-            True  # must be completed from here on: the index refers to files that the manifest does not name
-        )
+        # from here on the compaction must be completed: the index refers to files that are no longer valid
+        self.is_switched = True
         yield from self._move_index()
         self.is_switched = False
         dropped = self._merged if self._moves else (*self._merged, into)
--- a/slipbay/store/engine.py
+++ b/slipbay/store/engine.py
@@ -146,10 +146,10 @@
         self.heal(text)
         return text
 
-    def heal(self, why: str = "") -> bool:
+    def heal(self, reason: str = "") -> bool:
         """Begin a new segment after a failure; the old segment is valid up to its last commit.
 
-        Returns whether the store is writable. If it is not, ``why`` is set as ``problem``.
+        Returns whether the store is writable. If it is not, ``reason`` is set as ``problem``.
         """
         if self.state is StoreState.CLOSED:
             return False
@@ -157,7 +157,7 @@
             self._begin_segment()
         except OSError as problem:
             self.state = StoreState.READ_ONLY
-            self.problem = why or f"writing failed: {disk_error_text(problem)}"
+            self.problem = reason or f"writing failed: {disk_error_text(problem)}"
             return False
         self.state = StoreState.WRITABLE
         self.problem = ""
--- a/slipbay/store/frame.py
+++ b/slipbay/store/frame.py
@@ -109,9 +109,9 @@
 
 
 def scan(
-    data: bytes, at: int, end: int, last_sequence: int, consecutive: bool, max_records: int = 2**62
+    data: bytes, offset: int, end: int, last_sequence: int, consecutive: bool, max_records: int = 2**62
 ) -> Scan:
-    """Read frames of ``data`` from ``at`` until ``end`` or until a frame is corrupt.
+    """Read frames of ``data`` from ``offset`` until ``end`` or until a frame is corrupt.
 
     The scan stops at the first frame after which it has ``max_records`` records. ``last_sequence`` is the
     sequence before the first frame. If ``consecutive``, each sequence is the previous plus 1, as in a log; if
@@ -121,24 +121,24 @@
     fault = ""
     # local names, as the loop runs for every record
     unpack = FRAME.unpack_from
-    add = records.append
-    new = Record._make
-    while at < end and len(records) < max_records:
-        if end - at < FRAME_BYTES:
+    append_record = records.append
+    make_record = Record._make
+    while offset < end and len(records) < max_records:
+        if end - offset < FRAME_BYTES:
             fault = "a frame is truncated"
             break
-        crc, length, sequence, key_length, kind = unpack(data, at)
-        key_start = at + FRAME_BYTES
-        stop = key_start + length
-        if length > MAX_CONTENT_BYTES or key_length > length or stop > end:
+        crc, length, sequence, key_length, kind = unpack(data, offset)
+        key_start = offset + FRAME_BYTES
+        frame_end = key_start + length
+        if length > MAX_CONTENT_BYTES or key_length > length or frame_end > end:
             fault = "a frame is truncated or its length is invalid"
             break
-        if _checksum(data[at + CRC_BYTES : stop]) != crc:
+        if _checksum(data[offset + CRC_BYTES : frame_end]) != crc:
             fault = "a frame has a wrong checksum"
             break
         kind &= ~FIRST
         if kind == BLOCK:
-            last_sequence, fault = _add_block(records, data[key_start:stop], at, last_sequence)
+            last_sequence, fault = _add_block(records, data[key_start:frame_end], offset, last_sequence)
         else:
             fault = (
                 _order_fault(sequence, last_sequence, consecutive, kind)
@@ -147,13 +147,15 @@
             )
             if not fault:
                 key_end = key_start + key_length
-                value = None if kind else data[key_end:stop]
-                add(new((sequence, data[key_start:key_end], value, at, -1, stop - at)))
+                value = None if kind else data[key_end:frame_end]
+                append_record(
+                    make_record((sequence, data[key_start:key_end], value, offset, -1, frame_end - offset))
+                )
                 last_sequence = sequence
         if fault:
             break
-        at = stop
-    return Scan(records, at, last_sequence, fault, has_more=not fault and at < end)
+        offset = frame_end
+    return Scan(records, offset, last_sequence, fault, has_more=not fault and offset < end)
 
 
 def _order_fault(sequence: int, last_sequence: int, consecutive: bool, kind: int) -> str:
@@ -163,10 +165,10 @@
     return f"frame kind {kind} is unknown" if kind > DELETE else ""
 
 
-def _add_block(records: list[Record], payload: bytes, at: int, last_sequence: int) -> tuple[int, str]:
+def _add_block(records: list[Record], payload: bytes, offset: int, last_sequence: int) -> tuple[int, str]:
     """Add the records of a block; returns the last sequence and what is wrong with the block, if anything."""
     try:
-        for record in block_records(payload, at, last_sequence):
+        for record in block_records(payload, offset, last_sequence):
             records.append(record)
             last_sequence = record.sequence
     except DamagedStoreError as problem:
@@ -194,26 +196,26 @@
     ``DamagedStoreError``.
     """
     frames = decompress_block(payload)
-    at = 0
+    inner_offset = 0
     end = len(frames)
     try:
-        while at < end:
-            _, length, sequence, key_length, kind = FRAME.unpack_from(frames, at)
-            start = at + FRAME_BYTES
-            stop = at + FRAME_BYTES + length
-            if stop > end or sequence <= last_sequence:
+        while inner_offset < end:
+            _, length, sequence, key_length, kind = FRAME.unpack_from(frames, inner_offset)
+            key_start = inner_offset + FRAME_BYTES
+            frame_end = inner_offset + FRAME_BYTES + length
+            if frame_end > end or sequence <= last_sequence:
                 raise DamagedStoreError("a block holds invalid frames")
-            key_end = start + key_length
+            key_end = key_start + key_length
             yield Record(
                 sequence,
-                frames[start:key_end],
-                None if kind & DELETE else frames[key_end:stop],
+                frames[key_start:key_end],
+                None if kind & DELETE else frames[key_end:frame_end],
                 offset,
-                at,
-                stop - at,
+                inner_offset,
+                frame_end - inner_offset,
             )
             last_sequence = sequence
-            at = stop
+            inner_offset = frame_end
     except error:
         raise DamagedStoreError("a block holds invalid frames") from None
 
@@ -224,20 +226,20 @@
     return frame[FRAME_BYTES + key_length :]
 
 
-def find_later_commit(data: bytes, at: int, end: int, last_sequence: int) -> int:
-    """Offset of a valid first frame of a commit after the corrupt frame at ``at``; -1 if there is none.
+def find_later_commit(data: bytes, corrupt_offset: int, end: int, last_sequence: int) -> int:
+    """Offset of a valid first frame of a commit after the corrupt frame; -1 if there is none.
 
     Such a frame proves that all data before it was durable, so the corrupt frame is damage.
     """
-    for offset in range(at + 1, end - FRAME_BYTES + 1):
+    for offset in range(corrupt_offset + 1, end - FRAME_BYTES + 1):
         crc, length, sequence, key_length, kind = FRAME.unpack_from(data, offset)
-        stop = offset + FRAME_BYTES + length
+        frame_end = offset + FRAME_BYTES + length
         if (
             kind & FIRST
-            and stop <= end
+            and frame_end <= end
             and key_length <= length
             and last_sequence < sequence < last_sequence + MAX_SEQUENCES
-            and _checksum(data[offset + CRC_BYTES : stop]) == crc
+            and _checksum(data[offset + CRC_BYTES : frame_end]) == crc
         ):
             return offset
     return -1
--- a/slipbay/store/reader.py
+++ b/slipbay/store/reader.py
@@ -33,13 +33,13 @@
         """Read the frame at a location of the index. Raises ``DamagedStoreError`` if it is corrupt."""
         segment, offset, inner_offset, length = unpack_location(location)
         if inner_offset < 0:
-            return self._from_log(segment, offset, length)
+            return self._read_from_log(segment, offset, length)
         if self._block_position != (segment, offset):
-            self._block_frames = self._block(segment, offset)
+            self._block_frames = self._read_block(segment, offset)
             self._block_position = (segment, offset)
         return self._block_frames[inner_offset : inner_offset + length]
 
-    def _from_log(self, segment: int, offset: int, length: int) -> bytes:
+    def _read_from_log(self, segment: int, offset: int, length: int) -> bytes:
         start = offset - self._log_position[1]
         if self._log_position[0] != segment or start < 0 or start + length > len(self._log_bytes):
             self._log_bytes = self._disk.read(segment_name(segment), offset, max(length, frame.BLOCK_BYTES))
@@ -50,7 +50,7 @@
             raise DamagedStoreError(f"the frame at byte {offset} is corrupt", segment_name(segment))
         return found
 
-    def _block(self, segment: int, offset: int) -> bytes:
+    def _read_block(self, segment: int, offset: int) -> bytes:
         name = segment_name(segment)
         head = self._disk.read(name, offset, frame.FRAME_BYTES)
         if len(head) < frame.FRAME_BYTES:
