--- a/slipbay/idempotency/ledger.py
+++ b/slipbay/idempotency/ledger.py
@@ -173,12 +173,12 @@
         """Delete records whose retention period has passed, at most ``max_keys`` of them."""
         expired_us = self.advance_clock(now) - self.limits.retention_us
         changes = list[Change]()
-        old = list[bytes]()
+        expired = list[bytes]()
         for key, ended in self._ended.items():
-            if ended > expired_us or len(old) >= max_keys:
+            if ended > expired_us or len(expired) >= max_keys:
                 break
-            old.append(key)
-        for key in old:
+            expired.append(key)
+        for key in expired:
             changes += self.forget(self.records[key])
         return changes
 
--- a/slipbay/idempotency/store_generation.py
+++ b/slipbay/idempotency/store_generation.py
@@ -158,13 +158,13 @@
     def __init__(self, rules: ClientRepeatRules, identity: StoreIdentity, now: int) -> None:
         self._rules = rules
         self._identity = identity
-        self._until = now + identity.uncertainty_us
+        self._window_end_us = now + identity.uncertainty_us
         self._step_us = max(MIN_STEP_US, rules.window_us // WINDOW_STEPS)
         self._proved: dict[bytes, None] = {}  # keys, oldest first
 
     def remaining_us(self, now: int) -> int:
         """The remaining time of the window."""
-        return max(0, self._until - now)
+        return max(0, self._window_end_us - now)
 
     def is_new(self, key: bytes, has_client_key: bool, is_resent: bool, now: int) -> bool:
         """Whether a request may run; False if it may have run before, on this router or another one.
--- a/slipbay/idempotency/store_opening.py
+++ b/slipbay/idempotency/store_opening.py
@@ -189,7 +189,7 @@
             self._timeout = None
         loss = self.config.loss
         limits = retention_limits(self.config)
-        witness = self._witnesses.last_known() if self._witnesses is not None else None
+        witness = self._witnesses.last_recorded() if self._witnesses is not None else None
 
         def load(store: Store) -> StoreContents:
             incarnation = None
--- a/slipbay/idempotency/witnesses.py
+++ b/slipbay/idempotency/witnesses.py
@@ -149,7 +149,7 @@
 
     @property
     def is_decided(self) -> bool:
-        """Whether a majority has answered, and further answers cannot change ``last_known``."""
+        """Whether a majority has answered, and further answers cannot change ``last_recorded``."""
         closed = Counter(store for store in self._answers.values() if store.sequence is not None)
         max_count = max(closed.values(), default=0)
         missing = len(self.witnesses) - len(self._answers)
@@ -160,7 +160,7 @@
         """Whether this incarnation may run requests."""
         return self._was_opened and not self._is_closed
 
-    def last_known(self) -> StoreWitness | None:
+    def last_recorded(self) -> StoreWitness | None:
         """The last state of the store before this incarnation, from the answers received so far."""
         recorded = Counter(store for store in self._answers.values() if store != NO_WITNESS)
         for store, count in recorded.items():
--- a/slipbay/store/commit_queue.py
+++ b/slipbay/store/commit_queue.py
@@ -135,9 +135,9 @@
         return group
 
     def _wait_for_more(self) -> None:
-        until = time.monotonic() + self._grouping.max_wait_us / 1e6
+        end_s = time.monotonic() + self._grouping.max_wait_us / 1e6
         with self._changed:
             while not self._closing and len(self._items) < self._grouping.max_changes:
-                remaining_s = until - time.monotonic()
+                remaining_s = end_s - time.monotonic()
                 if remaining_s <= 0 or not self._changed.wait(remaining_s):
                     break
--- a/slipbay/store/compaction.py
+++ b/slipbay/store/compaction.py
@@ -51,7 +51,7 @@
         self._steps.close()
 
     def _run(self) -> Generator[None, None, None]:
-        self._number = self._log.take_number()
+        self._number = self._log.allocate_number()
         handle = self._disk.create(segment_name(self._number))
         try:
             yield from self._copy(handle)
--- a/slipbay/store/segment_log.py
+++ b/slipbay/store/segment_log.py
@@ -52,7 +52,7 @@
         """Valid bytes of all segments."""
         return sum(segment.valid_bytes for segment in self.sealed) + self.size
 
-    def take_number(self) -> int:
+    def allocate_number(self) -> int:
         """Allocate the number of a new segment; numbers are never reused."""
         number = self._next_number
         self._next_number += 1
@@ -74,7 +74,7 @@
         Returns the segments that were dropped because they held no record.
         """
         self.close()
-        number = self.take_number()
+        number = self.allocate_number()
         self._handle = self._disk.create(manifest.segment_name(number))
         self._handle.append(frame.encode_head(number, sequence))
         self._handle.sync()
--- a/slipbay/store/writer.py
+++ b/slipbay/store/writer.py
@@ -40,7 +40,7 @@
         self._post = post
         self._queue = CommitQueue(grouping)
         self._retry_delay_s = grouping.retry_delay_s
-        self._retry_at = 0.0  # time of the next try after a failure, monotonic clock; 0: no failure
+        self._next_retry_s = 0.0  # time of the next try after a failure, monotonic clock; 0: no failure
         self.health = Health()
         self._thread = threading.Thread(target=self._run, name="store", daemon=True)
         self._load: Callable[[Store], object] = lambda _: None
@@ -142,11 +142,11 @@
     def _run_once(self, store: Store) -> bool:
         """Run one compaction step, then one group or one call; False once the queue is closed and empty."""
         if not self._compact(store):
-            is_idle = store.state is StoreState.WRITABLE and not self._retry_at
+            is_idle = store.state is StoreState.WRITABLE and not self._next_retry_s
             self._queue.wait(None if is_idle else self._retry_delay_s)
         if self._queue.finished:
             return False
-        if store.state is StoreState.READ_ONLY and time.monotonic() >= self._retry_at:
+        if store.state is StoreState.READ_ONLY and time.monotonic() >= self._next_retry_s:
             store.heal()
             self._schedule_retry()
             self._update_health(store)
@@ -158,18 +158,18 @@
         return True
 
     def _schedule_retry(self) -> None:
-        self._retry_at = time.monotonic() + self._retry_delay_s
+        self._next_retry_s = time.monotonic() + self._retry_delay_s
 
     def _compact(self, store: Store) -> bool:
         """Run one compaction step if one is due and no failure is recent; returns whether one was run."""
-        if time.monotonic() < self._retry_at:
+        if time.monotonic() < self._next_retry_s:
             return False
         try:
             stepped = store.compact_step()
         except StoreWriteError:
             self._schedule_retry()
             return False
-        self._retry_at = 0.0
+        self._next_retry_s = 0.0
         return stepped
 
     def _commit(self, store: Store, group: list[Append]) -> None:
--- a/tests/test_witnesses.py
+++ b/tests/test_witnesses.py
@@ -74,7 +74,7 @@
         for _ in range(10):
             if not witnesses.is_decided:
                 routers.run(0.1)
-        witness = witnesses.last_known()
+        witness = witnesses.last_recorded()
         status = store_generation.determine_status(self.identity, self.sequence, witness)
         self.statuses.append(status)
         if status is StoreStatus.CURRENT:
@@ -236,7 +236,7 @@
     third.receive(0, 1, 1, before[0])
     third.receive(0, 2, 1, before[0])
     assert not third.is_decided
-    assert third.last_known() is None
+    assert third.last_recorded() is None
     # a new incarnation of the witness ignores messages to the previous one
     restarted = StoreWitnesses(1, 3, 5, 0)
     for body in sent:
