--- a/tests/compat/test_stored_data.py
+++ b/tests/compat/test_stored_data.py
@@ -369,7 +369,7 @@
 
 
 @pytest.mark.parametrize(
-    "what",
+    "section",
     [
         "raw",
         "marker",
@@ -382,11 +382,11 @@
         "new marker",
     ],
 )
-def test_a_store_of_5d63481_is_read_as_by_that_commit(what: str, tmp_path: Path) -> None:
+def test_a_store_of_5d63481_is_read_as_by_that_commit(section: str, tmp_path: Path) -> None:
     copy_data(tmp_path)
     found = observe_store(tmp_path / "data", tmp_path / "marker")
     assert list(found) == list(expected()["store"])
-    assert as_json(found[what]) == expected()["store"][what]
+    assert as_json(found[section]) == expected()["store"][section]
 
 
 def test_the_stored_data_contain_each_state() -> None:
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -58,8 +58,8 @@
         engine = StandInEngine()
         async with Loopback(engine, store_file=store_file(tmp_path)) as net:
             first = await load(await net.client())
-            again = await load(await net.client())
-            assert first["result"] == again["result"]
+            repeat = await load(await net.client())
+            assert first["result"] == repeat["result"]
             assert len(engine.named("POST")) == 1
             other = await load(await net.client(), sql="DELETE FROM sales_1.t")
             assert other["error"]["code"] == -32602
@@ -366,9 +366,9 @@
         engine.uptime_s = 0  # the server was restarted: its thread numbers belong to other clients
         await router.start()
         await router.read.wait()
-        again = await MysqlClient.connect(router.ports[1])
+        repeating = await MysqlClient.connect(router.ports[1])
         with pytest.raises(MysqlError) as problem:
-            await again.query(LOAD)
+            await repeating.query(LOAD)
         assert "may have run" in problem.value.text
         assert engine.killed == []
         await until(
@@ -390,9 +390,9 @@
         await router.kill()
         await router.start()
         await router.read.wait()
-        again = await MysqlClient.connect(router.ports[1])
+        repeating = await MysqlClient.connect(router.ports[1])
         with pytest.raises(MysqlError) as problem:
-            await again.query(other)
+            await repeating.query(other)
         assert "may have run" in problem.value.text
         assert engine.killed == [second]
         assert engine.executed[other.encode()] == 1
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -315,8 +315,10 @@
 
 def test_only_definite_answers_of_an_engine_prove_an_outcome() -> None:
     recovered = {outcome: recovery.classify_outcome(outcome) for outcome in Outcome}
-    assert {outcome for outcome, what in recovered.items() if what is RecoveredOutcome.SERVED} == {Outcome.OK}
-    assert {outcome for outcome, what in recovered.items() if what is RecoveredOutcome.NOT_RUN} == {
+    assert {outcome for outcome, proved in recovered.items() if proved is RecoveredOutcome.SERVED} == {
+        Outcome.OK
+    }
+    assert {outcome for outcome, proved in recovered.items() if proved is RecoveredOutcome.NOT_RUN} == {
         Outcome.FULL,
         Outcome.MOOT,
     }
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -216,7 +216,7 @@
     assert store.state is StoreState.READ_ONLY
     assert not store.heal()
     assert store.get(b"a") == b"1"
-    disk.faults = lambda what, name, size: size
+    disk.faults = lambda operation, name, size: size
     assert store.heal()
     store.commit([(b"b", b"2")])
     assert contents(store) == {b"a": b"1", b"b": b"2"}
@@ -250,12 +250,12 @@
     for number in range(20):
         history.commit((b"key%d" % number, b"value"))
     name = history.store.segments[-1].name
-    whole = bytes(history.disk.files[name].data)
+    original = bytes(history.disk.files[name].data)
     last = frame.FRAME_BYTES + len(b"key19value")
-    for at in range(frame.HEAD_BYTES, len(whole)):
+    for at in range(frame.HEAD_BYTES, len(original)):
         files = {name: bytes(file.data) for name, file in history.disk.files.items()}
-        files[name] = whole[:at] + bytes([whole[at] ^ 1 << at % 8]) + whole[at + 1 :]
-        if at < len(whole) - last:
+        files[name] = original[:at] + bytes([original[at] ^ 1 << at % 8]) + original[at + 1 :]
+        if at < len(original) - last:
             with pytest.raises(DamagedStoreError, match=f"{name}: byte"):
                 Store.open(SimDisk(files))
             assert inspect_store(SimDisk(files)).exit_code == 2
@@ -486,7 +486,7 @@
         disk.faults = failing
         assert isinstance(await append(b"b"), StoreWriteError)
         assert writer.health.state is StoreState.READ_ONLY
-        disk.faults = lambda what, name, size: size
+        disk.faults = lambda operation, name, size: size
         while writer.health.problem:
             await asyncio.sleep(0.001)
         assert await append(b"c") is None
--- a/tests/test_store_losses.py
+++ b/tests/test_store_losses.py
@@ -52,7 +52,7 @@
 MARKED = SQL.replace("k1", "k1 second=1")
 
 
-async def ask(router: RouterProcess, txn: str = TXN, **more: Any) -> dict[str, Any]:
+async def send_load(router: RouterProcess, txn: str = TXN, **more: Any) -> dict[str, Any]:
     """The final answer to a load; the client repeats a load that is rejected during the recovery."""
     client = JsonClient(*await asyncio.open_connection(HOST, router.ports[0]))
     try:
@@ -67,7 +67,7 @@
         client.writer.close()
 
 
-async def ask_mysql(router: RouterProcess, statement: str) -> str:
+async def send_statement(router: RouterProcess, statement: str) -> str:
     """The error that the client gets, empty if it is served; the client repeats a rejected statement."""
     client = await MysqlClient.connect(router.ports[1])
     try:
@@ -111,11 +111,11 @@
     async def test() -> None:
         router, http, _ = await started(tmp_path, "")
         await restart(router, "store: read")
-        assert "result" in await ask(router)
+        assert "result" in await send_load(router)
         await router.kill()
         shutil.rmtree(tmp_path / "data")
         await restart(router, "store: read")
-        assert "result" in await ask(router, second=1)
+        assert "result" in await send_load(router, second=1)
         assert len(http.named("POST")) == 2
         await router.end()
 
@@ -130,18 +130,18 @@
         assert adopt(data, "a first start").exit_code == 0
         router, http, engine = await started(tmp_path, LOST)
         await restart(router, "an operator vouches for it adoption_reason=20", "a first start")
-        assert "result" in await ask(router)
-        assert await ask_mysql(router, SQL) == ""
+        assert "result" in await send_load(router)
+        assert await send_statement(router, SQL) == ""
         assert await router.end() == 0
         shutil.copytree(data, tmp_path / "first")
         await router.journal.start()
         await restart(router, "generation=2 status=it holds all")
-        assert "result" in await ask(router, "00000000000000ab")
+        assert "result" in await send_load(router, "00000000000000ab")
         await router.kill()
         shutil.copytree(data, tmp_path / "second")
         await restart(router, "generation=3 status=it holds all")  # also after a kill
-        assert "result" in await ask(router, "00000000000000ac")
-        assert "result" in await ask(router, "00000000000000ac", second=1)
+        assert "result" in await send_load(router, "00000000000000ac")
+        assert "result" in await send_load(router, "00000000000000ac", second=1)
         runs = len(http.named("POST"))
 
         def delete_store() -> None:
@@ -162,18 +162,21 @@
             (truncate_store, "another store was"),
         ]
         for number, (lose, expected) in enumerate(losses):
-            assert "result" in await ask(router, f"{number:016x}")
-            assert await ask_mysql(router, SQL.replace("k1", f"n{number}")) == ""
+            assert "result" in await send_load(router, f"{number:016x}")
+            assert await send_statement(router, SQL.replace("k1", f"n{number}")) == ""
             await router.kill()
             lose()
             await restart(router, expected, "store: uncertainty window begins seconds=3600.0")
-            for answer in (await ask(router, f"{number:016x}", second=1), await ask(router, second=1)):
+            for answer in (
+                await send_load(router, f"{number:016x}", second=1),
+                await send_load(router, second=1),
+            ):
                 assert "result" in answer or "may have run" in answer["error"]["message"]
-            assert "may have run" in await ask_mysql(router, MARKED.replace("k1", f"n{number}"))
-            assert "result" in await ask(router, f"f{number:015x}")  # a first sending
-            assert "result" in await ask(router, f"f{number:015x}", second=1)  # the same answer
-            assert await ask_mysql(router, SQL.replace("k1", f"f{number}")) == ""
-            assert await ask_mysql(router, MARKED.replace("k1", f"f{number}")) == ""
+            assert "may have run" in await send_statement(router, MARKED.replace("k1", f"n{number}"))
+            assert "result" in await send_load(router, f"f{number:015x}")  # a first sending
+            assert "result" in await send_load(router, f"f{number:015x}", second=1)  # the same answer
+            assert await send_statement(router, SQL.replace("k1", f"f{number}")) == ""
+            assert await send_statement(router, MARKED.replace("k1", f"f{number}")) == ""
         names = [call.headers["x-hop-id"] for call in http.named("POST")]
         assert len(names) == len(set(names)) == runs + 8
         assert set(engine.executed.values()) == {1}
@@ -182,7 +185,7 @@
         assert "generation 1, uncertain for 3" in status
         assert "may have run" not in adopt(data, "no client of ours is left").output
         await restart(router, "no client of ours is left")
-        assert "result" in await ask(router, second=1)
+        assert "result" in await send_load(router, second=1)
         assert await router.end() == 0
 
     run(test, 120)
@@ -195,17 +198,17 @@
         loss = "{ enabled = true, repeat_window_s = %s }"
         router, http, _ = await started(tmp_path, loss % 3600)
         await restart(router, "it is empty")
-        answer = await ask(router)
+        answer = await send_load(router)
         assert answer["error"]["code"] == -32000
         assert "may have run" in answer["error"]["message"]
         assert http.named("POST") == []
         await router.kill()
         await restart(router, "nobody outside of it can tell")
-        assert "error" in await ask(router)
+        assert "error" in await send_load(router)
         await router.kill()
         store_file(tmp_path, loss=loss % 0.3)
         await restart(router, "uncertainty window ends")
-        assert "result" in await ask(router)
+        assert "result" in await send_load(router)
         assert len(http.named("POST")) == 1
         assert await router.end() == 0
 
@@ -219,11 +222,11 @@
         await restart(
             router, "cannot be opened"
         )  # the marker's directory is missing, as if its disk were not mounted
-        assert "error" in await ask(router)
+        assert "error" in await send_load(router)
         await router.kill()
         (tmp_path / "away").mkdir()
         await restart(router, "store: read")
-        assert "result" in await ask(router)
+        assert "result" in await send_load(router)
         assert len(http.named("POST")) == 1
         assert await router.end() == 0
 
--- a/tests/test_witnesses.py
+++ b/tests/test_witnesses.py
@@ -17,7 +17,7 @@
 import pytest
 from loopback import HOST, SETTINGS, StandInEngine, run
 from routers import RouterProcess, store_file
-from test_store_losses import adopt, ask, restart
+from test_store_losses import adopt, restart, send_load
 
 from slipbay.emulator.channel_fleet import ChannelFleet
 from slipbay.emulator.network import LinkConditions
@@ -304,7 +304,7 @@
         assert adopt(data, "a first start").exit_code == 0
         await asyncio.gather(*(router.start() for router in routers[1:]))
         await restart(first, "an operator vouches")
-        assert "result" in await ask(
+        assert "result" in await send_load(
             first, "00000000000000a1"
         )  # runs once the other routers have acknowledged this incarnation
         await asyncio.sleep(1.2)  # until the next window of the channel's budget
@@ -312,7 +312,7 @@
         shutil.copytree(data, tmp_path / "copy")
         await first.journal.start()
         await restart(first, "generation=2 status=it holds all")
-        assert "result" in await ask(first, "00000000000000a2")
+        assert "result" in await send_load(first, "00000000000000a2")
         await asyncio.sleep(1.2)
         assert await first.end() == 0
         shutil.rmtree(data)
@@ -320,10 +320,10 @@
         await first.journal.start()
         await restart(first, "it is an older state")
         runs = len(engine.named("POST"))
-        answer = await ask(first, "00000000000000a2")  # it ran in the incarnation that was lost
+        answer = await send_load(first, "00000000000000a2")  # it ran in the incarnation that was lost
         assert answer["error"]["code"] == -32000
         assert "may have run" in answer["error"]["message"]
-        assert "result" in await ask(first, "00000000000000a1")
+        assert "result" in await send_load(first, "00000000000000a1")
         assert len(engine.named("POST")) == runs == 2
         await first.kill()
         await restart(first, "nobody outside of it can tell")  # the store was not closed
