--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -371,12 +371,13 @@
             await repeating.query(LOAD)
         assert "may have run" in problem.value.text
         assert engine.killed == []
+        # the outcome is stored
         await until(
             lambda: any(
                 b"may have run" in value
                 for value in inspect_store(Folder(tmp_path / "data")).records.values()
             )
-        )  # the outcome is stored
+        )
         await router.kill()
         assert engine.executed[LOAD.encode()] == 1
         engine.uptime_s = 10_000
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -366,10 +366,9 @@
     assert plan.choose_merge_count([sizes(1000, 900)] * 3, 3000, bounds) == 0
     assert plan.choose_merge_count([sizes(1000, 100), sizes(1000, 900)], 2000, bounds) == 1
     assert plan.choose_merge_count([sizes(1000, 0), sizes(1000, 0), sizes(1000, 900)], 3000, bounds) == 2
-    assert plan.choose_merge_count([sizes(1000, 800)] * 8, 8000, bounds) == 8  # the store is nearly full
-    assert (
-        plan.choose_merge_count([sizes(1000, 900)] * 8, 8000, bounds) == 0
-    )  # but a merge would free too little
+    # nearly full: a merge that frees little is worthwhile, but not one that frees very little
+    assert plan.choose_merge_count([sizes(1000, 800)] * 8, 8000, bounds) == 8
+    assert plan.choose_merge_count([sizes(1000, 900)] * 8, 8000, bounds) == 0
     assert (
         plan.choose_merge_count([sizes(10, 10)] * (plan.MAX_SEALED + 1), 650, bounds) == plan.MAX_SEALED + 1
     )
--- a/tests/test_store_generation.py
+++ b/tests/test_store_generation.py
@@ -133,9 +133,8 @@
     def wait(self, us: int) -> None:
         self.now += us
         for key, at in list(self.sent.items()):
-            if (
-                self.now - at > WINDOW
-            ):  # no client repeats the key any more; from now on it is another request
+            # after the window no client repeats the key; from then on it identifies another request
+            if self.now - at > WINDOW:
                 del self.sent[key]
                 self.runs[key] = 0
                 self.stored.discard(key)
--- a/tests/test_store_losses.py
+++ b/tests/test_store_losses.py
@@ -219,9 +219,8 @@
     async def test() -> None:
         loss = LOST.replace('"marker"', '"away/marker"')
         router, http, _ = await started(tmp_path, loss)
-        await restart(
-            router, "cannot be opened"
-        )  # the marker's directory is missing, as if its disk were not mounted
+        # the marker's directory is missing, as if its disk were not mounted
+        await restart(router, "cannot be opened")
         assert "error" in await send_load(router)
         await router.kill()
         (tmp_path / "away").mkdir()
--- a/tests/test_witnesses.py
+++ b/tests/test_witnesses.py
@@ -304,9 +304,8 @@
         assert adopt(data, "a first start").exit_code == 0
         await asyncio.gather(*(router.start() for router in routers[1:]))
         await restart(first, "an operator vouches")
-        assert "result" in await send_load(
-            first, "00000000000000a1"
-        )  # runs once the other routers have acknowledged this incarnation
+        # the load runs once the other routers have acknowledged this incarnation
+        assert "result" in await send_load(first, "00000000000000a1")
         await asyncio.sleep(1.2)  # until the next window of the channel's budget
         assert await first.end() == 0
         shutil.copytree(data, tmp_path / "copy")
