--- a/slipbay/core/dispatcher.py
+++ b/slipbay/core/dispatcher.py
@@ -255,9 +255,8 @@
         now_us = self.clock.now()
         try:
             actions = self.policy.handle(now_us, events)
-        except (
-            Exception
-        ) as error:  # deadline timers still answer clients, and other requests are not affected
+        except Exception as error:
+            # The deadline timers still answer the affected clients, and other requests continue.
             log("decisions", "the policy has raised an error", error=type(error).__name__, reason=error)
             return
         action_handlers = self._action_handlers
