--- a/slipbay/emulator/quota.py
+++ b/slipbay/emulator/quota.py
@@ -127,7 +127,7 @@
         mux = self.routers.muxes[me]
         assert mux is not None
         machine.budget.channel_room = lambda now: mux.room(now, FrameKind.QUOTA)
-        mux.unsent[FrameKind.QUOTA] = machine.unsent
+        mux.unsent[FrameKind.QUOTA] = machine.handle_unsent
         for kind in (FrameKind.COMEBACK, FrameKind.LIVES) if self.news else ():
             mux.budget.hold(kind, PARTS[kind])
         return {FrameKind.QUOTA: machine}
@@ -146,7 +146,7 @@
         self.plans[me] = plan
         machine = self.machine(me)
         if machine is not None:
-            machine.follow_plan(self.routers.clock(me), plan)
+            machine.apply_plan(self.routers.clock(me), plan)
 
     def end(self, numbers: Iterable[int], linger_us: int) -> None:
         """SIGTERM: they take requests for so long yet; kill them then."""
@@ -154,7 +154,7 @@
             machine = self.machine(me)
             now = self.routers.clock(me)
             if machine is not None:
-                machine.end(now + linger_us)
+                machine.start_shutdown(now + linger_us)
 
     def _fill(self) -> None:
         """What others than quotas say."""
@@ -185,9 +185,9 @@
             return
         account = machine.accounts.get(key_of(name))
         if account is not None:
-            taken = account.wait(self.routers.clock(me), None) == 0
+            taken = account.admission_delay_us(self.routers.clock(me), None) == 0
             if taken:
-                account.take(None)
+                account.record_admission(None)
                 account.open -= 1
             self.asked[name].log.append((self.now, me, taken))
 
--- a/slipbay/quota/account.py
+++ b/slipbay/quota/account.py
@@ -30,11 +30,11 @@
         self.running_routers = router_count  # a soft quota is divided among these
         self.meter = DemandMeter(now)
         self._next_retry_us = 0  # the latest time that a rejected client got for its retry
-        self.follow_plan(plan, quota)
+        self.apply_plan(plan, quota)
         self.share_units, self._valid_until_us = shares.usable(now)
         self._set_rates()
 
-    def follow_plan(self, plan: QuotaPlan, quota: Quota) -> None:
+    def apply_plan(self, plan: QuotaPlan, quota: Quota) -> None:
         """Apply a new plan; the caller must call ``update_share`` afterwards."""
         self.quota = quota
         self._fill_factor = 1.0 - plan.slowdown
@@ -94,7 +94,7 @@
             self.bucket.fill((now - self._filled_at_us) * self.rate, self.cap)
             self._filled_at_us = now
 
-    def wait(self, now: int, part: int | None, tokens: int = 1) -> int:
+    def admission_delay_us(self, now: int, part: int | None, tokens: int = 1) -> int:
         """Return 0 if a request may be admitted now, else the delay in us until a token should be available.
 
         ``tokens`` is above 1 if further requests follow at once; no more are required than the cap.
@@ -126,8 +126,8 @@
         self._next_retry_us = int(min(max(earliest_us, queued_us), now + MAX_QUEUE_US))
         return max(1, self._next_retry_us - now)
 
-    def take(self, part: int | None) -> None:
-        """Admit a request for which ``wait`` returned 0."""
+    def record_admission(self, part: int | None) -> None:
+        """Record the admission of a request for which ``admission_delay_us`` returned 0."""
         self.counts["admitted"] += 1
         self.open += 1
         self.bucket.take(part)
--- a/slipbay/quota/accounts.py
+++ b/slipbay/quota/accounts.py
@@ -38,9 +38,9 @@
         self.contacts: dict[int, list[int]] = {}  # the same, in the order of this router's requests
         self._shares: dict[int, Shares] = {}  # by key, also of quotas that were removed from the plan
         self._clocks = clocks
-        self._apply_plan(plan, now)
+        self._create_accounts(plan, now)
 
-    def _apply_plan(self, plan: QuotaPlan, now: int) -> None:
+    def _create_accounts(self, plan: QuotaPlan, now: int) -> None:
         for quota in plan.quotas:
             key = key_of(quota.name)
             if key not in self._shares:
@@ -48,7 +48,7 @@
             self.accounts[key] = QuotaAccount(plan, quota, self.router_count, self._shares[key], now)
         if self.leases is not None:
             owners = {n for key in self.accounts for n, units in enumerate(self.bases[key]) if units}
-            self.leases.follow_plan(plan.version, self.layout, plan.term_ms * 1000, owners)
+            self.leases.apply_plan(plan.version, self.layout, plan.term_ms * 1000, owners)
 
     def _add_shares(self, plan: QuotaPlan, key: int, now: int) -> None:
         bases = base_shares(self.router_count, plan.holders, plan.reserve, key % self.router_count)
@@ -61,7 +61,7 @@
         offset = self.local_router % len(holders) if holders else 0
         self.contacts[key] = [n for n in holders[offset:] + holders[:offset] if n != self.local_router]
 
-    def follow_plan(self, now: int, plan: QuotaPlan) -> None:
+    def apply_plan(self, now: int, plan: QuotaPlan) -> None:
         """Apply a new plan. Shares stay as they are, as they are fractions of the rates in the plan.
 
         A new quota starts like a quota after the start of the router: it may be an old one under a new name,
@@ -72,11 +72,11 @@
         self.accounts = {}
         for account in old_accounts.values():
             account.advance(now)
-        self._apply_plan(plan, now)
+        self._create_accounts(plan, now)
         for key, account in self.accounts.items():
             old = old_accounts.get(key)
             if old is not None and old.quota.parts == account.quota.parts:
-                old.follow_plan(plan, account.quota)
+                old.apply_plan(plan, account.quota)
                 old.update_share(now)
                 self.accounts[key] = old
             elif old is None:
@@ -84,7 +84,7 @@
                 shares.usable_from_us = max(shares.usable_from_us, shares.waits_until_us)
         self._set_bases(now)
 
-    def resized(self, now: int, running: int) -> None:
+    def set_running_routers(self, now: int, running: int) -> None:
         """Set the number of running routers, for soft quotas."""
         for account in self.accounts.values():
             if account.quota.soft > 1 and account.running_routers != running:
@@ -92,7 +92,7 @@
                 account.running_routers = running
                 account.update_share(now)
 
-    def follow_leases(self, now: int) -> None:
+    def apply_leases(self, now: int) -> None:
         """Update the shares from the leases that this router holds."""
         if self.leases is None:
             return
--- a/slipbay/quota/admission_gate.py
+++ b/slipbay/quota/admission_gate.py
@@ -40,7 +40,7 @@
         self._open: dict[int, MatchingAccounts] = {}  # by request
         self._spread = 0
 
-    def plan_changed(self) -> None:
+    def clear_cache(self) -> None:
         """Drop the cached accounts after a change of the plan."""
         self._cache.clear()
 
@@ -69,11 +69,11 @@
         now = self._fresh_now()
         max_delay_us = 0
         for account, part in accounts:
-            max_delay_us = max(max_delay_us, account.wait(now, part, request.quota_tokens))
+            max_delay_us = max(max_delay_us, account.admission_delay_us(now, part, request.quota_tokens))
         if max_delay_us:
             return self._retry_after(max_delay_us)
         for account, part in accounts:
-            account.take(part)
+            account.record_admission(part)
         self._open[request.id] = accounts
         return None
 
--- a/slipbay/quota/borrowing.py
+++ b/slipbay/quota/borrowing.py
@@ -114,16 +114,16 @@
         fleet_start = FleetStart(self.local_router, self.router_count, incarnation)
         self._start_wait = StartWait(self.quotas, fleet_start, self.counts, self._started_us)
 
-    def follow_plan(self, now: int, plan: QuotaPlan) -> None:
+    def apply_plan(self, now: int, plan: QuotaPlan) -> None:
         """Apply a new plan; the caller has checked that it may replace the current one."""
-        self.quotas.follow_plan(now, plan)
+        self.quotas.apply_plan(now, plan)
         self.budget.bytes_per_s = plan.bytes_per_s
 
-    def resized(self, now: int, running: int) -> None:
+    def set_running_routers(self, now: int, running: int) -> None:
         """Set the number of running routers, for soft quotas."""
-        self.quotas.resized(now, running)
+        self.quotas.set_running_routers(now, running)
 
-    def end(self, deadline_us: int) -> None:
+    def start_shutdown(self, deadline_us: int) -> None:
         """Start the shutdown: this router accepts requests until ``deadline_us``.
 
         Shortly before that it recalls all lent shares and releases all base shares, so that the next
@@ -131,7 +131,7 @@
         """
         self.shutdown.start(deadline_us)
 
-    def unsent(self, now: int, to: int, body: bytes) -> None:
+    def handle_unsent(self, now: int, to: int, body: bytes) -> None:
         """Handle a message that the channel had no room for."""
         self.budget.refund(len(body))
         self._outbox.keep(now, to, body)
@@ -197,7 +197,7 @@
         """Update the shares from the leases, and return the lease messages that may be sent now."""
         if self._start_wait is not None:
             self._start_wait.record_lease()
-        self.quotas.follow_leases(now)
+        self.quotas.apply_leases(now)
         return self._outbox.send(now, messages)
 
     # Time
--- a/slipbay/quota/leases/manager.py
+++ b/slipbay/quota/leases/manager.py
@@ -60,7 +60,7 @@
         self._held_elsewhere: set[int] = set()  # wanted owners whose base shares another router holds
         self.is_ending = False
 
-    def follow_plan(self, version: int, layout: int, borrow_us: int, owners: set[int]) -> None:
+    def apply_plan(self, version: int, layout: int, borrow_us: int, owners: set[int]) -> None:
         """Apply a plan, the first or a new one. ``owners`` are the routers that have a base share of at least
         one quota.
         """
--- a/slipbay/quota/service.py
+++ b/slipbay/quota/service.py
@@ -41,7 +41,7 @@
         core.admission_gates.append(self.gate)
         link.mux.add(FrameKind.QUOTA, self.machine)
         self.machine.budget.channel_room = lambda now: link.mux.room(now, FrameKind.QUOTA)
-        link.mux.unsent[FrameKind.QUOTA] = self.machine.unsent
+        link.mux.unsent[FrameKind.QUOTA] = self.machine.handle_unsent
         if 0 in link.topics:  # the channel answers commands from this host
             link.topics[FrameKind.QUOTA] = self.status
         self._event_log = QuotaEventLog(self.machine)
@@ -55,21 +55,21 @@
         self._event_log.check(self._clock.now())
         self._timers.after(CHECK_INTERVAL_US, self._check_changes)
 
-    def follow_plan(self, plan: QuotaPlan) -> None:
+    def apply_plan(self, plan: QuotaPlan) -> None:
         """Apply a checked plan after a reload (SIGHUP)."""
         old = self.machine.plan
         if plan != old:
-            self.machine.follow_plan(self._clock.fresh(), plan)
-            self.gate.plan_changed()
+            self.machine.apply_plan(self._clock.fresh(), plan)
+            self.gate.clear_cache()
             log("quota", f"plan {plan.version} in place of {old.version}")
 
-    def resized(self, running: int) -> None:
+    def set_running_routers(self, running: int) -> None:
         """Set the number of running routers, as membership reports it."""
-        self.machine.resized(self._clock.fresh(), running)
+        self.machine.set_running_routers(self._clock.fresh(), running)
 
     def end(self, linger_us: int) -> None:
         """Start the shutdown (SIGTERM): requests are accepted for ``linger_us`` more."""
-        self.machine.end(self._clock.fresh() + linger_us)
+        self.machine.start_shutdown(self._clock.fresh() + linger_us)
         if self.machine.leases is not None:
             self._timers.after(
                 linger_us - RELEASE_LOG_MARGIN_US, lambda: self._event_log.log_release(self._clock.fresh())
--- a/slipbay/router.py
+++ b/slipbay/router.py
@@ -280,7 +280,7 @@
     def _fleet_resized(self, living: int) -> None:
         self.dispatcher.notify(FleetSize(living))
         if self.quotas is not None:
-            self.quotas.resized(living)
+            self.quotas.set_running_routers(living)
 
     def _endpoints_changed(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
         self._has_endpoints = self._has_endpoints or bool(endpoints)
@@ -342,7 +342,7 @@
         if self.idempotency is not None and new.store is not None:
             self.idempotency.reload(new.store)
         if self.quotas is not None and new.quotas is not None:
-            self.quotas.follow_plan(new.quotas)
+            self.quotas.apply_plan(new.quotas)
         self.endpoint_watch.follow(new.config.journal)
 
     def close(self) -> None:
--- a/tests/explore_quota.py
+++ b/tests/explore_quota.py
@@ -398,7 +398,7 @@
 
 def _manager(router: int, started_us: int) -> LeaseManager:
     manager = LeaseManager(router, ROUTER_COUNT, ROUTER_COUNT, CLOCKS, started_us, LEASE_US)
-    manager.follow_plan(0, 0, LEASE_US, {0})
+    manager.apply_plan(0, 0, LEASE_US, {0})
     return manager
 
 
--- a/tests/quota_histories.py
+++ b/tests/quota_histories.py
@@ -109,7 +109,7 @@
             for router in range(size):
                 machine = fleet.machine(router)
                 if machine is not None:
-                    machine.resized(fleet.routers.clock(router), random.randint(1, size))
+                    machine.set_running_routers(fleet.routers.clock(router), random.randint(1, size))
         fleet.run(random.choice([0.05, 0.3, 1.0, 2.5, 4.0]))
     worst = worst_burst(fleet.asked["q"].admitted(), quota.rate * quota.soft)
     return fleet, worst, quota.burst * quota.soft + excess(plan, quota, size)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -145,19 +145,19 @@
 def test_rejected_clients_get_retry_delays_at_which_tokens_are_available() -> None:
     one = account(rate=10.0, burst=5.0)
     now = 10 * SECOND
-    while one.wait(now, None) == 0:
-        one.take(None)
-    waits = [one.wait(now, None) for _ in range(10)]
+    while one.admission_delay_us(now, None) == 0:
+        one.record_admission(None)
+    waits = [one.admission_delay_us(now, None) for _ in range(10)]
     assert all(
         later - first == pytest.approx(100_000, rel=0.05)
         for first, later in zip(waits, waits[1:], strict=False)
     )
     tokens = one.bucket.tokens
-    one.wait(now, None)
+    one.admission_delay_us(now, None)
     assert one.bucket.tokens == tokens  # a rejection takes no token
     for wait in waits[1:]:  # a client that retries after the delay is admitted
-        assert one.wait(now + wait + 15_000, None) == 0
-        one.take(None)
+        assert one.admission_delay_us(now + wait + 15_000, None) == 0
+        one.record_admission(None)
 
 
 def test_the_gate_takes_a_token_of_every_matching_quota_or_none() -> None:
@@ -319,7 +319,7 @@
     """
     managers = [LeaseManager(router, 3, 3, CLOCKS, -10 * SECOND, SECOND) for router in range(3)]
     for manager in managers:
-        manager.follow_plan(1, 1, SECOND, {0, 1, 2})
+        manager.apply_plan(1, 1, SECOND, {0, 1, 2})
 
     def deliver(source: int, sends: list[Send]) -> list[tuple[int, list[Send]]]:
         return [
@@ -432,12 +432,12 @@
         patch.setattr(shares, "wait_after_start", lambda longest, clocks: 0)
         assert worst_after_lender_loss(restarted=True) > most
     with monkeypatch.context() as patch:  # a new plan's version is applied, but not its rates
-        original_follow_plan = QuotaAccount.follow_plan
+        original_apply_plan = QuotaAccount.apply_plan
         patch.setattr(
             QuotaAccount,
-            "follow_plan",
+            "apply_plan",
             lambda self, plan, quota: (
-                None if hasattr(self, "quota") else original_follow_plan(self, plan, quota)
+                None if hasattr(self, "quota") else original_apply_plan(self, plan, quota)
             ),
         )
         assert any(
@@ -566,7 +566,7 @@
     for router in range(8):
         machine = fleet.machine(router)
         assert machine is not None
-        machine.resized(fleet.routers.clock(router), 4)
+        machine.set_running_routers(fleet.routers.clock(router), 4)
     fleet.run(2)
     since = fleet.now
     assert measure_use(fleet, 4) >= 1.8
