--- a/slipbay/quota/borrowing.py
+++ b/slipbay/quota/borrowing.py
@@ -288,7 +288,7 @@
         if self.leases is None or not self._must_locate or now - self._located_at_us < LOCATE_INTERVAL_US:
             return []
         self._located_at_us = now
-        for router in self._replies.missed:
+        for router in self._replies.unresponsive:
             queries = self.leases.query_location(now, router)
             if queries:
                 return [(to, body) for to, body in queries if self.budget.spend(now, len(body))]
--- a/slipbay/quota/demand.py
+++ b/slipbay/quota/demand.py
@@ -145,16 +145,16 @@
     def contact(self, key: int) -> int | None:
         """Return the holder that this router reports to and requests shares from first."""
         contacts = self._quotas.contacts[key]
-        missed = self._replies.missed
+        unresponsive = self._replies.unresponsive
         preferred = contacts[0] if contacts else None
-        return next((n for n in contacts if missed.get(n, 0) <= MAX_MISSED_REPLIES), preferred)
+        return next((n for n in contacts if unresponsive.get(n, 0) <= MAX_MISSED_REPLIES), preferred)
 
     def surpluses(self, key: int) -> dict[int, int]:
         """Return the surplus that each responsive holder reported, in share units."""
         return {
             n: one.surplus
             for n, one in self._holder_reports.get(key, {}).items()
-            if one.surplus and n not in self._replies.missed
+            if one.surplus and n not in self._replies.unresponsive
         }
 
     def suggest_lender(self, key: int, borrower: int, lack: int) -> int:
--- a/slipbay/quota/leases/manager.py
+++ b/slipbay/quota/leases/manager.py
@@ -171,7 +171,7 @@
             self.takeover.postpone(owner, now + span_ms * 1000 + self.lease_us)
 
     def _location(self, now: int, owner: int) -> LeaseEntry:
-        """Return which router holds a base share, as far as this router knows."""
+        """Return the known holder of a base share."""
         if owner in self.wanted and self.holder.ends_at(owner) > now:
             return LeaseEntry(owner, self.local_router, (self.holder.ends_at(owner) - now) // 1000)
         router, remaining_us = self.granter.remaining(now, owner)
--- a/slipbay/quota/leases/renewal.py
+++ b/slipbay/quota/leases/renewal.py
@@ -91,7 +91,7 @@
             and self.unsent
             and now - self._round_started_us < lease_us * ROOM_WAIT_FRACTION
         ):
-            # A granter owes no reply to a request that has not left yet.
+            # The time to wait for a reply starts when the request is sent.
             self._requested_at_us = now
             self._lacked_room = True
         if is_majority_requested and now - self._requested_at_us >= RETRY_US * (1 + self._lacked_room):
--- a/slipbay/quota/leases/takeover.py
+++ b/slipbay/quota/leases/takeover.py
@@ -87,8 +87,8 @@
         return taken, queried
 
     def _is_free(self, now: int, owner: int, granter: LeaseGranter, lease_us: int) -> bool:
-        """Return whether no known router holds a base share, its owner is silent, and this router's turn to
-        take it over has come.
+        """Return whether this router may take over a base share: no known router holds it, its owner is
+        silent, and this router's delay by its position in the group has passed.
         """
         group = self._group
         delay_us = (group.index(self._local_router) - group.index(owner)) % len(group) * TAKEOVER_STEP_US
--- a/slipbay/quota/lender_choice.py
+++ b/slipbay/quota/lender_choice.py
@@ -44,20 +44,20 @@
         """
         lenders = [n for n in self._lenders(key) if self._may_request(now, key, account, n)]
         self._random.shuffle(lenders)
-        missed = self._replies.missed
+        unresponsive = self._replies.unresponsive
         if self._quotas.is_holder(key):
             surpluses = self._demand.surpluses(key)
-            lenders.sort(key=lambda n: (n in missed, -surpluses.get(n, 0)))
+            lenders.sort(key=lambda n: (n in unresponsive, -surpluses.get(n, 0)))
         else:
             contact = self._demand.contact(key)
-            lenders.sort(key=lambda n: (n in missed, n != contact))
+            lenders.sort(key=lambda n: (n in unresponsive, n != contact))
         return lenders[:count]
 
     def _may_request(self, now: int, key: int, account: QuotaAccount, lender: int) -> bool:
         if now < self._avoided_until_us.get((key, lender), 0):
             return False
         borrowed_share = account.shares.borrowed.get(lender)
-        retry_us = UNRESPONSIVE_RETRY_US if lender in self._replies.missed else RETRY_US
+        retry_us = UNRESPONSIVE_RETRY_US if lender in self._replies.unresponsive else RETRY_US
         return (
             borrowed_share is None
             or not borrowed_share.pending
@@ -68,11 +68,11 @@
         """Return the holders, and the routers that took over base shares of unresponsive holders."""
         holders = self._quotas.holders[key]
         leases = self._quotas.leases
-        if leases is None or not self._replies.missed:
+        if leases is None or not self._replies.unresponsive:
             return holders
         takeover_routers = {
             leases.locations.holder_of(owner)
-            for owner in self._replies.missed
+            for owner in self._replies.unresponsive
             if leases.locations.is_known(owner) and self._quotas.bases[key][owner]
         }
         return [*holders, *(takeover_routers - {self._quotas.local_router, NO_ROUTER, *holders})]
--- a/slipbay/quota/shares.py
+++ b/slipbay/quota/shares.py
@@ -117,14 +117,16 @@
             self.waits_until_us = min(self.waits_until_us, max(now, self.usable_from_us))
 
     def lent_out(self, now: int, except_borrower: tuple[int, int] | None = None) -> int:
-        """Return the amount that is lent, to all borrowers but ``except_borrower``."""
+        """Return the amount that is lent to all borrowers except ``except_borrower``."""
         return sum(
-            lent.outstanding(now, self.clocks) for who, lent in self.lent.items() if who != except_borrower
+            lent.outstanding(now, self.clocks)
+            for borrower, lent in self.lent.items()
+            if borrower != except_borrower
         )
 
     def borrowers(self, now: int) -> set[int]:
         """Return the routers that may still use a lent share."""
-        return {who for (who, _), lent in self.lent.items() if lent.outstanding(now, self.clocks)}
+        return {borrower for (borrower, _), lent in self.lent.items() if lent.outstanding(now, self.clocks)}
 
     def usable(self, now: int) -> tuple[int, int]:
         """Return the amount that this router may use now, and the next time when it changes by itself."""
@@ -237,9 +239,9 @@
         This also forgets the tags of the latest requests. A duplicate that arrives so late is granted as a
         new request, and its borrower ignores the reply.
         """
-        for who, lent in list(self.lent.items()):
+        for borrower, lent in list(self.lent.items()):
             if all(granted.over(now, self.clocks) for _, granted in lent.grants):
-                del self.lent[who]
+                del self.lent[borrower]
         for lender, borrowed_share in list(self.borrowed.items()):
             if not borrowed_share.lease.valid(now) and now - borrowed_share.requested_at > REPLY_TIMEOUT_US:
                 del self.borrowed[lender]
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -398,13 +398,13 @@
             for _, worst, bound in (history(4, seed, 25, plan_of(burst=10.0)) for seed in range(seeds))
         )
 
-    most = 10 + excess(plan_of(burst=10.0), Quota("q", RATE, 10.0), 2)
+    max_worst = 10 + excess(plan_of(burst=10.0), Quota("q", RATE, 10.0), 2)
     assert (
         max(
             worst_after_lender_loss(restarted=True),
             worst_after_lender_loss(restarted=False),
         )
-        <= most
+        <= max_worst
     )
     with monkeypatch.context() as patch:  # a new incarnation starts with a full burst
         original_init = QuotaAccount.__init__
@@ -425,12 +425,12 @@
     with monkeypatch.context() as patch:  # borrowed shares that do not end
         # A borrower without reports of others returns nothing.
         patch.setattr(DemandPool, "share_per_demand", lambda self, account: 1.0)
-        assert worst_after_lender_loss(restarted=False) <= most
+        assert worst_after_lender_loss(restarted=False) <= max_worst
         patch.setattr(HeldLease, "ends", property(lambda self: self.asked + 20 * self.length))
-        assert worst_after_lender_loss(restarted=False) > most
+        assert worst_after_lender_loss(restarted=False) > max_worst
     with monkeypatch.context() as patch:  # a new incarnation lends shares that an earlier one lent
         patch.setattr(shares, "wait_after_start", lambda longest, clocks: 0)
-        assert worst_after_lender_loss(restarted=True) > most
+        assert worst_after_lender_loss(restarted=True) > max_worst
     with monkeypatch.context() as patch:  # a new plan's version is applied, but not its rates
         original_apply_plan = QuotaAccount.apply_plan
         patch.setattr(
