--- a/slipbay/quota/borrow_requests.py
+++ b/slipbay/quota/borrow_requests.py
@@ -83,7 +83,7 @@
         # about half of the holders have little to lend.
         self._lenders_per_even_share = 2 * min(quotas.router_count, quotas.plan.holders) / quotas.router_count
         self._tag = 0
-        self._report_count: dict[int, int] = {}  # by key, number of reports to other holders so far
+        self._report_count: dict[int, int] = {}  # by key, counter that selects the next holder to report to
         self._reported_at_us: dict[int, int] = {}  # by key, when the last report was sent
         self._requested_more_at_us: dict[int, int] = {}  # by key, when a larger share was last requested
 
--- a/slipbay/quota/fleet_start.py
+++ b/slipbay/quota/fleet_start.py
@@ -35,7 +35,7 @@
         self.local_router = local_router
         self.router_count = router_count
         self.incarnations = {local_router: incarnation}  # by router, the latest received incarnation
-        self.stated_checksum = 0  # of the incarnations for which it stated that it held nothing; 0: none
+        self.stated_checksum = 0  # checksum of incarnations in its statement that it held nothing; 0: none
         self.held_anything = False  # whether this incarnation ever held a lease or a borrowed share
         # Whether the detection has ended, or has no gain for this number of routers.
         self.is_done = router_count > MAX_ROUTERS or router_count < MIN_ROUTERS
--- a/slipbay/quota/leases/manager.py
+++ b/slipbay/quota/leases/manager.py
@@ -32,7 +32,7 @@
         self,
         local_router: int,
         router_count: int,
-        granter_count: int,
+        min_granters: int,
         clocks: ClockBounds,
         started_us: int,
         max_lease_us: int,
@@ -41,7 +41,7 @@
         self.local_router = local_router
         self.router_count = router_count
         self.clocks = clocks
-        self.group = granter_group(local_router, router_count, granter_count)
+        self.group = granter_group(local_router, router_count, min_granters)
         self.lease_us = base_lease_us(max_lease_us)  # duration of a lease on a base share
         self.granter = LeaseGranter(clocks, started_us, self.lease_us)
         self.holder = LeaseHolder(self.group)
@@ -55,7 +55,7 @@
         self.owners: set[int] = set()  # routers that have a base share of at least one quota
         self.wanted: dict[int, int] = {}  # owners whose base shares this router requests, and since when
         self.returning: set[int] = set()  # wanted owners that run again, so their leases are not renewed
-        self.locations = LeaseLocations(local_router, router_count, granter_count)
+        self.locations = LeaseLocations(local_router, router_count, min_granters)
         self.returned: set[int] = set()  # owners whose base shares were returned; cleared once logged
         self._held_elsewhere: set[int] = set()  # wanted owners whose base shares another router holds
         self.is_ending = False
--- a/slipbay/quota/peer_replies.py
+++ b/slipbay/quota/peer_replies.py
@@ -10,12 +10,8 @@
     """Counts the requests to each router since its latest message arrived. Times are in us."""
 
     def __init__(self) -> None:
-        self._unanswered: dict[
-            int, tuple[int, int]
-        ] = {}  # by router: time of the first request, and their number
-        self.unresponsive: dict[
-            int, int
-        ] = {}  # by unresponsive router, the number of requests without a reply
+        self._unanswered: dict[int, tuple[int, int]] = {}  # by router: time of the first, and count
+        self.unresponsive: dict[int, int] = {}  # by router, the number of requests without a reply
 
     def record_request(self, now: int, router: int) -> None:
         """Record that a request was sent that wants a reply."""
--- a/slipbay/quota/shares.py
+++ b/slipbay/quota/shares.py
@@ -24,7 +24,7 @@
 class BorrowedShare:
     """A share that one lender lent to this router. Replies to earlier requests are ignored."""
 
-    tag: int = 0  # of the latest request
+    tag: int = 0  # tag of the latest request
     requested_at: int = 0
     pending: bool = False  # whether its reply has not arrived yet
     amount: int = 0
