--- a/slipbay/quota/leases/manager.py
+++ b/slipbay/quota/leases/manager.py
@@ -32,7 +32,7 @@
         self,
         local_router: int,
         router_count: int,
-        granter_count: int,
+        min_granters: int,
         clocks: ClockBounds,
         started_us: int,
         max_lease_us: int,
@@ -41,7 +41,7 @@
         self.local_router = local_router
         self.router_count = router_count
         self.clocks = clocks
-        self.group = granter_group(local_router, router_count, granter_count)
+        self.group = granter_group(local_router, router_count, min_granters)
         self.lease_us = base_lease_us(max_lease_us)  # duration of a lease on a base share
         self.granter = LeaseGranter(clocks, started_us, self.lease_us)
         self.holder = LeaseHolder(self.group)
@@ -55,12 +55,12 @@
         self.owners: set[int] = set()  # routers that have a base share of at least one quota
         self.wanted: dict[int, int] = {}  # owners whose base shares this router requests, and since when
         self.returning: set[int] = set()  # wanted owners that run again, so their leases are not renewed
-        self.locations = LeaseLocations(local_router, router_count, granter_count)
+        self.locations = LeaseLocations(local_router, router_count, min_granters)
         self.returned: set[int] = set()  # owners whose base shares were returned; cleared once logged
         self._held_elsewhere: set[int] = set()  # wanted owners whose base shares another router holds
         self.is_ending = False
 
-    def follow_plan(self, version: int, layout: int, borrow_us: int, owners: set[int]) -> None:
+    def apply_plan(self, version: int, layout: int, borrow_us: int, owners: set[int]) -> None:
         """Apply a plan, the first or a new one. ``owners`` are the routers that have a base share of at least
         one quota.
         """
@@ -171,7 +171,7 @@
             self.takeover.postpone(owner, now + span_ms * 1000 + self.lease_us)
 
     def _location(self, now: int, owner: int) -> LeaseEntry:
-        """Return which router holds a base share, as far as this router knows."""
+        """Return the known holder of a base share."""
         if owner in self.wanted and self.holder.ends_at(owner) > now:
             return LeaseEntry(owner, self.local_router, (self.holder.ends_at(owner) - now) // 1000)
         router, remaining_us = self.granter.remaining(now, owner)
