--- a/slipbay/cli/__init__.py
+++ b/slipbay/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line for operators: ``slipbay COMMAND``. Each command's help tells what it prints."""
+"""The command line for operators: ``slipbay COMMAND``. The help of each command describes its output."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @main.command()
 def serve() -> None:
-    """Run a router, as `python -m slipbay` does. GW_CONFIG names its configuration."""
+    """Run a router, as `python -m slipbay` does. GW_CONFIG names its configuration file."""
     from slipbay.process import serve_until_end
 
     sys.exit(serve_until_end())
--- a/slipbay/cli/channel.py
+++ b/slipbay/cli/channel.py
@@ -1,4 +1,4 @@
-"""``slipbay channel``: look at what a running router sends and receives on the channel (docs/channel.md)."""
+"""``slipbay channel``: traffic of a running router on the peer channel (docs/channel.md)."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from slipbay.cli.queries import (
     CHANNEL_TOPIC,
     add_metrics_command,
-    ask_topic,
     echo_json,
     json_option,
     seconds_option,
+    status_query_by_topic,
     target_argument,
 )
 
-ask_status = ask_topic(CHANNEL_TOPIC)
+query_status = status_query_by_topic(CHANNEL_TOPIC)
 
 
 @click.group()
 def channel() -> None:
-    """Look at what a running router sends and receives on the channel (docs/channel.md)."""
+    """Show what a running router sends and receives on the peer channel (docs/channel.md)."""
 
 
-add_metrics_command(channel, ask_status, "slipbay.peer_channel.metrics", "The counters")
+add_metrics_command(channel, query_status, "slipbay.peer_channel.metrics", "The counters")
 
 
 @channel.command("status")
@@ -30,21 +30,21 @@
 @json_option("All counters as one JSON object.")
 @seconds_option
 def channel_status(target: str, as_json: bool, seconds: float) -> None:
-    """Messages by kind at the router whose peers' ADDRESS this is, asked from its own machine.
+    """Show counts of messages by kind at the router with this peers' ADDRESS. Run it on the router's machine.
 
     Exit code 0; 1 without an answer.
     """
-    found = ask_status(target, seconds)
+    status = query_status(target, seconds)
     if as_json:
-        echo_json(found)
+        echo_json(status)
         return
     click.echo(
-        f"router     {found['name']}, at most {found['rate']:g} bytes a second\n"
-        f"dropped    {found['skipped']} of unknown kinds, {found['garbled']} garbled, "
-        f"{found['foreign']} foreign"
+        f"router     {status['name']}, at most {status['rate']:g} bytes a second\n"
+        f"dropped    {status['skipped']} of unknown kinds, {status['garbled']} garbled, "
+        f"{status['foreign']} foreign"
     )
-    for kind, told in found["kinds"].items():
+    for kind, counts in status["kinds"].items():
         click.echo(
-            f"{kind:<10} {told['part']:.0%} surely; sent {told['sent']} ({told['bytes']} bytes), "
-            f"{told['over_budget']} over budget; received {told['received']}"
+            f"{kind:<10} {counts['part']:.0%} surely; sent {counts['sent']} ({counts['bytes']} bytes), "
+            f"{counts['over_budget']} over budget; received {counts['received']}"
         )
--- a/slipbay/cli/check.py
+++ b/slipbay/cli/check.py
@@ -1,4 +1,4 @@
-"""``slipbay check``: reads and checks all configuration files without a start."""
+"""``slipbay check``: reads and checks all configuration files without starting a router."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
     "quota": "SLIPBAY_QUOTA",
     "gather": "SLIPBAY_GATHER",
 }
-"""Options of the command, and the variables of the environment that they replace."""
+"""Options of the command, and the environment variables that they override."""
 
 
 def _file_options(command: click.Command) -> click.Command:
     for option, variable in reversed(FILES.items()):
         command = click.option(
-            f"--{option}", type=click.Path(path_type=Path), help=f"In place of {variable}."
+            f"--{option}", type=click.Path(path_type=Path), help=f"File to check in place of {variable}."
         )(command)
     return command
 
@@ -43,13 +43,13 @@
 @click.command()
 @_file_options  # type: ignore[arg-type]
 def check(**paths: Path | None) -> None:
-    """Read and check all configuration files; nothing is started or written.
+    """Read and check all configuration files. Nothing is started or written.
 
-    Exit code 0 where a router would start with them, 2 with the file and key at fault.
+    Exit code 0 if a router would start with them; 2 with the file and key at fault.
     """
     environment = _environment(paths)
     try:
-        lines = _read(environment)
+        lines = _summary(environment)
     except ConfigError as problem:
         fail(f"bad configuration: {problem}")
     for line in lines:
@@ -57,7 +57,7 @@
 
 
 def _environment(paths: dict[str, Path | None]) -> dict[str, str]:
-    """The environment with the files that options name in place of its own."""
+    """Return the environment with the files that the options name."""
     environment = dict(os.environ)
     for option, path in paths.items():
         if path is None:
@@ -68,14 +68,14 @@
     return environment
 
 
-def _read(environment: dict[str, str]) -> list[str]:
-    """A line about each part, once all files are without mistakes."""
+def _summary(environment: dict[str, str]) -> list[str]:
+    """Return a line about each part. Raises ``ConfigError`` for the first error in any file."""
     config = load(environment)
     membership = load_fleet(config, environment)
     channel = load_channel(config, environment, membership)
     warmup = load_comeback(config, environment, channel)
     quotas = load_quota(config, environment)
-    scattered = load_gather(config, environment)
+    scatter_gather = load_gather(config, environment)
     if quotas is not None:
         need_channel(channel, "quota.toml")
     return [
@@ -87,7 +87,7 @@
         "coming back by evidence is " + _warmup(warmup),
         "quotas over the fleet are "
         + (f"on, plan {quotas.version} with {len(quotas.quotas)} quotas" if quotas else "off"),
-        "scattered queries are " + _scattered(scattered),
+        "scattered queries are " + _scatter_gather(scatter_gather),
     ]
 
 
@@ -114,7 +114,7 @@
     return f"on, {plan.connections_per_s:g} connections a second and engine for all newcomers"
 
 
-def _scattered(plan: ScatterGatherPlan | None) -> str:
+def _scatter_gather(plan: ScatterGatherPlan | None) -> str:
     if plan is None:
         return "off"
-    return "on: " + ", ".join(f"{one.service_class} in {len(one.groups)} parts" for one in plan.scattered)
+    return "on: " + ", ".join(f"{item.service_class} in {len(item.groups)} parts" for item in plan.scattered)
--- a/slipbay/cli/comeback.py
+++ b/slipbay/cli/comeback.py
@@ -1,4 +1,4 @@
-"""``slipbay comeback``: how a router warms up after a start (docs/operate-comeback.md)."""
+"""``slipbay comeback``: the warm-up of a router after a start (docs/operate-comeback.md)."""
 
 from __future__ import annotations
 
@@ -9,68 +9,69 @@
 
 from slipbay.cli.queries import (
     add_metrics_command,
-    ask_part,
     echo_json,
     json_option,
     seconds_option,
+    status_query_by_kind,
     target_argument,
 )
 
-ask_status = ask_part("COMEBACK")
+query_status = status_query_by_kind("COMEBACK")
 
 WARMING_UP = 3
-"""Exit code while the router is not in full service yet."""
+"""Exit code while the router is warming up."""
 
 
 @click.group()
 def comeback() -> None:
-    """How a router warms up after a start (docs/operate-comeback.md)."""
+    """Show how a router warms up after a start (docs/operate-comeback.md)."""
 
 
-add_metrics_command(comeback, ask_status, "slipbay.warmup.metrics", "The status")
+add_metrics_command(comeback, query_status, "slipbay.warmup.metrics", "The status")
 
 
 @comeback.command("status")
 @target_argument
-@json_option("All that is known, as one JSON object.")
+@json_option("Print the whole status as one JSON object.")
 @seconds_option
 def comeback_status(target: str, as_json: bool, seconds: float) -> None:
-    """The phase of the router whose peers' ADDRESS this is, the evidence for it, and what it holds back.
+    """Show the warm-up phase of the router with this peers' ADDRESS, the reason for it, and the present
+    limits.
 
-    Also where the estimates came from that it began with.
+    Also shows where the estimates that it started with are from.
 
-    Exit code 0 in full service; 1 without an answer; 3 while it comes back.
+    Exit code 0 in full service; 1 without an answer; 3 during the warm-up.
     """
-    found = ask_status(target, seconds)
+    status = query_status(target, seconds)
     if as_json:
-        echo_json(found)
+        echo_json(status)
     else:
-        for line in _table(found):
+        for line in _table(status):
             click.echo(line)
-    sys.exit(0 if found["phase"] == "full" else WARMING_UP)
+    sys.exit(0 if status["phase"] == "full" else WARMING_UP)
 
 
-def _table(found: dict[str, Any]) -> list[str]:
+def _table(status: dict[str, Any]) -> list[str]:
     return [
-        f"router     {found['name']} (number {found['number']} of {found['configured']}), "
-        f"{found['life_s']:.1f} s old",
-        f"phase      {found['phase']} for {found['since_s']:.1f} s: {found['evidence']}",
-        f"fleet      {found['newcomers']} come back, {found['rivals']} of them are up, "
-        f"{found['sharers']} live; {found['heard']} heard of {found['asked']} asked",
-        f"held back  {found['held']:.0%} of threads; refused {found['refused']}, "
-        f"waiting {found['waiting']}; {_bounds(found)}",
-        f"news       {_estimates(found['news'])}",
+        f"router     {status['name']} (number {status['number']} of {status['configured']}), "
+        f"{status['life_s']:.1f} s old",
+        f"phase      {status['phase']} for {status['since_s']:.1f} s: {status['evidence']}",
+        f"fleet      {status['newcomers']} come back, {status['rivals']} of them are up, "
+        f"{status['sharers']} live; {status['heard']} heard of {status['asked']} asked",
+        f"held back  {status['held']:.0%} of threads; refused {status['refused']}, "
+        f"waiting {status['waiting']}; {_limits(status)}",
+        f"news       {_estimates(status['news'])}",
     ]
 
 
-def _bounds(found: dict[str, Any]) -> str:
-    if found["opens"] is None:
+def _limits(status: dict[str, Any]) -> str:
+    if status["opens"] is None:
         return "no bound on connections"
-    return f"{found['threads']} of {found['bound']:g} threads, {found['opens']:g} connections a second"
+    return f"{status['threads']} of {status['bound']:g} threads, {status['opens']:g} connections a second"
 
 
 def _estimates(news: dict[str, Any] | None) -> str:
-    """Where the estimates came from that the router began with."""
+    """Describe the source and the age of the estimates that the router started with."""
     if news is None:
         return "none"
     return (
--- a/slipbay/cli/fleet.py
+++ b/slipbay/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``slipbay fleet``: the fleet as a running router sees it (docs/operate-fleet.md)."""
+"""``slipbay fleet``: the membership view of a running router (docs/operate-fleet.md)."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 from slipbay.cli.queries import (
     add_metrics_command,
-    ask_view,
     echo_json,
     json_option,
+    query_view,
     seconds_option,
     target_argument,
 )
 
-CUT_OFF = 3
-"""Exit code where the router holds itself to be cut off from the others."""
+SUSPECTS_ISOLATION = 3
+"""Exit code if the router considers itself cut off from the others."""
 
 
 @click.group()
 def fleet() -> None:
-    """Look at the fleet as a running router sees it (docs/operate-fleet.md)."""
+    """Show the fleet as a running router sees it (docs/operate-fleet.md)."""
 
 
-add_metrics_command(fleet, ask_view, "slipbay.membership.metrics", "The view and its counters")
+add_metrics_command(fleet, query_view, "slipbay.membership.metrics", "The view and its counters")
 
 
 def _table(view: dict[str, Any]) -> str:
@@ -47,35 +47,36 @@
 
 @fleet.command("status")
 @target_argument
-@json_option("The whole view, counters too, as one JSON object.")
+@json_option("Print the whole view with its counters as one JSON object.")
 @seconds_option
 def fleet_status(target: str, as_json: bool, seconds: float) -> None:
-    """The view of the router whose peers' ADDRESS this is, as 127.0.0.4:7946, asked from its own machine.
+    """Show the view of the router with this peers' ADDRESS, as 127.0.0.4:7946. Run it on the router's
+    machine.
 
-    Exit code 0; 1 without an answer; 3 where the router holds itself to be cut off.
+    Exit code 0; 1 without an answer; 3 if the router considers itself cut off from the others.
     """
-    view = ask_view(target, seconds)
+    view = query_view(target, seconds)
     if as_json:
         echo_json(view)
     else:
         click.echo(_table(view))
-    sys.exit(CUT_OFF if view["odd_one_out"] else 0)
+    sys.exit(SUSPECTS_ISOLATION if view["odd_one_out"] else 0)
 
 
 @fleet.command("watch")
 @target_argument
-@click.option("--every", default=1.0, show_default=True, help="Seconds between looks.")
-@click.option("--count", default=0, help="Looks until it ends; 0: until it is interrupted.")
+@click.option("--every", default=1.0, show_default=True, help="Seconds between two queries.")
+@click.option("--count", default=0, help="Number of queries; 0: until interrupted.")
 def fleet_watch(target: str, every: float, count: int) -> None:
-    """A line for each change of a router's view."""
-    before = None
-    looks = 0
-    while not count or looks < count:
-        looks += 1
-        view = ask_view(target, every)
+    """Print a line for each change of a router's view."""
+    previous = None
+    queries = 0
+    while not count or queries < count:
+        queries += 1
+        view = query_view(target, every)
         shown = {key: view[key] for key in ("living", "suspect", "gone", "left", "odd_one_out")}
-        if shown != before:
-            told = " ".join(f"{key}={value}" for key, value in shown.items())
-            click.echo(f"view {view['version']}: {told}")
-        before = shown
+        if shown != previous:
+            values = " ".join(f"{key}={value}" for key, value in shown.items())
+            click.echo(f"view {view['version']}: {values}")
+        previous = shown
         time.sleep(every)
--- a/slipbay/cli/output.py
+++ b/slipbay/cli/output.py
@@ -1,4 +1,4 @@
-"""What all commands share in how they end."""
+"""Exit codes and error output, shared by all commands."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 import click
 
 BAD_INPUT = 2
-"""Exit code for a mistake in arguments, files or the configuration."""
+"""Exit code for an error in arguments, files or the configuration."""
 NO_ANSWER = 1
-"""Exit code where a running router did not answer, or a library is not installed."""
+"""Exit code if a running router does not answer, or a library is not installed."""
 
 
 def fail(text: str, code: int = BAD_INPUT) -> NoReturn:
-    """End the command with a line on standard error."""
+    """Print a line on standard error and end the command."""
     click.echo(f"slipbay: {text}", err=True)
     sys.exit(code)
--- a/slipbay/cli/queries.py
+++ b/slipbay/cli/queries.py
@@ -1,7 +1,7 @@
-"""How commands ask a running router on this machine, shared by every group of commands.
+"""Queries to a running router on this machine, shared by all groups of commands.
 
-A router answers on its peers' address with pages of text (``slipbay.peer_channel.status_pages``); a part
-answers under its topic, the kind of its frames.
+A router answers status queries on its peers' address (``slipbay.peer_channel.status_pages``). Each part of
+the router has a topic of its own, which is the kind of its frames.
 """
 
 from __future__ import annotations
@@ -18,32 +18,31 @@
 from slipbay.config.validation import ConfigError
 
 Command = TypeVar("Command", bound=Callable[..., Any])
-Ask = Callable[[str, float], dict[str, Any]]
-"""Asks the router with a peers' address, waiting so many seconds; ends the command without an answer."""
+StatusQuery = Callable[[str, float], dict[str, Any]]
+"""Queries the router with a peers' address, with a time-out in seconds; without an answer the command
+ends."""
 
 CHANNEL_TOPIC = 0
 
 
 def target_argument(command: Command) -> Command:
-    """The peers' address of the router to ask, as ``127.0.0.4:7946``."""
+    """Add the peers' address of the router to query, as ``127.0.0.4:7946``."""
     return click.argument("target", metavar="ADDRESS")(command)
 
 
 def seconds_option(command: Command) -> Command:
-    """How long to wait for the answer."""
-    option = click.option(
-        "--seconds", default=1.0, show_default=True, help="How long to wait for the answer."
-    )
+    """Add the option for the time-out of the query."""
+    option = click.option("--seconds", default=1.0, show_default=True, help="Seconds to wait for the answer.")
     return option(command)
 
 
 def json_option(help_text: str) -> Callable[[Command], Command]:
-    """The flag that prints the answer as JSON."""
+    """Return a decorator for the flag that prints the answer as JSON."""
     return click.option("--json", "as_json", is_flag=True, help=help_text)
 
 
-def ask_view(target: str, seconds: float) -> dict[str, Any]:
-    """The membership view of a running router."""
+def query_view(target: str, seconds: float) -> dict[str, Any]:
+    """Return the membership view of a running router."""
     from slipbay.membership.status_client import ask
     from slipbay.peer_channel.status_pages import NoAnswerError
 
@@ -53,10 +52,10 @@
         fail(str(problem), NO_ANSWER)
 
 
-def ask_topic(topic: int) -> Ask:
-    """Asks for the status of a part: ``topic`` is the kind of its frames, or ``CHANNEL_TOPIC``."""
+def status_query_by_topic(topic: int) -> StatusQuery:
+    """Return a query for the status of a part; ``topic`` is the kind of its frames, or ``CHANNEL_TOPIC``."""
 
-    def ask_status(target: str, seconds: float) -> dict[str, Any]:
+    def query_status(target: str, seconds: float) -> dict[str, Any]:
         from slipbay.peer_channel.status_pages import NoAnswerError, ask, question
 
         try:
@@ -64,34 +63,36 @@
         except (ConfigError, NoAnswerError, OSError) as problem:
             fail(str(problem), NO_ANSWER)
 
-    return ask_status
+    return query_status
 
 
-def ask_part(name: str) -> Ask:
-    """Asks for the status of the part whose frames are of the kind ``name``; loads the channel when
-    called."""
+def status_query_by_kind(name: str) -> StatusQuery:
+    """Return a query for the status of the part whose frames have the kind ``name``.
 
-    def ask_status(target: str, seconds: float) -> dict[str, Any]:
+    The modules of the peer channel are imported only when the query is called.
+    """
+
+    def query_status(target: str, seconds: float) -> dict[str, Any]:
         from slipbay.peer_channel.interfaces import FrameKind
 
-        return ask_topic(FrameKind[name])(target, seconds)
+        return status_query_by_topic(FrameKind[name])(target, seconds)
 
-    return ask_status
+    return query_status
 
 
-def echo_json(found: dict[str, Any]) -> None:
+def echo_json(status: dict[str, Any]) -> None:
     """Print an answer as one JSON object."""
-    click.echo(json.dumps(found))
+    click.echo(json.dumps(status))
 
 
-def add_metrics_command(group: click.Group, ask: Ask, module: str, about: str) -> None:
-    """Add ``metrics`` to a group: the answer in the Prometheus text format.
+def add_metrics_command(group: click.Group, query: StatusQuery, module: str, subject: str) -> None:
+    """Add the command ``metrics`` to a group: the answer in the Prometheus text format.
 
     Args:
-        group: of commands, to which it is added.
-        ask: how the router is asked.
-        module: the name of the module whose ``exposition`` makes the text of the answer.
-        about: what is shown, for the first line of the help.
+        group: the group of commands.
+        query: the query to the router.
+        module: the name of the module whose ``exposition`` formats the answer.
+        subject: what the command shows, for the first line of its help.
     """
 
     def metrics(target: str, seconds: float) -> None:
@@ -99,9 +100,9 @@
             exposition = import_module(module).exposition
         except ImportError as problem:
             fail(f"slipbay[fleet] is not installed: {problem}", NO_ANSWER)
-        click.echo(exposition(ask(target, seconds)), nl=False)
+        click.echo(exposition(query(target, seconds)), nl=False)
 
-    metrics.__doc__ = f"""{about} in the Prometheus text format, for a collector of files.
+    metrics.__doc__ = f"""{subject} in the Prometheus text format, for a collector that reads files.
 
     Needs slipbay[fleet]. Exit code 0; 1 without an answer or without the library.
     """
--- a/slipbay/cli/quota.py
+++ b/slipbay/cli/quota.py
@@ -1,4 +1,4 @@
-"""``slipbay quota``: quotas of tenants over the fleet (docs/operate-quota.md)."""
+"""``slipbay quota``: fleet-wide quotas of tenants (docs/operate-quota.md)."""
 
 from __future__ import annotations
 
@@ -11,77 +11,78 @@
 from slipbay.cli.output import NO_ANSWER, fail
 from slipbay.cli.queries import (
     add_metrics_command,
-    ask_part,
     echo_json,
     json_option,
     seconds_option,
+    status_query_by_kind,
     target_argument,
 )
 from slipbay.config.router import load
 from slipbay.config.validation import ConfigError
 from slipbay.quota.settings import load_quota
 
-ask_status = ask_part("QUOTA")
+query_status = status_query_by_kind("QUOTA")
 
 
 @click.group()
 def quota() -> None:
-    """Quotas of tenants over the fleet (docs/operate-quota.md)."""
+    """Show the fleet-wide quotas of tenants (docs/operate-quota.md)."""
 
 
-add_metrics_command(quota, ask_status, "slipbay.quota.metrics", "The status")
+add_metrics_command(quota, query_status, "slipbay.quota.metrics", "The status")
 
 
-def _listed(found: dict[str, Any], unit: str = "") -> str:
-    """Base shares by the number of their router, and who holds them or for how long yet."""
+def _base_shares(shares: dict[str, Any], unit: str = "") -> str:
+    """Return base shares by number, each with its remaining lease time in ``unit``, else with its holder."""
     return ", ".join(
-        f"{number} ({what} {unit})" if unit else f"{number} to {what}" for number, what in found.items()
+        f"{number} ({detail} {unit})" if unit else f"{number} to {detail}"
+        for number, detail in shares.items()
     )
 
 
 @quota.command("status")
 @target_argument
-@json_option("All that is known, as one JSON object.")
+@json_option("Print the whole status as one JSON object.")
 @seconds_option
 def quota_status(target: str, as_json: bool, seconds: float) -> None:
-    """What the router whose peers' ADDRESS this is holds of each quota: asked and admitted, its share, to
-    whom it lent, from whom it borrowed and how long ago, refusals by cause.
+    """Show the part of each quota that the router with this peers' ADDRESS has: requested and admitted rates,
+    its share, lent and borrowed shares with their age, and rejections by cause.
 
     Exit code 0; 1 without an answer.
     """
-    found = ask_status(target, seconds)
+    status = query_status(target, seconds)
     if as_json:
-        echo_json(found)
+        echo_json(status)
         return
     click.echo(
-        f"router     {found['name']} (number {found['number']} of {found['configured']}), "
-        f"plan {found['version']}"
+        f"router     {status['name']} (number {status['number']} of {status['configured']}), "
+        f"plan {status['version']}"
     )
-    if found["tenure"]:
-        _echo_leases(found["tenure"])
-    for name, held in found["quotas"].items():
-        _echo_quota(name, held)
+    if status["tenure"]:
+        _echo_leases(status["tenure"])
+    for name, share in status["quotas"].items():
+        _echo_quota(name, share)
 
 
 def _echo_leases(leases: dict[str, Any]) -> None:
     wanted = leases["wanted"]
-    lacked = f"; asked for in vain: {', '.join(map(str, wanted))}" if wanted else ""
-    click.echo(f"homes      {_listed(leases['homes'], 's left') or 'none'}{lacked}")
-    granted = "nothing yet, after a start" if leases["waits"] else _listed(leases["promised"]) or "none"
+    missing = f"; asked for in vain: {', '.join(map(str, wanted))}" if wanted else ""
+    click.echo(f"homes      {_base_shares(leases['homes'], 's left') or 'none'}{missing}")
+    granted = "nothing yet, after a start" if leases["waits"] else _base_shares(leases["promised"]) or "none"
     click.echo(f"wardens    {', '.join(map(str, leases['wardens']))}; promised here: {granted}")
 
 
-def _echo_quota(name: str, held: dict[str, Any]) -> None:
-    counts = ", ".join(f"{what} {count}" for what, count in sorted(held["counts"].items())) or "unused"
-    waits = "" if held["awake"] else ", waits"
+def _echo_quota(name: str, share: dict[str, Any]) -> None:
+    counts = ", ".join(f"{event} {count}" for event, count in sorted(share["counts"].items())) or "unused"
+    waiting = "" if share["awake"] else ", waits"
     click.echo(
-        f"{name}: {held['rate']:g}/s, burst {held['burst']:g}; asked {held['asked']:g}/s; share "
-        f"{held['share']:.1%} of home {held['home']:.1%}{waits}; {counts}"
+        f"{name}: {share['rate']:g}/s, burst {share['burst']:g}; asked {share['asked']:g}/s; share "
+        f"{share['share']:.1%} of home {share['home']:.1%}{waiting}; {counts}"
     )
-    for borrower, part in held["lent"].items():
-        click.echo(f"  lent to {borrower}: {part:.2%}")
-    for lender, (part, age_s) in held["borrowed"].items():
-        click.echo(f"  borrowed of {lender}: {part:.2%}, asked {age_s:.1f} s ago")
+    for borrower, fraction in share["lent"].items():
+        click.echo(f"  lent to {borrower}: {fraction:.2%}")
+    for lender, (fraction, age_s) in share["borrowed"].items():
+        click.echo(f"  borrowed of {lender}: {fraction:.2%}, asked {age_s:.1f} s ago")
 
 
 @quota.command("explain")
@@ -89,11 +90,11 @@
     "--file",
     "path",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="A quota.toml in place of SLIPBAY_QUOTA, switched on or not.",
+    help="A quota.toml in place of SLIPBAY_QUOTA, enabled or not.",
 )
-@click.option("--routers", type=click.IntRange(1), help="In place of the number that GW_CONFIG names.")
+@click.option("--routers", type=click.IntRange(1), help="Number of routers, in place of that in GW_CONFIG.")
 def quota_explain(path: Path | None, routers: int | None) -> None:
-    """What a plan promises: for each quota the most that the fleet admits in any window of t seconds.
+    """Show what a plan guarantees: for each quota the most that the fleet admits in any window of t seconds.
 
     Exit code 0; 2 with the file and key at fault.
     """
@@ -101,13 +102,13 @@
     try:
         from slipbay.quota.guarantees import explain
 
-        found = load(environment)
+        config = load(environment)
         if path is not None:
             environment["SLIPBAY_QUOTA"] = str(path)
-        plan = load_quota(found, environment, always=True)
+        plan = load_quota(config, environment, always=True)
     except ImportError as problem:
         fail(f"slipbay[fleet] is not installed: {problem}", NO_ANSWER)
     except ConfigError as problem:
         fail(f"bad configuration: {problem}")
     assert plan is not None
-    click.echo(explain(plan, routers or max(1, len(found.peers))))
+    click.echo(explain(plan, routers or max(1, len(config.peers))))
--- a/slipbay/cli/rig.py
+++ b/slipbay/cli/rig.py
@@ -1,4 +1,4 @@
-"""``slipbay rig``: several routers as processes, with faults between them (docs/rig.md)."""
+"""``slipbay rig``: runs several routers as processes and injects faults (docs/rig.md)."""
 
 from __future__ import annotations
 
@@ -11,48 +11,51 @@
 from slipbay.cli.output import fail
 from slipbay.config.validation import ConfigError
 
-STARVED = (
-    0.05  # share of the time that the machine kept the rig from running, above which figures mean little
-)
+# Above this fraction of the time in which the machine did not run the rig, its figures are not reliable
+MAX_STARVED_FRACTION = 0.05
 
 
 @click.group()
 def rig() -> None:
-    """Several routers as processes, with faults between them (docs/rig.md)."""
+    """Run several routers as processes and inject faults (docs/rig.md)."""
 
 
 @rig.command("run")
 @click.argument("script", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@click.option("--json", "as_json", type=click.Path(path_type=Path), help="Write the whole report there too.")
+@click.option(
+    "--json", "as_json", type=click.Path(path_type=Path), help="Also write the whole report to this file."
+)
 def rig_run(script: Path, as_json: Path | None) -> None:
-    """Play SCRIPT, a TOML file; print what was done, what clients got, and the verdict. Service is the worth
-    that was served within its class's aim, of all that was asked for; peaks are the most in any 100 ms.
+    """Run SCRIPT, a TOML file; print the actions, the outcomes at clients, and the result of the checks.
+
+    Service is the utility of the requests served within their class's latency objective, as a fraction of
+    that of all requests; peaks are the maxima in any 100 ms.
 
-    Exit code 0 where all rules were kept, 1 where one was broken, 2 for a faulty script.
+    Exit code 0 if no rule was broken, 1 if one was, 2 for an error in the script.
     """
     from slipbay.rig.report import table
     from slipbay.rig.runner import play
     from slipbay.rig.scenario import read
 
     try:
-        verdict = play(read(script))
+        report = play(read(script))
     except ConfigError as problem:
         fail(str(problem))
-    for line in verdict.timeline:
+    for line in report.timeline:
         click.echo(line)
-    for what, count in sorted(verdict.outcomes.items()):
+    for what, count in sorted(report.outcomes.items()):
         click.echo(f"{what:<24} {count}")
-    for line in table(verdict.stretches):
+    for line in table(report.stretches):
         click.echo(line)
-    click.echo(f"most threads on an engine {verdict.most_threads}, further attempts {verdict.extras}")
-    if verdict.starved > STARVED:
+    click.echo(f"most threads on an engine {report.most_threads}, further attempts {report.extras}")
+    if report.starved > MAX_STARVED_FRACTION:
         click.echo(
-            f"the machine kept the rig from running for {verdict.starved:.0%} of the time; "
+            f"the machine kept the rig from running for {report.starved:.0%} of the time; "
             "figures of service mean little"
         )
-    for fault in verdict.faults:
+    for fault in report.faults:
         click.echo(f"FAULT  {fault}")
-    click.echo("all rules kept" if verdict.good else f"{len(verdict.faults)} faults")
+    click.echo("all rules kept" if report.good else f"{len(report.faults)} faults")
     if as_json is not None:
-        as_json.write_text(json.dumps(verdict.as_json(), indent=1) + "\n")
-    sys.exit(0 if verdict.good else 1)
+        as_json.write_text(json.dumps(report.as_json(), indent=1) + "\n")
+    sys.exit(0 if report.good else 1)
--- a/slipbay/cli/store.py
+++ b/slipbay/cli/store.py
@@ -1,4 +1,4 @@
-"""``slipbay store``: looks into the durable store of a router (docs/operate-store.md)."""
+"""``slipbay store``: inspects and maintains the durable store of a router (docs/operate-store.md)."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @click.group()
 def store() -> None:
-    """Look into the durable store of a router (docs/operate-store.md)."""
+    """Inspect and maintain the durable store of a router (docs/operate-store.md)."""
 
 
 def _survey(directory: Path) -> Any:
@@ -29,15 +29,15 @@
         from slipbay.store.disk import Folder
         from slipbay.store.inspect import survey
     except ImportError as problem:
-        fail(f"this wants the extra packages of slipbay[store]: {problem}")
+        fail(f"this needs the extra packages of slipbay[store]: {problem}")
     try:
         return survey(Folder(directory, writable=False))
     except OSError as problem:
         fail(f"{problem.filename}: {problem.strerror}")
 
 
-def _in_use(directory: Path) -> bool:
-    """Whether a process has the store open."""
+def _is_in_use(directory: Path) -> bool:
+    """Return whether a process has the store open."""
     try:
         fd = os.open(directory / "LOCK", os.O_RDONLY | os.O_CLOEXEC)
     except OSError:
@@ -54,14 +54,14 @@
 @store.command()
 @click.argument("directory", type=DIRECTORY)
 def status(directory: Path) -> None:
-    """What a store holds and takes: segments, bytes, keys by what is known of them."""
+    """Show the segments, the size and the records of a store, with the records counted by state."""
     found = _survey(directory)
     sizes = [
         (segment, (directory / segment.name).stat().st_size)
         for segment in found.segments
         if (directory / segment.name).exists()
     ]
-    click.echo(f"in use     {'yes' if _in_use(directory) else 'no'}")
+    click.echo(f"in use     {'yes' if _is_in_use(directory) else 'no'}")
     click.echo(f"state      {found.problem or ('torn end' if found.torn_bytes else 'sound')}")
     click.echo(f"segments   {len(found.segments)}, {sum(size for _, size in sizes)} bytes")
     for segment, size in sizes:
@@ -102,14 +102,15 @@
 
 @store.command()
 @click.argument("directory", type=DIRECTORY)
-@click.option("--because", required=True, metavar="TEXT", help="Why; it is kept in the store and logged.")
+@click.option("--because", required=True, metavar="TEXT", help="The reason; it is stored and logged.")
 def adopt(directory: Path, because: str) -> None:
-    """Vouch for a store that no router has open: it holds all loads that clients may repeat.
+    """Declare that a store, which no router has open, holds all loads that clients may repeat.
 
-    The next start takes it for the newest, whatever else says, once. Also makes an empty folder a store, for
-    a first start. Where the word is wrong, loads may run twice. Exit code 0; 2 where it can't be done.
+    The next start, and only that one, accepts the store as up to date, whatever marker or peers report. Also
+    makes a store of an empty folder, for a first start. If the declaration is wrong, loads may run twice.
+    Exit code 0; 2 if it cannot be done.
     """
-    _survey(directory)  # says which packages are missing
+    _survey(directory)  # fails with a message if packages are missing
     from slipbay.idempotency import store_generation
     from slipbay.store.disk import Folder
     from slipbay.store.engine import Store
@@ -118,12 +119,16 @@
     try:
         opened = Store.open(Folder(directory))
         try:
-            told = time.strftime("%Y-%m-%d %H:%M:%S UTC", time.gmtime()) + ": " + because.strip()
-            new = store_generation.adopt(
-                os.urandom(store_generation.ID_BYTES), told if because.strip() else ""
+            reason = time.strftime("%Y-%m-%d %H:%M:%S UTC", time.gmtime()) + ": " + because.strip()
+            identity = store_generation.adopt(
+                os.urandom(store_generation.ID_BYTES), reason if because.strip() else ""
+            )
+            opened.commit(
+                [(store_generation.IDENTITY_KEY, store_generation.encode(identity))], use_reserve=True
+            )
+            click.echo(
+                f"store {identity.store_id.hex()[:8]} is taken for the newest at its next start: {reason}"
             )
-            opened.commit([(store_generation.IDENTITY_KEY, store_generation.encode(new))], use_reserve=True)
-            click.echo(f"store {new.store_id.hex()[:8]} is taken for the newest at its next start: {told}")
         finally:
             opened.close()
     except (StoreError, ValueError) as problem:
@@ -134,11 +139,11 @@
 
 @store.command()
 @click.argument("directory", type=DIRECTORY)
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a line.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object a line.")
 def dump(directory: Path, as_json: bool) -> None:
-    """Every live record, sorted by its key. Writes nothing; a running router's store can be dumped too.
+    """Print every live record, sorted by its key. Writes nothing; the store may be in use by a router.
 
-    Exit code 2 where the store is damaged: then what could be read is printed.
+    Exit code 2 if the store is damaged: then the readable records are printed.
     """
     found = _survey(directory)
     for key, value in sorted(found.records.items(), key=lambda item: (item[0][1:], item[0][:1])):
@@ -149,7 +154,9 @@
             state = record.pop("state")
             name = record.pop("key")
             record.pop("value_base64", None)
-            click.echo(f"{state:<14} {name}  " + " ".join(f"{name}={told}" for name, told in record.items()))
+            click.echo(
+                f"{state:<14} {name}  " + " ".join(f"{field}={content}" for field, content in record.items())
+            )
     if found.problem:
         fail(found.problem)
 
@@ -159,8 +166,8 @@
 def verify(directory: Path) -> None:
     """Read every byte of a store. Writes nothing.
 
-    Exit code 0: sound. 1: a torn end, of a change that was never told as durable; opening cuts it off.
-    2: damage; it says where.
+    Exit code 0: no damage. 1: a torn end, which belongs to a change that was never confirmed as durable; the
+    next start truncates it. 2: damage, with its position.
     """
     found = _survey(directory)
     if found.problem:
@@ -176,8 +183,8 @@
 @store.command()
 @click.argument("directory", type=DIRECTORY)
 def compact(directory: Path) -> None:
-    """Merge all of a store that no router has open; dead records are dropped, live ones compressed."""
-    _survey(directory)  # says which packages are missing
+    """Merge all segments of a store that no router has open: drop dead records, compress live ones."""
+    _survey(directory)  # fails with a message if packages are missing
     from slipbay.store.disk import Folder
     from slipbay.store.engine import Store
     from slipbay.store.errors import StoreError
--- a/slipbay/cli/store_records.py
+++ b/slipbay/cli/store_records.py
@@ -1,15 +1,15 @@
-"""Records of the durable store in a form for people and for JSON."""
+"""Records of the durable store as named fields, for text output and for JSON."""
 
 from __future__ import annotations
 
 import base64
 from typing import Any
 
-NO_WINDOW_US = 2**63  # a span that holds every step of a retry budget
+NO_WINDOW_US = 2**63  # longer than any retry budget's window
 
 
 def describe(key: bytes, value: bytes) -> dict[str, Any]:
-    """A record as fields, with its state first by what is known of it; times in us of the Unix clock."""
+    """Return the fields of a record, with its state; times are Unix times in us."""
     from slipbay.idempotency import store_generation
     from slipbay.idempotency.key_record import ANSWER, REQUEST, RETRY_BUDGET, SNAPSHOT
 
@@ -32,18 +32,18 @@
 
 
 def _request(key: bytes, value: bytes) -> dict[str, Any]:
-    """A request that must not run twice, with the attempt that may have run."""
+    """Return the fields of a request that must not run twice, with the attempt that may have run."""
     from slipbay.idempotency.key_record import decode_record
 
-    entry = decode_record(key, value)
+    record = decode_record(key, value)
     fields = {
-        "state": entry.outcome.value if entry.outcome else entry.phase.value,
-        "digest": entry.digest.hex(),
-        "at_us": entry.changed_us,
-        "told": entry.client_notified,
-        "answer_bytes": entry.answer_bytes,
+        "state": record.outcome.value if record.outcome else record.phase.value,
+        "digest": record.digest.hex(),
+        "at_us": record.changed_us,
+        "told": record.client_notified,
+        "answer_bytes": record.answer_bytes,
     }
-    intent = entry.intent
+    intent = record.intent
     if intent is None:
         return fields
     return {
