--- a/slipbay/backends/http.py
+++ b/slipbay/backends/http.py
@@ -1,5 +1,5 @@
-"""Engines that speak HTTP: a pool for each, attempts, probes, and what is still to be learned of earlier
-ones."""
+"""Backend for HTTP engines: a connection pool for each engine, attempts, probes, and outcome queries for
+attempts of earlier incarnations."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from slipbay.backends.http_connection import HttpConnection
 from slipbay.backends.http_exchange import WIRE, HttpExchange
 from slipbay.backends.pool import (
-    ANSWER_US,
+    CALL_TIMEOUT_US,
     Pool,
     SocketBudget,
 )
@@ -34,23 +34,23 @@
         self._config = config
         self.timers = timers
         self.now = now
-        self.exact = now  # the time as it is, which may be past this turn's
+        self.exact = now  # the current time, which may be later than the time of this turn of the loop
         self._dialer = dialer
         self._sockets = sockets
         self.call_soon = dialer.loop.call_soon
         self.classes = config.classes
         self._pools: dict[EngineId, Pool[HttpConnection]] = {}
-        self._born: dict[EngineId, int] = {}
+        self._ready_at_us: dict[EngineId, int] = {}
         timers.after(SWEEP_US, self._sweep)
 
     def endpoints_changed(self, kind: ListKind, hosts: list[Endpoint]) -> None:
-        """News of where engines listen."""
+        """Update the pools from the endpoint list."""
         if kind is not ListKind.DELTA:
             for engine in self._pools.keys() - {host.entry.engine for host in hosts}:
-                self._pools[engine].renew(self._pools[engine].address, gone=True)
+                self._pools[engine].set_address(self._pools[engine].address, is_removed=True)
         for host in hosts:
             engine = host.entry.engine
-            gone = host.entry.state is EngineState.GONE
+            is_removed = host.entry.state is EngineState.GONE
             pool = self._pools.get(engine)
             if pool is None:
                 self._pools[engine] = pool = Pool(
@@ -64,21 +64,23 @@
                     self._config.connect_timeout_us,
                     self._config.idle_us,
                 )
-                pool.gone = gone
-            elif gone:
-                pool.renew(pool.address, gone=True)
+                pool.is_removed = is_removed
+            elif is_removed:
+                pool.set_address(pool.address, is_removed=True)
             elif (
-                pool.gone or pool.address != host.address or self._born.get(engine) != host.entry.ready_at_us
+                pool.is_removed
+                or pool.address != host.address
+                or self._ready_at_us.get(engine) != host.entry.ready_at_us
             ):
-                pool.renew(host.address, gone=False)
-            self._born[engine] = host.entry.ready_at_us
+                pool.set_address(host.address, is_removed=False)
+            self._ready_at_us[engine] = host.entry.ready_at_us
 
     @staticmethod
     def _connection(pool: Pool[HttpConnection]) -> HttpConnection:
         return HttpConnection(pool)  # type: ignore[arg-type]
 
     def start(self, attempt: Attempt) -> Exchange | None:
-        """Begin an attempt; it ends as ``MOOT`` where its engine was never listed."""
+        """Start an attempt; it ends with ``MOOT`` if its engine was never listed."""
         pool = self._pools.get(attempt.engine)
         if pool is None:
             log("engine", "the engine was never listed", engine=attempt.engine)
@@ -87,7 +89,7 @@
         return HttpExchange(self, attempt, pool)
 
     def query_outcome(self, query: OutcomeQuery, until_us: int) -> None:
-        """Learn the end of an attempt of an earlier incarnation; it is cancelled at ``until_us``."""
+        """Query the outcome of an attempt of an earlier incarnation; it is cancelled at ``until_us``."""
         pool = self._pools.get(query.engine)
         if pool is None:
             query.finish(Outcome.RESET)
@@ -96,23 +98,23 @@
         self.timers.at(until_us, lambda: exchange.stop(Outcome.CANCELLED))
 
     def probe(self, engine: EngineId, done: Callable[[Outcome], None]) -> None:
-        """Ask an engine whether it is there; ``done`` is called once."""
+        """Send a probe request to an engine; ``done`` is called once."""
         pool = self._pools.get(engine)
         if pool is None:
             done(Outcome.CONNECT_FAILED)
             return
-        over = False
+        is_ended = False
 
         def end(outcome: Outcome) -> None:
-            nonlocal over
-            if not over:
-                over = True
+            nonlocal is_ended
+            if not is_ended:
+                is_ended = True
                 timer.cancel()
                 done(outcome)
 
         def send(connection: HttpConnection) -> None:
             def responded(response: http1.Response) -> None:
-                connection.done_with(response)
+                connection.finish_call(response)
                 end(
                     {http1.OK: Outcome.OK, http1.SERVICE_UNAVAILABLE: Outcome.FULL}.get(
                         response.status, Outcome.ERROR
@@ -123,17 +125,17 @@
                 http1.request("GET", "/ping", connection.pool.host),
                 responded,
                 lambda: end(Outcome.RESET),
-                self.now() + ANSWER_US,
+                self.now() + CALL_TIMEOUT_US,
             )
 
         timer = self.timers.after(2 * self._config.connect_timeout_us, lambda: end(Outcome.TIMEOUT))
         pool.acquire(send, lambda _failure: end(Outcome.CONNECT_FAILED))
 
     def fire_and_forget(self, pool: Pool[HttpConnection], request: bytes) -> None:
-        """Send a request whose response matters to nobody."""
+        """Send a request and ignore its response."""
 
         def send(connection: HttpConnection) -> None:
-            connection.call(request, connection.done_with, lambda: None, self.now() + ANSWER_US)
+            connection.call(request, connection.finish_call, lambda: None, self.now() + CALL_TIMEOUT_US)
 
         pool.acquire(send, lambda _failure: None)
 
@@ -145,7 +147,7 @@
     def _sweep(self) -> None:
         for engine, pool in list(self._pools.items()):
             pool.sweep()
-            if pool.unused:  # names and addresses of engines that are gone would add up for ever
+            if pool.is_unused:  # else pools of removed engines would accumulate
                 pool.close()
-                del self._pools[engine], self._born[engine]
+                del self._pools[engine], self._ready_at_us[engine]
         self.timers.after(SWEEP_US, self._sweep)
--- a/slipbay/backends/http_connection.py
+++ b/slipbay/backends/http_connection.py
@@ -1,11 +1,11 @@
-"""One HTTP/1.1 connection to an engine: one call at a time, and what came without a call."""
+"""One HTTP/1.1 connection to an engine: one call at a time, with detection of duplicate answers."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from slipbay.backends.pool import (
-    REST_US,
+    DUPLICATE_WINDOW_US,
     Pool,
     PooledStream,
 )
@@ -14,35 +14,35 @@
 
 
 class HttpConnection(PooledStream):
-    """One call at a time."""
+    """A connection that carries one call at a time."""
 
-    answered_at = 0  # when its last answer had come whole
-    caller: object = None  # whose call it carries or carried last
-    before: http1.Response | None = None  # the last answer to another caller's call
-    last: http1.Response | None = None
-    doubtful = False  # what came may be the second answer to another caller's call
-    doubt_until = 0  # when that one's second answer would have come
+    last_answer_us = 0  # when the last answer was complete, us
+    caller: object = None  # owner of the current or last call
+    foreign_answer: http1.Response | None = None  # the answer before the current call, if of another caller
+    last_answer: http1.Response | None = None
+    may_be_duplicate = False  # the last answer may be a duplicate of an answer to another caller
+    duplicate_until_us = 0  # until when such a duplicate may arrive, us
 
     def __init__(self, pool: Pool[PooledStream]) -> None:
         super().__init__(pool)
         self._responses = http1.ResponseParser()
         self._responded: Callable[[http1.Response], None] | None = None
-        self._cut: Callable[[], None] | None = None
+        self._interrupted: Callable[[], None] | None = None
 
     def opened(self) -> None:
-        """The connection is up: it may be used, unless the engine has ended it already."""
-        self.pool.heard()
-        if self.stale():  # reset as soon as it came up: nothing is lost if nothing is written
+        """Make the open connection usable, unless the engine has closed it already."""
+        self.pool.record_activity()
+        if self.stale():  # closed as soon as it opened: no call is lost, as none was written
             self.abort()
         else:
-            self.usable()
+            self.on_usable()
 
     def call(
         self,
         request: bytes,
         responded: Callable[[http1.Response], None],
-        cut: Callable[[], None],
-        due: int = 0,
+        interrupted: Callable[[], None],
+        deadline_us: int = 0,
         caller: object = None,
     ) -> None:
         """Send a request.
@@ -50,76 +50,84 @@
         Args:
             request: its bytes.
             responded: called with its response.
-            cut: called where the connection ends before.
-            due: when the call is given up, us; 0: never.
-            caller: whose call it is, to tell second answers to another caller's call.
+            interrupted: called if the connection ends before the response is complete.
+            deadline_us: time at which the call is aborted, us; 0: never.
+            caller: owner of the call; used to detect duplicates of answers to another caller.
         """
         self._responded = responded
-        self._cut = cut
-        self.due = due
-        self.before = self.last if caller is not self.caller else None
+        self._interrupted = interrupted
+        self.deadline_us = deadline_us
+        self.foreign_answer = self.last_answer if caller is not self.caller else None
         self.caller = caller
         self.write(request)
 
-    def expect(self, responded: Callable[[http1.Response], None], cut: Callable[[], None]) -> None:
-        """What came was no answer to the call that it carries: that one may follow."""
+    def await_next_response(
+        self, responded: Callable[[http1.Response], None], interrupted: Callable[[], None]
+    ) -> None:
+        """Wait for another response to the current call, as the last one was not the answer to it."""
         self._responded = responded
-        self._cut = cut
-        self.before = None
+        self._interrupted = interrupted
+        self.foreign_answer = None
 
-    def abandon(self, due: int) -> None:
-        """Its answer matters to nobody; with it the connection is free again."""
-        self._responded = self.done_with
-        self._cut = None
-        self.due = due
+    def abandon(self, deadline_us: int) -> None:
+        """Ignore the answer to the current call; when it arrives the connection is released."""
+        self._responded = self.finish_call
+        self._interrupted = None
+        self.deadline_us = deadline_us
 
-    def done_with(self, response: http1.Response) -> None:
-        """The call is over: keep the connection where the response lets us."""
+    def finish_call(self, response: http1.Response) -> None:
+        """End the call: release the connection if the response permits reuse, else close it."""
         if response.keep:
             self.release()
         else:
             self.close()
 
     def received(self, data: bytes) -> None:
-        """Take bytes in; what no call asked for ends the connection."""
-        self.pool.answered()
+        """Parse received bytes; data without a call ends the connection."""
+        self.pool.record_answer()
         if self._responded is None:
-            self.abort()  # nobody asked for it
+            self.abort()  # no call is open
             return
         try:
             response = self._responses.feed(data)
             while response is not None:
-                self._answer(response)
+                self._complete_call(response)
                 response = self._responses.feed(b"") if self._responded is not None else None
         except http1.MalformedResponseError as problem:
             log(
                 "engine",
-                "a response is malformed; the connection is closed",
+                "malformed response; connection closed",
                 reason=problem,
                 engine=self.pool.engine,
             )
             self.abort()
 
-    def _answer(self, response: http1.Response) -> None:
-        """The answer to the call has come whole."""
+    def _complete_call(self, response: http1.Response) -> None:
+        """Pass a complete response to the call, and note whether it may be a duplicate."""
         responded = self._responded
         if responded is None:
             return
         self._responded = None
-        self._cut = None
+        self._interrupted = None
         now = self.pool.now()
-        copied = response.status != http1.OK or (self.before is not None and response.same(self.before))
-        self.doubtful = self.before is not None and copied and now - self.answered_at < REST_US
-        self.doubt_until = self.answered_at + REST_US
-        self.answered_at = now
-        self.last = response
+        is_suspicious = response.status != http1.OK or (
+            self.foreign_answer is not None and response.has_same_content(self.foreign_answer)
+        )
+        self.may_be_duplicate = (
+            self.foreign_answer is not None
+            and is_suspicious
+            and now - self.last_answer_us < DUPLICATE_WINDOW_US
+        )
+        self.duplicate_until_us = self.last_answer_us + DUPLICATE_WINDOW_US
+        self.last_answer_us = now
+        self.last_answer = response
         responded(response)
 
     def ended(self) -> None:
-        """The connection has ended; the call on it is cut."""
-        cut = self._cut
-        self._cut = None
+        """Notify the current call of the end of the connection."""
+        interrupted = self._interrupted
+        self._interrupted = None
         self._responded = None
         super().ended()
-        if cut is not None:
-            cut()
+        if interrupted is not None:
+            interrupted()
--- a/slipbay/backends/http_exchange.py
+++ b/slipbay/backends/http_exchange.py
@@ -1,6 +1,6 @@
-"""One attempt at an engine over HTTP: the POST, the calls that ask for its end, its pages, and the DELETE.
+"""One attempt on an engine over HTTP: the POST, the polls for its end, the pages of its result, the DELETE.
 
-docs/races.md has what may come between two of them.
+docs/races.md lists the events that may occur between two of them.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 
 from slipbay.backends.http_connection import HttpConnection
 from slipbay.backends.pool import (
-    ANSWER_US,
-    HOLD_US,
-    LOST_US,
+    CALL_TIMEOUT_US,
+    LONG_POLL_US,
+    QUERY_DROPPED_US,
     ConnectFailure,
     PendingAcquire,
     Pool,
@@ -23,20 +23,25 @@
 from slipbay.policy.events import NoteKind, Outcome
 from slipbay.wire import http1
 
-TRANSIT_US = 100_000  # for a call and its answer on the way, and for the engine's own delays
-PAGE_US = 40_000  # the same for a page, which is there at once and of which a client waits for many
-PROMPT_US = 60_000  # after so long we ask beside a first call whose client will not wait long
-PROMPT_SHARE = 12  # that is, where this is more than such a part of the time that the client gave
+TRANSIT_US = 100_000  # bound on the network delays of a call and its answer, and on delays in the engine
+PAGE_TRANSIT_US = 40_000  # the same for a page: engines send pages immediately, and a client waits for many
+MIN_EARLY_POLL_US = 60_000  # shortest time without an answer to the POST after which a poll is sent beside it
+EARLY_POLL_DIVISOR = 12  # that time is the client's time limit divided by this, if longer
 RETRY_US = 250_000
 
-PROMPT_RETRIES = 3  # looks that follow a spoilt answer at once; those after them wait
-# a result has 48,000 bytes at most
-MOST_RESULT_BYTES = 64 * 1024
-MOST_SHEETS = 1000
-MOST_SHEET_DIGITS = 6
-ANSWERS = (http1.ACCEPTED, http1.INTERNAL_SERVER_ERROR, http1.SERVICE_UNAVAILABLE, http1.GATEWAY_TIMEOUT)
-"""Statuses beside 200 with which an engine answers a call on a query."""
-NOTES = {"done": NoteKind.SHARE_DONE, "spills": NoteKind.SPILLS, "waits": NoteKind.WAITS}
+MAX_IMMEDIATE_RETRIES = 3  # polls sent immediately after a malformed answer; later ones wait for the timer
+# a result has at most 48,000 bytes
+MAX_RESULT_BYTES = 64 * 1024
+MAX_PAGES = 1000
+MAX_PAGE_DIGITS = 6
+ANSWER_STATUSES = (
+    http1.ACCEPTED,
+    http1.INTERNAL_SERVER_ERROR,
+    http1.SERVICE_UNAVAILABLE,
+    http1.GATEWAY_TIMEOUT,
+)
+"""Statuses other than 200 with which an engine answers a call on a query."""
+NOTE_KINDS = {"done": NoteKind.SHARE_DONE, "spills": NoteKind.SPILLS, "waits": NoteKind.WAITS}
 
 
 WIRE = "http"
@@ -44,23 +49,23 @@
 
 
 class ExchangeHost(Protocol):
-    """What an exchange needs of the backend that it belongs to."""
+    """Members of the backend that an exchange uses."""
 
     timers: Timers
     now: Callable[[], int]
     exact: Callable[[], int]
-    """The time as it is, which may be past this turn's."""
+    """The current time, which may be later than the time of this turn of the loop."""
     classes: tuple[str, ...]
 
     def call_soon(self, callback: Callable[[], object], /) -> object:
         """Call a function in the next turn of the loop."""
 
     def fire_and_forget(self, pool: Pool[HttpConnection], request: bytes) -> None:
-        """Send a request whose response matters to nobody."""
+        """Send a request and ignore its response."""
 
 
-def _outcome(response: http1.Response) -> Outcome:
-    """How an attempt ended whose engine answered with neither rows nor a note."""
+def _outcome_of(response: http1.Response) -> Outcome:
+    """The outcome of an attempt whose engine answered with neither rows nor a progress note."""
     proves_not_run = response.headers.get("x-no-effect") == "1"
     if response.status == http1.SERVICE_UNAVAILABLE and proves_not_run:
         return Outcome.FULL
@@ -73,64 +78,67 @@
     """One attempt on one engine."""
 
     def __init__(
-        self, back: ExchangeHost, attempt: Attempt, pool: Pool[HttpConnection], resumed: bool = False
+        self, backend: ExchangeHost, attempt: Attempt, pool: Pool[HttpConnection], resumed: bool = False
     ) -> None:
-        """``resumed``: the query was sent in an earlier life, and is only asked for."""
-        self._back = back
+        """``resumed``: the query was sent by an earlier incarnation, and is only polled."""
+        self._backend = backend
         self._attempt = attempt
         self._pool = pool
         self._path = f"/obj/{attempt.request.name}"
-        self._posted = False  # the POST may have arrived whole
-        self._answered = False  # the engine has answered some call, so it has the POST
-        self._asked = self._sent = 0  # when the last call that keeps the query, and the POST, were written
-        self._before = 0  # when the call before the last one was written
-        self._beside = False  # we asked beside the POST, which may still be on its way
-        self._carrier: HttpConnection | None = None  # what the POST was written to
-        self._main: HttpConnection | None = None  # carries the call whose answer is news of the query
-        self._wait: PendingAcquire[HttpConnection] | None = (
-            None  # for a connection that is to become the main one
-        )
-        self._delete_wait: PendingAcquire[HttpConnection] | None = None
+        self._is_post_written = False  # the POST may have arrived complete
+        self._answered = False  # the engine has answered a call, so it has received the POST
+        self._last_call_us = self._posted_us = 0  # when the last POST or poll, and the POST, were written, us
+        self._previous_call_us = 0  # when the call before the last one was written, us
+        self._is_polled_beside_post = False  # a poll was sent while the POST may be in transit
+        self._post_connection: HttpConnection | None = None  # connection of the POST
+        self._call_connection: HttpConnection | None = None  # connection of the current POST or poll
+        self._pending: PendingAcquire[HttpConnection] | None = None  # acquires the next connection for a poll
+        self._pending_delete: PendingAcquire[HttpConnection] | None = None
         self._deleting = False
-        self._stopping: Outcome | None = None
-        self._check: Timer | None = None
-        self._hung_up = False  # the engine closed the connection of the last call, as a dying process does
-        self._unsure = False  # a connection broke since the last answer: the next may be a new process's
-        self._unknown = False  # an engine that was away says it has no such query
-        self._noted: tuple[HttpConnection, http1.Response] | None = None  # free until the decisions heard it
-        self._troubles = 0  # answers that were spoilt, and connections that broke
-        self._doubted: http1.Response | None = None  # an answer that may be another's
+        self._stop_outcome: Outcome | None = None
+        self._check_timer: Timer | None = None
+        # The engine closed the connection of the last call, as a crash does
+        self._is_closed_by_engine = False
+        # A connection broke since the last answer: the process may be a new one
+        self._is_process_uncertain = False
+        self._is_unknown_to_engine = False  # an engine that was unreachable answers that it has no such query
+        # A progress note that the policy has not received yet, and its idle connection
+        self._held_answer: tuple[HttpConnection, http1.Response] | None = None
+        self._failures = 0  # malformed answers and broken connections
+        self._possible_duplicate: http1.Response | None = None  # an answer that may belong to another query
         self._pages: list[bytes] = []
-        self._sheets = 0
-        self._over = False
+        self._page_count = 0
+        self._is_ended = False
         if resumed:
-            self._posted = self._answered = True
-            self._asked = back.now()
-            self._check = back.timers.at(self._asked + self._patience_us, self._check_on)
-            self._look_again()
+            self._is_post_written = self._answered = True
+            self._last_call_us = backend.now()
+            self._check_timer = backend.timers.at(
+                self._last_call_us + self._answer_timeout_us, self._check_progress
+            )
+            self._poll_on_other_connection()
         else:
-            attempt.request_permission(WIRE, 0, self._reach)
+            attempt.request_permission(WIRE, 0, self._acquire_connection)
 
-    # Asking
+    # Calls
 
-    def _reach(self) -> None:
-        """The attempt may leave."""
-        if not self._over:
-            self._wait = self._pool.acquire(self._post, self._unreachable)
+    def _acquire_connection(self) -> None:
+        """Acquire a connection for the POST; the attempt has permission to be sent."""
+        if not self._is_ended:
+            self._pending = self._pool.acquire(self._post, self._connect_failed)
 
     def _post(self, connection: HttpConnection) -> None:
         request = self._attempt.request
-        now = self._back.now()
+        now = self._backend.now()
         if not self._attempt.may_send():
-            self._wait = None
+            self._pending = None
             connection.release()
-            self._finish(self._stopping or Outcome.MOOT)
+            self._finish(self._stop_outcome or Outcome.MOOT)
             return
-        left = request.deadline_us - now
+        remaining_us = request.deadline_us - now
         headers = [
             ("X-Hop-Id", request.name),
-            ("X-Sort", self._back.classes[request.service_class]),
-            ("X-Budget", str(max(1, left // 1000))),
+            ("X-Sort", self._backend.classes[request.service_class]),
+            ("X-Budget", str(max(1, remaining_us // 1000))),
             ("X-Urgency", str(request.priority)),
         ]
         if request.replay_key:
@@ -138,343 +146,374 @@
         if request.grant_mb > 0:
             headers.append(("X-Allot", f"{request.grant_mb:.0f}"))
         assert isinstance(request.payload, bytes)
-        self._wait = None
-        self._posted = True
-        self._sent = now
-        self._carrier = connection
+        self._pending = None
+        self._is_post_written = True
+        self._posted_us = now
+        self._post_connection = connection
         self._call(connection, http1.request("POST", "/obj", self._pool_host(), headers, request.payload))
-        self._sent = self._asked
-
-    def _ask(self, connection: HttpConnection) -> None:
-        """Ask for the news, or for the next page once the end is known."""
-        self._wait = self._doubted = None
-        if self._main is not None:  # it is silent, and this one has come up
-            self._beside = not self._answered and self._within_hold
-            self._main.abandon(self._asked + HOLD_US + TRANSIT_US)
-            if not self._beside:
-                self._main.abort()
-        number = len(self._pages) if self._sheets else 0
+        self._posted_us = self._last_call_us
+
+    def _poll(self, connection: HttpConnection) -> None:
+        """Poll for the end of the query, or get the next page of its result."""
+        self._pending = self._possible_duplicate = None
+        if self._call_connection is not None:  # its call has no answer yet, and a further connection is open
+            self._is_polled_beside_post = not self._answered and self._may_post_be_open
+            self._call_connection.abandon(self._last_call_us + LONG_POLL_US + TRANSIT_US)
+            if not self._is_polled_beside_post:
+                self._call_connection.abort()
+        number = len(self._pages) if self._page_count else 0
         self._call(connection, http1.request("GET", f"{self._path}/{number}", self._pool_host()))
 
     def _call(self, connection: HttpConnection, request: bytes) -> None:
-        self._main = connection
-        self._hung_up = False
-        self._before = self._asked
-        self._asked = self._back.now()
+        self._call_connection = connection
+        self._is_closed_by_engine = False
+        self._previous_call_us = self._last_call_us
+        self._last_call_us = self._backend.now()
         connection.call(
-            request, lambda response: self._responded(connection, response), self._cut, caller=self
+            request, lambda response: self._responded(connection, response), self._interrupted, caller=self
         )
-        self._asked = self._back.exact()  # we may have stood still since this turn began
-        if self._check is None or self._sheets:  # pages come at once, long before the check on the news
-            if self._check is not None:
-                self._check.cancel()
-            self._check = self._back.timers.at(self._asked + self._patience_us, self._check_on)
+        self._last_call_us = self._backend.exact()  # the process may have been stopped during this turn
+        if self._check_timer is None or self._page_count:  # pages arrive long before the timer of a poll
+            if self._check_timer is not None:
+                self._check_timer.cancel()
+            self._check_timer = self._backend.timers.at(
+                self._last_call_us + self._answer_timeout_us, self._check_progress
+            )
 
     @property
-    def _within_hold(self) -> bool:
-        """Whether an answer to the POST may still come, and the POST still be on its way."""
-        return self._back.now() - self._sent < HOLD_US + TRANSIT_US
+    def _may_post_be_open(self) -> bool:
+        """Whether the POST may still be in transit, and its answer may still arrive."""
+        return self._backend.now() - self._posted_us < LONG_POLL_US + TRANSIT_US
 
     @property
-    def _patience_us(self) -> int:
-        """After so long without an answer we look on another connection for the query or page."""
-        if self._sheets:
-            return PAGE_US
-        first = not self._answered and not self._beside
-        wait = max(PROMPT_US, self._attempt.request.expires_in_us // PROMPT_SHARE) if first else HOLD_US
-        return min(wait, HOLD_US) + TRANSIT_US * (wait >= HOLD_US)
+    def _answer_timeout_us(self) -> int:
+        """Time without an answer after which the query or page is requested on another connection."""
+        if self._page_count:
+            return PAGE_TRANSIT_US
+        is_first_poll = not self._answered and not self._is_polled_beside_post
+        timeout_us = (
+            max(MIN_EARLY_POLL_US, self._attempt.request.expires_in_us // EARLY_POLL_DIVISOR)
+            if is_first_poll
+            else LONG_POLL_US
+        )
+        return min(timeout_us, LONG_POLL_US) + TRANSIT_US * (timeout_us >= LONG_POLL_US)
 
     def _pool_host(self) -> str:
         return self._pool.host
 
     @property
-    def _silent_post(self) -> bool:
-        """Whether the POST's connection is up and its answer, which may yet come, is waited for."""
-        return self._main is not None and not self._answered and self._within_hold
-
-    def _look_again(self) -> None:
-        if self._silent_post and not self._pool.idle:
-            return  # to look beside it is not worth a handshake; in a large fleet few connections are idle
-        if self._wait is None and not self._over and not self._deleting:
-            self._wait = self._pool.acquire(self._ask, self._unreachable, fresh=not self._within_hold)
-
-    def _check_on(self) -> None:
-        """Guards against answers that stop short or never come: spoilt ones, vanished machines, cut links."""
-        self._check = None
-        unasked = self._back.now() - self._asked
-        if unasked >= LOST_US:
-            self._finish(self._stopping or Outcome.RESET)
+    def _awaits_post_answer(self) -> bool:
+        """Whether the POST is open and its answer may still arrive."""
+        return self._call_connection is not None and not self._answered and self._may_post_be_open
+
+    def _poll_on_other_connection(self) -> None:
+        if self._awaits_post_answer and not self._pool.idle:
+            return  # a poll beside the POST does not justify a new connection; in large fleets few are idle
+        if self._pending is None and not self._is_ended and not self._deleting:
+            self._pending = self._pool.acquire(
+                self._poll, self._connect_failed, fresh=not self._may_post_be_open
+            )
+
+    def _check_progress(self) -> None:
+        """Poll again or end the attempt if the answer is overdue: malformed, or lost with a host or link."""
+        self._check_timer = None
+        since_call_us = self._backend.now() - self._last_call_us
+        if since_call_us >= QUERY_DROPPED_US:
+            self._finish(self._stop_outcome or Outcome.RESET)
             return
-        patience = self._patience_us
-        if unasked >= patience and self._stopping is None and self._noted is None and not self._unknown:
-            self._look_again()
-        due = (
-            self._asked + patience
-            if unasked < patience
-            else min(self._back.now() + RETRY_US, self._asked + LOST_US)
+        timeout_us = self._answer_timeout_us
+        if (
+            since_call_us >= timeout_us
+            and self._stop_outcome is None
+            and self._held_answer is None
+            and not self._is_unknown_to_engine
+        ):
+            self._poll_on_other_connection()
+        next_check_us = (
+            self._last_call_us + timeout_us
+            if since_call_us < timeout_us
+            else min(self._backend.now() + RETRY_US, self._last_call_us + QUERY_DROPPED_US)
         )
-        if self._silent_post:
-            due = min(due, self._sent + HOLD_US + TRANSIT_US)
-        if self._check is None and not self._over:  # an idle connection was at hand: the call set its own
-            self._check = self._back.timers.at(due, self._check_on)
+        if self._awaits_post_answer:
+            next_check_us = min(next_check_us, self._posted_us + LONG_POLL_US + TRANSIT_US)
+        # A poll on an idle connection has set the timer already
+        if self._check_timer is None and not self._is_ended:
+            self._check_timer = self._backend.timers.at(next_check_us, self._check_progress)
 
-    # News
+    # Answers
 
     def _responded(self, connection: HttpConnection, response: http1.Response) -> None:
-        if connection.doubtful and response.status != http1.ACCEPTED:
-            self._doubt(connection, response)
+        if connection.may_be_duplicate and response.status != http1.ACCEPTED:
+            self._await_possible_duplicate(connection, response)
             return
-        doubted = self._doubted
-        self._doubted = None
-        unknown = response.status == http1.INTERNAL_SERVER_ERROR and connection is self._carrier
-        if doubted is not None and unknown and doubted.status != http1.OK:
-            response = doubted  # what it said is so: the engine turned the query away
-        if self._spoilt(response):
+        earlier_answer = self._possible_duplicate
+        self._possible_duplicate = None
+        is_unknown = response.status == http1.INTERNAL_SERVER_ERROR and connection is self._post_connection
+        if earlier_answer is not None and is_unknown and earlier_answer.status != http1.OK:
+            response = earlier_answer  # the earlier answer was right: the engine rejected the query
+        if self._is_invalid(response):
             log(
                 "engine",
-                "an answer is spoilt; the connection is closed",
+                "invalid answer; connection closed",
                 engine=self._pool.engine,
                 request=self._attempt.request.name,
             )
             connection.abort()
-            self._cut()
+            self._interrupted()
             return
-        self._main = None
+        self._call_connection = None
         if (
             response.status == http1.INTERNAL_SERVER_ERROR
             and not self._answered
-            and connection is not self._carrier
+            and connection is not self._post_connection
         ):
-            if self._pool.was_away:  # and may take the POST up yet, until it must have dropped the query
-                self._asked = self._before
-                self._unknown = True
-                connection.done_with(response)
+            if self._pool.was_unreachable:  # it may still read the POST, until it must have dropped the query
+                self._last_call_us = self._previous_call_us
+                self._is_unknown_to_engine = True
+                connection.finish_call(response)
                 return
-            if self._beside and self._within_hold:
-                connection.done_with(response)  # it may have overtaken the POST; the check asks again
+            if self._is_polled_beside_post and self._may_post_be_open:
+                # The poll may have overtaken the POST; the timer polls again
+                connection.finish_call(response)
                 return
         self._answered = True
-        self._unsure = False
-        if self._wait is not None:  # for another look; there is no need of it any more
-            self._wait.cancel()
-            self._wait = None
+        self._is_process_uncertain = False
+        if self._pending is not None:  # a further poll is not needed any more
+            self._pending.cancel()
+            self._pending = None
         if response.status == http1.ACCEPTED:
-            self._still_running(connection, response)
+            self._handle_running(connection, response)
         elif response.status == http1.OK:
-            self._page(connection, response)
+            self._handle_page(connection, response)
         else:
-            connection.done_with(response)
-            self._finish(self._stopping or _outcome(response))
-
-    def _doubt(self, connection: HttpConnection, response: http1.Response) -> None:
-        """The answer may be the second one to an earlier call on this connection, for another query, as it
-        came soon after that one's and is the same, or would prove an end. The next one here is ours; where
-        none comes in the time of second answers, this one most likely was, and the engine is asked."""
-        log("engine", "an answer came soon after another; waiting for the next", engine=self._pool.engine)
-        self._doubted = response
-        connection.expect(lambda next: self._responded(connection, next), self._cut)
-        self._back.timers.at(connection.doubt_until, lambda: self._confirm(connection, response))
-
-    def _confirm(self, connection: HttpConnection, doubted: http1.Response) -> None:
-        """On the same connection, where the question can't overtake the POST: an engine gives a good end
-        again, and of what it turned away it knows nothing."""
-        if self._main is connection and self._doubted is doubted and not (self._over or self._stopping):
+            connection.finish_call(response)
+            self._finish(self._stop_outcome or _outcome_of(response))
+
+    def _await_possible_duplicate(self, connection: HttpConnection, response: http1.Response) -> None:
+        """Wait for another answer, as this one may be a duplicate of the answer to another query's call on
+        this connection: it arrived soon after that answer, and is equal to it or is not a result. If it is a
+        duplicate, the next answer is the one to this query. If none arrives while duplicates are expected,
+        this answer was probably the right one, and a poll confirms it."""
+        log("engine", "an answer arrived soon after another; waiting for the next", engine=self._pool.engine)
+        self._possible_duplicate = response
+        connection.await_next_response(lambda next: self._responded(connection, next), self._interrupted)
+        self._backend.timers.at(connection.duplicate_until_us, lambda: self._confirm(connection, response))
+
+    def _confirm(self, connection: HttpConnection, earlier_answer: http1.Response) -> None:
+        """Poll on the same connection, where a poll can't overtake the POST: an engine sends a result again,
+        and answers that a query that it rejected is unknown."""
+        if (
+            self._call_connection is connection
+            and self._possible_duplicate is earlier_answer
+            and not (self._is_ended or self._stop_outcome)
+        ):
             self._call(connection, http1.request("GET", f"{self._path}/0", self._pool_host()))
 
-    def _spoilt(self, response: http1.Response) -> bool:
-        """Whether it is no answer that an engine makes to our call: a copy of another, or a page cut off."""
+    def _is_invalid(self, response: http1.Response) -> bool:
+        """Whether an engine can't have sent this as the answer to the current call: it is a duplicate of
+        another answer, or a truncated page."""
         if response.status != http1.OK:
-            return response.status not in ANSWERS
-        told = response.headers.get("x-sheet" if self._sheets else "x-sheets", "")
-        number = int(told) if told.isascii() and told.isdigit() and len(told) <= MOST_SHEET_DIGITS else 0
-        expected = number == len(self._pages) if self._sheets else 0 < number <= MOST_SHEETS
+            return response.status not in ANSWER_STATUSES
+        number_text = response.headers.get("x-sheet" if self._page_count else "x-sheets", "")
+        number = (
+            int(number_text)
+            if number_text.isascii() and number_text.isdigit() and len(number_text) <= MAX_PAGE_DIGITS
+            else 0
+        )
+        expected = number == len(self._pages) if self._page_count else 0 < number <= MAX_PAGES
         return not expected or (bool(response.body) and not response.body.endswith(b"\n"))
 
-    def _still_running(self, connection: HttpConnection, response: http1.Response) -> None:
-        kind = NOTES.get(response.headers.get("x-tell", ""))
+    def _handle_running(self, connection: HttpConnection, response: http1.Response) -> None:
+        kind = NOTE_KINDS.get(response.headers.get("x-tell", ""))
         if kind is not None:
             try:
                 self._attempt.report_progress(kind, float(response.headers.get("x-val", "")))
             except ValueError:
-                log("engine", "a note has no number", engine=self._pool.engine)
-        if self._stopping is not None:
-            connection.done_with(response)
+                log("engine", "progress note without a number", engine=self._pool.engine)
+        if self._stop_outcome is not None:
+            connection.finish_call(response)
             self._delete()
         elif kind is None:
-            self._go_on(connection, response)
-        else:  # they may call it off, for which this connection is at hand as long as it carries no call
-            self._noted = connection, response
-            self._back.call_soon(self._heard)
-
-    def _heard(self) -> None:
-        """The decisions have heard the note."""
-        if self._noted is not None:
-            connection, response = self._noted
-            self._noted = None
-            self._go_on(connection, response)
-
-    def _let_go(self) -> None:
-        if self._noted is not None:
-            connection, response = self._noted
-            self._noted = None
-            connection.done_with(response)
-
-    def _go_on(self, connection: HttpConnection, response: http1.Response) -> None:
-        """Ask again, on the same connection if it stays and nothing has followed the answer."""
+            self._poll_next(connection, response)
+        else:  # the policy may cancel the query on this note: keep the connection idle for the DELETE
+            self._held_answer = connection, response
+            self._backend.call_soon(self._resume_polling)
+
+    def _resume_polling(self) -> None:
+        """Poll again, as the policy has received the note."""
+        if self._held_answer is not None:
+            connection, response = self._held_answer
+            self._held_answer = None
+            self._poll_next(connection, response)
+
+    def _release_held_connection(self) -> None:
+        if self._held_answer is not None:
+            connection, response = self._held_answer
+            self._held_answer = None
+            connection.finish_call(response)
+
+    def _poll_next(self, connection: HttpConnection, response: http1.Response) -> None:
+        """Send the next poll, on the same connection if it stays open and no data followed the answer."""
         if response.keep and not connection.stale():
-            self._ask(connection)
+            self._poll(connection)
         else:
             connection.close()
-            self._wait = self._pool.acquire(self._ask, self._unreachable)
+            self._pending = self._pool.acquire(self._poll, self._connect_failed)
 
-    def _page(self, connection: HttpConnection, response: http1.Response) -> None:
-        self._sheets = self._sheets or int(response.headers["x-sheets"])
+    def _handle_page(self, connection: HttpConnection, response: http1.Response) -> None:
+        self._page_count = self._page_count or int(response.headers["x-sheets"])
         self._pages.append(response.body)
-        if sum(map(len, self._pages)) > MOST_RESULT_BYTES:
+        if sum(map(len, self._pages)) > MAX_RESULT_BYTES:
             log(
                 "engine",
-                "a result is longer than any may be",
+                "result exceeds the size limit",
                 engine=self._pool.engine,
                 request=self._attempt.request.name,
             )
-            connection.done_with(response)
-            self._finish(self._stopping or Outcome.ERROR)
-        elif len(self._pages) == self._sheets:
-            connection.done_with(response)
+            connection.finish_call(response)
+            self._finish(self._stop_outcome or Outcome.ERROR)
+        elif len(self._pages) == self._page_count:
+            connection.finish_call(response)
             self._finish(Outcome.OK)
-        elif self._stopping is not None:
-            connection.done_with(response)
-            self._finish(self._stopping)  # it has ended; what the client got is decided
+        elif self._stop_outcome is not None:
+            connection.finish_call(response)
+            self._finish(self._stop_outcome)  # the query has ended, and its outcome is decided
         else:
-            self._go_on(connection, response)
-
-    # Trouble
-
-    def _cut(self) -> None:
-        """The connection broke under a call, or its answer was spoilt: the query may run on."""
-        self._hung_up = self._main is not None and not self._main.ours
-        self._main = None
-        self._unsure = True
-        if self._stopping is not None:
-            self._delete_again()
-        elif self._prompt():
-            self._look_again()
-        # else the check looks again
-
-    def _prompt(self) -> bool:
-        """Whether to try again at once after trouble with an answer."""
-        self._troubles += 1
-        return self._troubles <= PROMPT_RETRIES
-
-    def _unreachable(self, trouble: ConnectFailure) -> None:
-        self._wait = None
-        if not self._posted:
-            says_nothing = trouble in (ConnectFailure.NO_ROOM, ConnectFailure.LATE)  # of the engine
-            self._finish(Outcome.MOOT if says_nothing else Outcome.CONNECT_FAILED)
-        elif self._is_dead(trouble):
-            self._finish(self._stopping or Outcome.RESET)
-        # else the check tries again until the engine must have dropped the query
-
-    def _is_dead(self, trouble: ConnectFailure) -> bool:
-        """Whether no process is there, so that nothing runs any more. A refusal alone does not prove it: an
-        engine that has all the connections it takes refuses too, and runs what it has."""
-        return trouble is ConnectFailure.REFUSED and self._hung_up and not self._pool.up
-
-    # Giving up
+            self._poll_next(connection, response)
+
+    # Failures
+
+    def _interrupted(self) -> None:
+        """Handle a connection that broke during a call, or a malformed answer: the query may still run."""
+        self._is_closed_by_engine = self._call_connection is not None and not self._call_connection.ours
+        self._call_connection = None
+        self._is_process_uncertain = True
+        if self._stop_outcome is not None:
+            self._retry_delete()
+        elif self._may_retry_now():
+            self._poll_on_other_connection()
+        # else the timer polls again
+
+    def _may_retry_now(self) -> bool:
+        """Count a failure; true if the call is to be repeated immediately."""
+        self._failures += 1
+        return self._failures <= MAX_IMMEDIATE_RETRIES
+
+    def _connect_failed(self, failure: ConnectFailure) -> None:
+        self._pending = None
+        if not self._is_post_written:
+            proves_nothing = failure in (ConnectFailure.NO_SOCKETS, ConnectFailure.TIMED_OUT_BUT_ALIVE)
+            self._finish(Outcome.MOOT if proves_nothing else Outcome.CONNECT_FAILED)
+        elif self._is_process_dead(failure):
+            self._finish(self._stop_outcome or Outcome.RESET)
+        # else the timer polls again until the engine must have dropped the query
+
+    def _is_process_dead(self, failure: ConnectFailure) -> bool:
+        """Whether the engine's process has ended, so that no query runs any more. A refused connection alone
+        does not prove it: an engine at its connection limit refuses too, while its queries run on."""
+        return (
+            failure is ConnectFailure.REFUSED
+            and self._is_closed_by_engine
+            and not self._pool.has_open_connection
+        )
+
+    # Cancelling
 
     def stop(self, outcome: Outcome) -> None:
-        """Ends the attempt once no later one can overlap with it."""
-        if self._over or self._stopping is not None:
+        """End the attempt as soon as a later attempt can't overlap with it."""
+        if self._is_ended or self._stop_outcome is not None:
             return
-        self._stopping = outcome
-        self._let_go()
-        if not self._posted or self._sheets:
-            self._finish(outcome)  # nothing runs: it was not sent, or its end has been read
-        elif not self._answered and self._main is not None:
-            if self._main.unsent:
-                self._main.abandon(self._asked)
-                self._main.abort()  # the POST has not left whole, and never will
-                self._main = None
+        self._stop_outcome = outcome
+        self._release_held_connection()
+        if not self._is_post_written or self._page_count:
+            self._finish(outcome)  # no query runs: it was not sent, or its end has been received
+        elif not self._answered and self._call_connection is not None:
+            if self._call_connection.unsent:
+                self._call_connection.abandon(self._last_call_us)
+                self._call_connection.abort()  # the POST is not sent completely, and never will be
+                self._call_connection = None
                 self._finish(outcome)
-            else:  # its first answer comes soon: a DELETE before it might overtake the POST
-                self._back.timers.at(self._sent + TRANSIT_US, self._delete)
+            else:  # the first answer arrives soon; an earlier DELETE might overtake the POST
+                self._backend.timers.at(self._posted_us + TRANSIT_US, self._delete)
         else:
             self._delete()
 
     def _delete(self) -> None:
-        if self._deleting or self._over or self._unknown:
+        if self._deleting or self._is_ended or self._is_unknown_to_engine:
             return
         self._deleting = True
-        if self._wait is not None:
-            self._wait.cancel()
-            self._wait = None
-        self._delete_wait = self._pool.acquire(self._send_delete, self._undeletable)
+        if self._pending is not None:
+            self._pending.cancel()
+            self._pending = None
+        self._pending_delete = self._pool.acquire(self._send_delete, self._delete_connect_failed)
 
     def _send_delete(self, connection: HttpConnection) -> None:
-        """After a break the query is asked for first: a process that never had it answers a DELETE as well,
-        and does not speak for what the old one took."""
-        self._delete_wait = None
-        if self._unsure:
+        """Send the DELETE. If a connection broke, poll first: a new process that never had the query answers
+        a DELETE too, which proves nothing about the query in the old process."""
+        self._pending_delete = None
+        if self._is_process_uncertain:
             self._deleting = False
-            if self._main is None:
-                self._ask(connection)
+            if self._call_connection is None:
+                self._poll(connection)
             else:
-                connection.release()  # it is asked for already
+                connection.release()  # a poll is open already
             return
 
         def responded(response: http1.Response) -> None:
-            unknown = (
-                response.status == http1.INTERNAL_SERVER_ERROR and not connection.doubtful
-            )  # it runs no more
-            if response.status != http1.NO_CONTENT and not unknown:  # the second answer to an earlier call
-                connection.expect(responded, cut)
+            # An engine that does not know the query does not run it
+            is_unknown = response.status == http1.INTERNAL_SERVER_ERROR and not connection.may_be_duplicate
+            # Other answers are duplicates of the answer to an earlier call
+            if response.status != http1.NO_CONTENT and not is_unknown:
+                connection.await_next_response(responded, interrupted)
                 return
-            late.cancel()
-            connection.done_with(response)
-            self._finish(self._stopping or Outcome.CANCELLED)
+            timeout.cancel()
+            connection.finish_call(response)
+            self._finish(self._stop_outcome or Outcome.CANCELLED)
 
-        def cut() -> None:
-            late.cancel()
+        def interrupted() -> None:
+            timeout.cancel()
             self._deleting = False
-            self._unsure = True
-            self._delete_again()
+            self._is_process_uncertain = True
+            self._retry_delete()
 
-        late = self._back.timers.after(TRANSIT_US, connection.abort)
-        connection.call(http1.request("DELETE", self._path, self._pool_host()), responded, cut, caller=self)
+        timeout = self._backend.timers.after(TRANSIT_US, connection.abort)
+        connection.call(
+            http1.request("DELETE", self._path, self._pool_host()), responded, interrupted, caller=self
+        )
 
-    def _undeletable(self, trouble: ConnectFailure) -> None:
-        self._delete_wait = None
-        if self._is_dead(trouble):
-            self._finish(self._stopping or Outcome.CANCELLED)
-        elif not self._over:
+    def _delete_connect_failed(self, failure: ConnectFailure) -> None:
+        self._pending_delete = None
+        if self._is_process_dead(failure):
+            self._finish(self._stop_outcome or Outcome.CANCELLED)
+        elif not self._is_ended:
             self._deleting = False
-            self._back.timers.after(RETRY_US, self._delete)
+            self._backend.timers.after(RETRY_US, self._delete)
 
-    def _delete_again(self) -> None:
-        if self._prompt():
+    def _retry_delete(self) -> None:
+        if self._may_retry_now():
             self._delete()
         else:
-            self._back.timers.after(RETRY_US, self._delete)
+            self._backend.timers.after(RETRY_US, self._delete)
 
     def set_priority(self, priority: int) -> None:
-        """Tell the engine the priority of a query that runs."""
-        if self._posted and not self._sheets and not self._over:
-            self._back.fire_and_forget(
+        """Send the new priority of a running query to the engine."""
+        if self._is_post_written and not self._page_count and not self._is_ended:
+            self._backend.fire_and_forget(
                 self._pool, http1.request("PUT", self._path, self._pool_host(), body=str(priority).encode())
             )
 
     def _finish(self, outcome: Outcome) -> None:
-        if self._over:
+        if self._is_ended:
             return
-        self._over = True
-        self._let_go()
-        for wait in (self._wait, self._delete_wait):
-            if wait is not None:
-                wait.cancel()
-        if self._check is not None:
-            self._check.cancel()
-        if self._main is not None:
-            self._main.abandon(self._back.now() + ANSWER_US)
-            if self._back.now() - self._asked >= HOLD_US + TRANSIT_US:
-                self._main.abort()  # whatever of it is still under way must not arrive later
+        self._is_ended = True
+        self._release_held_connection()
+        for pending in (self._pending, self._pending_delete):
+            if pending is not None:
+                pending.cancel()
+        if self._check_timer is not None:
+            self._check_timer.cancel()
+        if self._call_connection is not None:
+            self._call_connection.abandon(self._backend.now() + CALL_TIMEOUT_US)
+            if self._backend.now() - self._last_call_us >= LONG_POLL_US + TRANSIT_US:
+                self._call_connection.abort()  # data that is still in transit must not arrive later
         self._attempt.finish(outcome, b"".join(self._pages) if outcome is Outcome.OK else None)
--- a/slipbay/backends/mysql.py
+++ b/slipbay/backends/mysql.py
@@ -1,4 +1,5 @@
-"""Engines that speak the MySQL protocol: a pool for each, attempts, probes, and ends of earlier attempts."""
+"""Backend for MySQL engines: a connection pool for each engine, attempts, probes, and the ends of attempts of
+earlier incarnations."""
 
 from __future__ import annotations
 
@@ -7,7 +8,7 @@
 from slipbay.backends.mysql_connection import MysqlConnection
 from slipbay.backends.mysql_exchange import WIRE, MysqlExchange
 from slipbay.backends.mysql_thread import ThreadEnd
-from slipbay.backends.pool import ANSWER_US, Pool, SocketBudget
+from slipbay.backends.pool import CALL_TIMEOUT_US, Pool, SocketBudget
 from slipbay.config.model import Config, MysqlConfig
 from slipbay.core.model import Attempt, Endpoint, Exchange, OutcomeQuery
 from slipbay.core.timers import Timers
@@ -20,7 +21,7 @@
 
 
 class MysqlBackend:
-    """All MySQL engines: those of the list that the configuration gives an address."""
+    """All MySQL engines: the listed engines that have an address in the configuration."""
 
     wire = WIRE
 
@@ -35,7 +36,7 @@
     ) -> None:
         self.timers = timers
         self.now = now
-        self._mysql = mysql_config
+        self._mysql_config = mysql_config
         self.exchanges: dict[EngineId, set[MysqlExchange]] = {}
         self._pools: dict[EngineId, Pool[MysqlConnection]] = {}
         for engine, address in mysql_config.engines.items():
@@ -51,22 +52,22 @@
                 config.connect_timeout_us,
                 config.idle_us,
             )
-        self._watch_us = config.settings.progress_us or SWEEP_US
-        timers.after(self._watch_us, self._watch)
+        self._ping_interval_us = config.settings.progress_us or SWEEP_US
+        timers.after(self._ping_interval_us, self._ping_busy_engines)
         timers.after(SWEEP_US, self._sweep)
 
     def _connection(self, pool: Pool[MysqlConnection]) -> MysqlConnection:
-        return MysqlConnection(pool, self._mysql)  # type: ignore[arg-type]
+        return MysqlConnection(pool, self._mysql_config)  # type: ignore[arg-type]
 
     def endpoints_changed(self, _kind: ListKind, hosts: list[Endpoint]) -> None:
-        """Which engines are there; where they listen the configuration says."""
+        """Update which engines exist; their addresses come from the configuration."""
         for host in hosts:
             pool = self._pools.get(host.entry.engine)
             if pool is not None:
-                pool.renew(pool.address, host.entry.state is EngineState.GONE)
+                pool.set_address(pool.address, host.entry.state is EngineState.GONE)
 
     def start(self, attempt: Attempt) -> Exchange | None:
-        """Begin an attempt; it ends as ``MOOT`` where its engine has no MySQL address."""
+        """Start an attempt; it ends with ``MOOT`` if its engine has no MySQL address."""
         pool = self._pools.get(attempt.engine)
         if pool is None:
             log("engine", "the engine has no MySQL address", engine=attempt.engine)
@@ -77,7 +78,7 @@
         return exchange
 
     def query_outcome(self, query: OutcomeQuery, until_us: int) -> None:
-        """End an attempt of an earlier incarnation. What it did can't be learned: its end is always
+        """End an attempt of an earlier incarnation. Its effect can't be found out: the outcome is always
         ``RESET``."""
         pool = self._pools.get(query.engine)
         if pool is None:
@@ -101,35 +102,42 @@
         else:
             self._ping(pool, lambda: done(Outcome.OK), lambda: done(Outcome.CONNECT_FAILED))
 
-    def _ping(self, pool: Pool[MysqlConnection], good: Callable[[], None], bad: Callable[[], None]) -> None:
+    def _ping(
+        self, pool: Pool[MysqlConnection], on_success: Callable[[], None], on_failure: Callable[[], None]
+    ) -> None:
         def send(connection: MysqlConnection) -> None:
             def answered() -> None:
                 connection.release()
-                good()
+                on_success()
 
             connection.call(
-                [bytes([mysql.COM_PING])], mysql.ResultReader(), answered, bad, self.now() + ANSWER_US
+                [bytes([mysql.COM_PING])],
+                mysql.ResultReader(),
+                answered,
+                on_failure,
+                self.now() + CALL_TIMEOUT_US,
             )
 
-        pool.acquire(send, lambda _failure: bad())
+        pool.acquire(send, lambda _failure: on_failure())
 
     def close_idle(self, engine: EngineId) -> None:
         """Close the idle connections to an engine."""
         if engine in self._pools:
             self._pools[engine].close_idle()
 
-    def _watch(self) -> None:
-        """MySQL servers send no notes: a ping tells the decisions that the engine is there all the same."""
+    def _ping_busy_engines(self) -> None:
+        """Ping engines with open attempts. MySQL servers send no progress notes; an answered ping is reported
+        to the policy as progress instead."""
         for engine, exchanges in self.exchanges.items():
             if exchanges:
                 self._ping(
                     self._pools[engine],
-                    lambda engine=engine: self._alive(engine),  # type: ignore[misc]
+                    lambda engine=engine: self._report_progress(engine),  # type: ignore[misc]
                     lambda: None,
                 )
-        self.timers.after(self._watch_us, self._watch)
+        self.timers.after(self._ping_interval_us, self._ping_busy_engines)
 
-    def _alive(self, engine: EngineId) -> None:
+    def _report_progress(self, engine: EngineId) -> None:
         for exchange in self.exchanges[engine]:
             exchange.attempt.report_progress(NoteKind.SHARE_DONE, 0.0)
 
--- a/slipbay/backends/mysql_exchange.py
+++ b/slipbay/backends/mysql_exchange.py
@@ -1,5 +1,5 @@
-"""One attempt at an engine over the MySQL protocol: a statement as text or prepared, and the proof of its
-end."""
+"""One attempt on an engine over the MySQL protocol: a statement as text or prepared, and the proof that it
+has ended."""
 
 from __future__ import annotations
 
@@ -12,9 +12,11 @@
 from slipbay.policy.events import EngineId, Outcome
 from slipbay.wire import mysql
 
-MOST_STATEMENTS = 64  # prepared on one connection
-PROVE_US = 5_000_000  # after a deadline; then no other attempt can follow, proven or not
-TROUBLES = (mysql.ER_SERVER_SHUTDOWN, mysql.ER_QUERY_INTERRUPTED)  # errors of the engine, not of a statement
+MAX_STATEMENTS = 64  # prepared on one connection
+PROOF_TIMEOUT_US = (
+    5_000_000  # after the deadline; then no other attempt can follow, and the proof is abandoned
+)
+ENGINE_ERRORS = (mysql.ER_SERVER_SHUTDOWN, mysql.ER_QUERY_INTERRUPTED)  # not caused by the statement
 
 
 WIRE = "mysql"
@@ -22,7 +24,7 @@
 
 
 class ExchangeHost(ThreadHost, Protocol):
-    """What an exchange needs of the backend that it belongs to."""
+    """Members of the backend that an exchange uses."""
 
     exchanges: dict[EngineId, set[MysqlExchange]]
 
@@ -30,24 +32,24 @@
 class MysqlExchange:
     """One attempt on one engine."""
 
-    def __init__(self, back: ExchangeHost, attempt: Attempt, pool: Pool[MysqlConnection]) -> None:
-        self._back = back
+    def __init__(self, backend: ExchangeHost, attempt: Attempt, pool: Pool[MysqlConnection]) -> None:
+        self._backend = backend
         self.attempt = attempt
         self._pool = pool
         assert isinstance(attempt.request.payload, mysql.Work)
         self._work = attempt.request.payload
         self._connection: MysqlConnection | None = None
-        self._thread = 0  # the server's thread that may run the statement
-        self._ran = False  # it may have come whole
-        self._hung_up = False  # the engine closed its connection, as a dying process does
-        self._proof: ThreadEnd | None = None
-        self._outcome = Outcome.RESET  # what to tell once the end is proven
-        self._over = False
-        self._wait: PendingAcquire[MysqlConnection] | None = None
-        self._wait = pool.acquire(self._begin, self._unreachable)
-
-    def _begin(self, connection: MysqlConnection) -> None:
-        self._wait = None
+        self._thread = 0  # server thread that may run the statement
+        self._is_statement_sent = False  # the statement may have arrived complete
+        self._is_closed_by_engine = False  # the engine closed the connection, as a crash does
+        self._thread_end: ThreadEnd | None = None
+        self._outcome = Outcome.RESET  # reported when the end is proven
+        self._is_ended = False
+        self._pending: PendingAcquire[MysqlConnection] | None = None
+        self._pending = pool.acquire(self._connected, self._connect_failed)
+
+    def _connected(self, connection: MysqlConnection) -> None:
+        self._pending = None
         self._connection = connection
         work = self._work
         if work.run is None and not work.prepare:
@@ -61,7 +63,7 @@
                 [bytes([mysql.COM_STMT_PREPARE]) + work.sql],
                 reader,
                 lambda: self._prepared(connection, reader),
-                self._cut,
+                self._interrupted,
             )
 
     def _prepared(self, connection: MysqlConnection, reader: mysql.PrepareReader) -> None:
@@ -72,7 +74,7 @@
         if self._work.sql in connection.statements:
             closing.append(connection.statements.pop(self._work.sql)[0])
         connection.statements[self._work.sql] = reader.statement, reader.told
-        if len(connection.statements) > MOST_STATEMENTS:
+        if len(connection.statements) > MAX_STATEMENTS:
             closing.append(connection.statements.popitem(last=False)[1][0])
         for statement in closing:
             connection.send(mysql.close_statement(statement))
@@ -94,93 +96,95 @@
         )
 
     def _run(self, connection: MysqlConnection, payloads: list[bytes]) -> None:
-        self.attempt.request_permission(WIRE, connection.thread, lambda: self._leave(connection, payloads))
+        self.attempt.request_permission(WIRE, connection.thread, lambda: self._send(connection, payloads))
 
-    def _leave(self, connection: MysqlConnection, payloads: list[bytes]) -> None:
-        """The attempt may leave; the connection may have broken meanwhile."""
-        if self._over:
+    def _send(self, connection: MysqlConnection, payloads: list[bytes]) -> None:
+        """Send the statement, unless the connection broke or the attempt ended meanwhile."""
+        if self._is_ended:
             return
         if connection.lost or connection.stale():
-            self._finish(Outcome.CONNECT_FAILED)  # nothing was sent on it
+            self._finish(Outcome.CONNECT_FAILED)  # the statement was not sent
             return
         if not self.attempt.may_send():
             self._finish(Outcome.MOOT)
             return
         reader = mysql.ResultReader()
-        self._ran = True
+        self._is_statement_sent = True
         self._thread = connection.thread
-        connection.call(payloads, reader, lambda: self._answered(connection, reader.payloads), self._cut)
+        connection.call(
+            payloads, reader, lambda: self._answered(connection, reader.payloads), self._interrupted
+        )
 
     def _answered(self, connection: MysqlConnection, payloads: list[bytes]) -> None:
-        """An answer whole; a statement's own error is an answer, trouble of the engine is not."""
-        if self._over:
+        """Finish with a complete answer; an error of the statement is an answer, one of the engine is not."""
+        if self._is_ended:
             return
         self._connection = None
         error = mysql.read_err(payloads[-1]) if payloads[-1][:1] == b"\xff" else None
-        if self._proof is not None:
+        if self._thread_end is not None:
             connection.abandon()  # its thread is killed
         else:
             connection.release()
-        if error is not None and error.code in TROUBLES:
-            self._finish(self._outcome if self._proof is not None else Outcome.ERROR)
+        if error is not None and error.code in ENGINE_ERRORS:
+            self._finish(self._outcome if self._thread_end is not None else Outcome.ERROR)
         else:
             self._finish(Outcome.OK, payloads)
 
-    # Trouble
+    # Failures
 
-    def _unreachable(self, trouble: ConnectFailure) -> None:
-        self._wait = None
+    def _connect_failed(self, failure: ConnectFailure) -> None:
+        self._pending = None
         self._finish(
             {
                 ConnectFailure.FULL: Outcome.FULL,
-                ConnectFailure.NO_ROOM: Outcome.MOOT,
-                ConnectFailure.LATE: Outcome.MOOT,
-            }.get(trouble, Outcome.CONNECT_FAILED)
+                ConnectFailure.NO_SOCKETS: Outcome.MOOT,
+                ConnectFailure.TIMED_OUT_BUT_ALIVE: Outcome.MOOT,
+            }.get(failure, Outcome.CONNECT_FAILED)
         )
 
-    def _cut(self) -> None:
-        self._hung_up = self._connection is not None and not self._connection.ours
+    def _interrupted(self) -> None:
+        self._is_closed_by_engine = self._connection is not None and not self._connection.ours
         self._connection = None
-        if not self._ran:
-            self._finish(Outcome.CONNECT_FAILED)  # the statement did not arrive whole: nothing ran
+        if not self._is_statement_sent:
+            self._finish(Outcome.CONNECT_FAILED)  # the statement did not arrive complete: it did not run
         else:
-            self._prove()
+            self._end_thread()
 
     def stop(self, outcome: Outcome) -> None:
-        """Ends the attempt once its thread is proven to be gone."""
-        if self._over or self._proof is not None:
+        """End the attempt when its thread is proven to have ended."""
+        if self._is_ended or self._thread_end is not None:
             return
         self._outcome = outcome
-        if not self._ran:
+        if not self._is_statement_sent:
             if self._connection is not None:
                 self._connection.abandon()
             self._finish(outcome)
         else:
-            self._prove()
+            self._end_thread()
 
-    def _prove(self) -> None:
-        if not self._over and self._proof is None:
-            self._proof = ThreadEnd(
-                self._back,
+    def _end_thread(self) -> None:
+        if not self._is_ended and self._thread_end is None:
+            self._thread_end = ThreadEnd(
+                self._backend,
                 self._pool,
                 self._thread,
-                self.attempt.request.deadline_us + PROVE_US,
+                self.attempt.request.deadline_us + PROOF_TIMEOUT_US,
                 lambda: self._finish(self._outcome),
-                lambda: self._hung_up,
+                lambda: self._is_closed_by_engine,
             )
 
     def set_priority(self, priority: int) -> None:
-        """The protocol has no word for it."""
+        """Do nothing: the protocol has no priorities."""
 
     def _finish(self, outcome: Outcome, result: object = None) -> None:
-        if self._over:
+        if self._is_ended:
             return
-        self._over = True
-        if self._wait is not None:
-            self._wait.cancel()
-        if self._proof is not None:
-            self._proof.cancel()
+        self._is_ended = True
+        if self._pending is not None:
+            self._pending.cancel()
+        if self._thread_end is not None:
+            self._thread_end.cancel()
         if self._connection is not None and outcome is not Outcome.OK:
             self._connection.abandon()
-        self._back.exchanges[self.attempt.engine].discard(self)
+        self._backend.exchanges[self.attempt.engine].discard(self)
         self.attempt.finish(outcome, result)
--- a/slipbay/backends/pool.py
+++ b/slipbay/backends/pool.py
@@ -1,4 +1,4 @@
-"""Connections to engines: a pool for each engine, under one bound on all of them."""
+"""Connection pools, one per engine, with a common limit on the number of connections."""
 
 from __future__ import annotations
 
@@ -15,112 +15,115 @@
 from slipbay.stream import Dial, Dialer, Stream
 
 SWEEP_US = 1_000_000
-EVICTED_AT_ONCE = 8  # idle connections that give way in a turn; until its end they hold their descriptors
-ANSWER_US = 1_000_000  # for calls that engines answer at once
-MOST_DIALS = 3  # for one wait, where connections are reset while they are new
-UNASKED_US = 2_000_000  # an engine drops a query that it was not asked for so long
-HOLD_US = 250_000  # an engine holds a call so long before it answers with nothing
-QUIET_US = HOLD_US + 100_000  # without a word for so long, an engine may be away
-LOST_US = UNASKED_US + HOLD_US + 100_000  # after this nothing of a query that we could not ask for runs on
-FORGET_US = 60_000_000  # longer than any request waits: nobody asks then for a pool of an engine that is gone
-REST_US = 50_000  # after an answer, in which an idle connection may still bring what nobody asked for
-KEEP_SHARE = 3  # an idle connection is closed after this part of the time after which engines close it
+MAX_EVICTED_PER_TURN = 8  # idle connections evicted per turn of the loop; they hold descriptors until its end
+CALL_TIMEOUT_US = 1_000_000  # timeout of calls that engines answer immediately
+MAX_CONNECT_ATTEMPTS = 3  # per acquire, where new connections are reset
+UNPOLLED_QUERY_US = 2_000_000  # an engine drops a query that is not polled for this long
+LONG_POLL_US = 250_000  # an engine holds a poll for this long before it sends an empty answer
+UNREACHABLE_AFTER_US = LONG_POLL_US + 100_000  # an engine that sends nothing for this long may be unreachable
+# A query that could not be polled for this long no longer runs
+QUERY_DROPPED_US = UNPOLLED_QUERY_US + LONG_POLL_US + 100_000
+# Longer than any request waits; then no attempt needs the pool of a removed engine
+UNUSED_POOL_US = 60_000_000
+DUPLICATE_WINDOW_US = 50_000  # after an answer; within it an idle connection may still receive a duplicate
+# The engines' idle timeout is divided by this, so that connections are closed before engines close them
+IDLE_TIMEOUT_DIVISOR = 3
 
 
 class ConnectFailure(Enum):
     """Why there is no connection."""
 
-    REFUSED = auto()  # the machine answers; its process does not run, or takes no more connections
-    SILENT = auto()  # nothing came back in time
-    LATE = auto()  # nor did this connection come up, but the engine answered on others meanwhile
-    BROKEN = auto()  # it came up and broke before it could be used
-    FULL = auto()  # the engine takes no more connections
-    NO_ROOM = auto()  # we hold all the sockets that we may
+    REFUSED = auto()  # the host answers, but its process does not run or accepts no more connections
+    TIMED_OUT = auto()  # no reply arrived in time
+    TIMED_OUT_BUT_ALIVE = auto()  # the same, but the engine answered on other connections meanwhile
+    BROKEN = auto()  # the connection opened and ended before it could be used
+    FULL = auto()  # the engine accepts no more connections
+    NO_SOCKETS = auto()  # the limit on sockets is reached
 
 
-TROUBLES = {
+FAILURE_OF_ERRNO = {
     errno.ECONNREFUSED: ConnectFailure.REFUSED,
     errno.ECONNRESET: ConnectFailure.BROKEN,
-    errno.EMFILE: ConnectFailure.NO_ROOM,
-    errno.ENFILE: ConnectFailure.NO_ROOM,
-    errno.ENOBUFS: ConnectFailure.NO_ROOM,
-    errno.ENOMEM: ConnectFailure.NO_ROOM,
-    errno.EADDRNOTAVAIL: ConnectFailure.NO_ROOM,  # all our own ports are taken
+    errno.EMFILE: ConnectFailure.NO_SOCKETS,
+    errno.ENFILE: ConnectFailure.NO_SOCKETS,
+    errno.ENOBUFS: ConnectFailure.NO_SOCKETS,
+    errno.ENOMEM: ConnectFailure.NO_SOCKETS,
+    errno.EADDRNOTAVAIL: ConnectFailure.NO_SOCKETS,  # all local ports are in use
 }
-"""What a dial's error means; of any other nothing came back."""
+"""Failure by the error of a connect; any other error counts as a timeout."""
 
 
 class PooledStream(Stream):
-    """A connection that a pool keeps. ``opened`` or, after a handshake, its own call says it can be used."""
+    """A connection in a pool. It calls ``on_usable`` when it is open and its handshake, if any, is done."""
 
     def __init__(self, pool: Pool[PooledStream]) -> None:
         self.pool = pool
-        self.idle_since = 0
-        self.due = 0  # when a call that should be answered at once is given up; 0: no such call
-        self.usable: Callable[[], None] = lambda: None
-        self.broken: Callable[[], None] = lambda: None
-        self.trouble = ConnectFailure.BROKEN  # what it means if it ends before it can be used
+        self.idle_since_us = 0
+        self.deadline_us = 0  # time at which the current call is aborted, us; 0: no limit
+        self.on_usable: Callable[[], None] = lambda: None
+        self.on_broken: Callable[[], None] = lambda: None
+        self.failure = ConnectFailure.BROKEN  # reported if the connection ends before it can be used
 
     def release(self) -> None:
-        """The call is over; the connection may serve the next one."""
-        self.due = 0
-        self.pool.take_back(self)
+        """Return the connection to the pool after a call."""
+        self.deadline_us = 0
+        self.pool.put_idle(self)
 
     def ended(self) -> None:
-        """The connection has ended: the pool and whoever waits for it are notified."""
+        """Notify the pool and the pending acquire of the end of the connection."""
         if not self.ours:
-            self.pool.heard()
-        self.pool.dropped(self)
-        self.broken()
+            self.pool.record_activity()
+        self.pool.remove_stream(self)
+        self.on_broken()
 
 
 C = TypeVar("C", bound=PooledStream)
 
 
 class SocketBudget:
-    """How many engine connections there may be, over all pools."""
+    """Limit on the number of engine connections of all pools."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_sockets: int) -> None:
+        self.max_sockets = max_sockets
         self.used = 0
         self.pools: list[Pool[PooledStream]] = []
 
-    def make_room(self) -> bool:
-        """Whether one more may be opened, for which an idle one may have to go."""
-        if self.used < self.most:
+    def may_open(self) -> bool:
+        """Whether one more connection may be opened; an idle one is evicted for it if needed."""
+        if self.used < self.max_sockets:
             return True
         for pool in self.pools:
-            if pool.idle and self.used < self.most + EVICTED_AT_ONCE:
+            if pool.idle and self.used < self.max_sockets + MAX_EVICTED_PER_TURN:
                 pool.idle.popleft().abort()
                 return True
         return False
 
 
 class PendingAcquire(Generic[C]):
-    """Somebody who waits for a connection: ``done`` or ``failed`` is called, once, unless cancelled."""
+    """An acquire that waits for its connection: ``done`` or ``failed`` is called once, unless cancelled."""
 
     def __init__(
-        self, done: Callable[[C], None], failed: Callable[[ConnectFailure], None], begun: int
+        self, done: Callable[[C], None], failed: Callable[[ConnectFailure], None], started_us: int
     ) -> None:
         self.done = done
         self.failed = failed
-        self.begun = begun
+        self.started_us = started_us
         self.dial: Dial | None = None
         self.stream: C | None = None
         self.timer: Timer | None = None
-        self.dials = 0
-        self.over = False
+        self.connects = 0
+        self.is_ended = False
 
     def finish(self) -> bool:
-        """The wait is over; true for the first who says so."""
-        was = self.over
-        self.over = True
+        """End the wait; true for the first call."""
+        was_ended = self.is_ended
+        self.is_ended = True
         if self.timer is not None:
             self.timer.cancel()
-        return not was
+        return not was_ended
 
     def cancel(self) -> None:
-        """Nobody waits any more; a connection on its way is given up."""
+        """Stop waiting, and abort the connection that is being opened."""
         if self.finish():
             if self.dial is not None:
                 self.dial.give_up()
@@ -129,46 +132,47 @@
 
 
 class Pool(Generic[C]):
-    """Connections to one engine."""
+    """Pool of connections to one engine."""
 
     def __init__(
         self,
         engine: EngineId,
         address: Address,
-        make: Callable[[Pool[C]], C],
+        create_stream: Callable[[Pool[C]], C],
         dialer: Dialer,
         timers: Timers,
         sockets: SocketBudget,
         now: Callable[[], int],
-        connect_us: int,
+        connect_timeout_us: int,
         idle_us: int,
     ) -> None:
         self.engine = engine
         self.address = address
-        self._make = make
+        self._create_stream = create_stream
         self._dialer = dialer
         self._timers = timers
         self._sockets = sockets
         self.now = now
-        self._connect_us = connect_us
-        self._keep_us = idle_us // KEEP_SHARE
+        self._connect_timeout_us = connect_timeout_us
+        self._max_idle_us = idle_us // IDLE_TIMEOUT_DIVISOR
         self.idle: deque[C] = deque()
-        self._held: set[C] = set()  # connections that count, idle or not
-        self.gone = False
-        self._gone_at = 0
-        self._heard_at = now()
-        self._away_until = 0
-        self._answered_at = -1  # when something last came on a connection that was up
+        self._streams: set[C] = set()  # counted in the budget: opening, busy or idle
+        self.is_removed = False
+        self._removed_at_us = 0
+        self._last_activity_us = now()
+        self._backlog_until_us = 0
+        self._last_answer_us = -1  # when data last arrived on an open connection, us
         sockets.pools.append(self)  # type: ignore[arg-type]
 
     def acquire(
         self, done: Callable[[C], None], failed: Callable[[ConnectFailure], None], fresh: bool = False
     ) -> PendingAcquire[C] | None:
-        """A connection for one call; ``fresh`` for one that is proven to come up now.
+        """Get a connection for one call; ``fresh``: open a new one, which proves that the engine accepts.
 
-        An idle one is handed over within this call, and there is nothing to wait for; all else comes later.
+        An idle connection is passed to ``done`` within this call, and None is returned. In all other cases
+        ``done`` or ``failed`` is called later.
         """
-        wait = PendingAcquire(done, failed, self.now())
+        pending = PendingAcquire(done, failed, self.now())
         while self.idle and not fresh:
             stream = self._next_idle()
             if stream.stale():
@@ -176,96 +180,104 @@
                 continue
             done(stream)
             return None
-        if not self._sockets.make_room():
+        if not self._sockets.may_open():
             log("pool", "no sockets are left for engine connections")
-            wait.timer = self._timers.after(0, lambda: self._fail(wait, ConnectFailure.NO_ROOM))
-            return wait
-        wait.timer = self._timers.after(self._connect_us, lambda: self._time_out(wait))
-        self._open(wait)
-        return wait
+            pending.timer = self._timers.after(0, lambda: self._fail(pending, ConnectFailure.NO_SOCKETS))
+            return pending
+        pending.timer = self._timers.after(self._connect_timeout_us, lambda: self._time_out(pending))
+        self._open_stream(pending)
+        return pending
 
     def _next_idle(self) -> C:
-        """The last used of those that have rested, as the others may grow old; else the one that rested
-        for longest."""
-        rested_since = self.now() - REST_US
-        for place in range(len(self.idle) - 1, 0, -1):
-            if self.idle[place].idle_since <= rested_since:
-                stream = self.idle[place]
-                del self.idle[place]
+        """The most recently used connection that is idle for ``DUPLICATE_WINDOW_US``, so that the others age
+        and are closed; if there is none, the one that is idle for longest."""
+        idle_until_us = self.now() - DUPLICATE_WINDOW_US
+        for index in range(len(self.idle) - 1, 0, -1):
+            if self.idle[index].idle_since_us <= idle_until_us:
+                stream = self.idle[index]
+                del self.idle[index]
                 return stream
         return self.idle.popleft()
 
-    def _open(self, wait: PendingAcquire[C]) -> None:
-        stream = self._make(self)
-        wait.stream = stream
-        wait.dials = wait.dials + 1
-        self._held.add(stream)
+    def _open_stream(self, pending: PendingAcquire[C]) -> None:
+        stream = self._create_stream(self)
+        pending.stream = stream
+        pending.connects = pending.connects + 1
+        self._streams.add(stream)
         self._sockets.used += 1
-        stream.usable = lambda: self._usable(wait, stream)
-        stream.broken = lambda: self._fail(wait, stream.trouble)
-        wait.dial = self._dialer.dial(
+        stream.on_usable = lambda: self._deliver(pending, stream)
+        stream.on_broken = lambda: self._fail(pending, stream.failure)
+        pending.dial = self._dialer.dial(
             self.address,
             stream,
-            self._connect_us,
-            lambda error: self._fail(wait, TROUBLES.get(error, ConnectFailure.SILENT)),
+            self._connect_timeout_us,
+            lambda error: self._fail(pending, FAILURE_OF_ERRNO.get(error, ConnectFailure.TIMED_OUT)),
         )
 
-    def _time_out(self, wait: PendingAcquire[C]) -> None:
-        """The connection may have come up in this very turn, which a process that got no time learns late."""
-        if wait.stream is not None and wait.stream.sock is not None and not wait.stream.lost:
-            wait.timer = self._timers.after(self._connect_us, lambda: self._fail(wait, ConnectFailure.SILENT))
+    def _time_out(self, pending: PendingAcquire[C]) -> None:
+        """Fail the acquire, unless the connection opened in this turn of the loop: a process that got no CPU
+        time sees both events at once."""
+        if pending.stream is not None and pending.stream.sock is not None and not pending.stream.lost:
+            pending.timer = self._timers.after(
+                self._connect_timeout_us, lambda: self._fail(pending, ConnectFailure.TIMED_OUT)
+            )
         else:
-            self._fail(wait, ConnectFailure.SILENT)
+            self._fail(pending, ConnectFailure.TIMED_OUT)
 
-    def _usable(self, wait: PendingAcquire[C], stream: C) -> None:
-        stream.broken = stream.usable = lambda: None
-        if wait.finish():
-            wait.done(stream)
+    def _deliver(self, pending: PendingAcquire[C], stream: C) -> None:
+        stream.on_broken = stream.on_usable = lambda: None
+        if pending.finish():
+            pending.done(stream)
         else:
             stream.abort()
 
-    def _fail(self, wait: PendingAcquire[C], trouble: ConnectFailure) -> None:
-        if trouble is ConnectFailure.BROKEN and not wait.over and wait.dials < MOST_DIALS:
-            # A reset of what carried nothing yet: a new connection is as good, and says more of the engine
-            if wait.stream is not None:
-                self.discard(wait.stream)
-            self._open(wait)
-        elif wait.finish():
-            if wait.dial is not None:
-                wait.dial.give_up()
-            if wait.stream is not None:
-                self.discard(wait.stream)
-            late = trouble is ConnectFailure.SILENT and self._answered_at >= wait.begun
-            wait.failed(ConnectFailure.LATE if late else trouble)
-
-    def take_back(self, stream: C) -> None:
-        """A connection may serve the next call."""
-        if stream.lost or stream not in self._held:
+    def _fail(self, pending: PendingAcquire[C], failure: ConnectFailure) -> None:
+        if (
+            failure is ConnectFailure.BROKEN
+            and not pending.is_ended
+            and pending.connects < MAX_CONNECT_ATTEMPTS
+        ):
+            # No call was sent on it, so a new connection is as good, and shows more about the engine
+            if pending.stream is not None:
+                self.discard(pending.stream)
+            self._open_stream(pending)
+        elif pending.finish():
+            if pending.dial is not None:
+                pending.dial.give_up()
+            if pending.stream is not None:
+                self.discard(pending.stream)
+            is_alive = failure is ConnectFailure.TIMED_OUT and self._last_answer_us >= pending.started_us
+            pending.failed(ConnectFailure.TIMED_OUT_BUT_ALIVE if is_alive else failure)
+
+    def put_idle(self, stream: C) -> None:
+        """Make a connection available for the next call."""
+        if stream.lost or stream not in self._streams:
             return
-        if self.gone:
+        if self.is_removed:
             stream.close()
             return
-        stream.idle_since = self.now()
+        stream.idle_since_us = self.now()
         self.idle.append(stream)
 
     def discard(self, stream: C) -> None:
-        """Forget a connection, up or not."""
-        self.dropped(stream)
+        """Abort a connection, open or not, and stop counting it."""
+        self.remove_stream(stream)
         stream.abort()
 
-    def dropped(self, stream: C) -> None:
-        """A connection counts no longer."""
-        if stream in self._held:
-            self._held.discard(stream)
+    def remove_stream(self, stream: C) -> None:
+        """Stop counting a connection."""
+        if stream in self._streams:
+            self._streams.discard(stream)
             self._sockets.used -= 1
         if stream in self.idle:
             self.idle.remove(stream)
 
-    def renew(self, address: Address, gone: bool) -> None:
-        """A new process stands behind the engine's name, or none: the idle connections are of no use."""
+    def set_address(self, address: Address, is_removed: bool) -> None:
+        """Set the engine's address, or mark the engine as removed. The idle connections are closed, as they
+        lead to an earlier process."""
         self.address = address
-        self.gone = gone
-        self._gone_at = self.now()
+        self.is_removed = is_removed
+        self._removed_at_us = self.now()
         self.close_idle()
 
     def close_idle(self) -> None:
@@ -275,44 +287,46 @@
         self.idle.clear()
 
     def sweep(self) -> None:
-        """Close what has been idle for long, before the engine does so in the middle of a call, and give up
-        calls that a silent engine never answers: their connections would count for ever."""
-        for stream in [stream for stream in self._held if stream.due and self.now() > stream.due]:
+        """Close connections that are idle for long, before the engine closes them in the middle of a call.
+        Abort calls past their deadline, as connections to an unresponsive engine would never be freed."""
+        for stream in [
+            stream for stream in self._streams if stream.deadline_us and self.now() > stream.deadline_us
+        ]:
             stream.abort()
-        while self.idle and self.now() - self.idle[0].idle_since > self._keep_us:
+        while self.idle and self.now() - self.idle[0].idle_since_us > self._max_idle_us:
             self.idle.popleft().close()
 
-    def answered(self) -> None:
-        """Something came on a connection that was up: its machine is there, and its process runs."""
-        self._answered_at = self.now()
-        self.heard()
+    def record_answer(self) -> None:
+        """Record that data arrived on an open connection: the engine's process runs."""
+        self._last_answer_us = self.now()
+        self.record_activity()
 
-    def heard(self) -> None:
-        """A sign of life, be it the end of a connection."""
-        if self.now() - self._heard_at > QUIET_US:
-            self._away_until = self.now() + LOST_US
-        self._heard_at = self.now()
+    def record_activity(self) -> None:
+        """Record activity of the engine's host; the end of a connection counts too."""
+        if self.now() - self._last_activity_us > UNREACHABLE_AFTER_US:
+            self._backlog_until_us = self.now() + QUERY_DROPPED_US
+        self._last_activity_us = self.now()
 
     @property
-    def was_away(self) -> bool:
-        """Whether it may have been away a moment ago, and still take up what it was sent meanwhile."""
-        return self.now() < self._away_until
+    def was_unreachable(self) -> bool:
+        """Whether the engine may have been unreachable recently, and may still read data sent meanwhile."""
+        return self.now() < self._backlog_until_us
 
     @property
-    def up(self) -> bool:
-        """Whether a connection of ours is up, as far as we know."""
-        return any(stream.transport is not None and not stream.closing for stream in self._held)
+    def has_open_connection(self) -> bool:
+        """Whether a connection to the engine is open."""
+        return any(stream.transport is not None and not stream.closing for stream in self._streams)
 
     @property
-    def unused(self) -> bool:
-        """Whether its engine is gone and nothing of ours is left with it."""
-        return self.gone and not self._held and self.now() - self._gone_at > FORGET_US
+    def is_unused(self) -> bool:
+        """Whether the engine was removed long ago and no connection is left."""
+        return self.is_removed and not self._streams and self.now() - self._removed_at_us > UNUSED_POOL_US
 
     def close(self) -> None:
-        """Forget the pool; nothing of it is left."""
+        """Remove the pool from the budget; it must be unused."""
         self._sockets.pools.remove(self)  # type: ignore[arg-type]
 
     @property
     def host(self) -> str:
-        """Address and port as a ``Host`` header has them."""
+        """Address and port for a ``Host`` header."""
         return f"{self.address[0]}:{self.address[1]}"
--- a/slipbay/wire/http1.py
+++ b/slipbay/wire/http1.py
@@ -37,8 +37,8 @@
     body: bytes
     keep: bool = True  # the connection serves further calls
 
-    def same(self, other: Response) -> bool:
-        """Whether both say the same, whatever becomes of their connections."""
+    def has_same_content(self, other: Response) -> bool:
+        """Whether both have the same status, headers and body; ``keep`` may differ."""
         return (self.status, self.headers, self.body) == (other.status, other.headers, other.body)
 
 
--- a/tests/contracts/test_exchange_contract.py
+++ b/tests/contracts/test_exchange_contract.py
@@ -130,24 +130,24 @@
     """E1: it is called off though it has ended."""
 
     def stop(self, outcome: Outcome) -> None:
-        self._over = False
+        self._is_ended = False
         super().stop(outcome)
 
 
 class TakesCutsForUnsent(MysqlExchange):
     """E2: whatever breaks has not been sent."""
 
-    def _cut(self) -> None:
-        self._ran = False
-        super()._cut()
+    def _interrupted(self) -> None:
+        self._is_statement_sent = False
+        super()._interrupted()
 
 
 class NeverGivesUp(HttpExchange):
     """E3: it waits for a silent engine for ever."""
 
-    def _check_on(self) -> None:
-        self._asked = max(self._asked, self._back.now() - pool.HOLD_US)
-        super()._check_on()
+    def _check_progress(self) -> None:
+        self._last_call_us = max(self._last_call_us, self._backend.now() - pool.LONG_POLL_US)
+        super()._check_progress()
 
 
 class Believes(HttpExchange):
@@ -160,16 +160,16 @@
 class ProvesNothing(MysqlExchange):
     """E4: a server whose connection broke has ended the statement."""
 
-    def _prove(self) -> None:
+    def _end_thread(self) -> None:
         self._finish(self._outcome)
 
 
 class FirstPage(HttpExchange):
     """E5: it takes the first page for the whole."""
 
-    def _page(self, connection: HttpConnection, response: Any) -> None:
+    def _handle_page(self, connection: HttpConnection, response: Any) -> None:
         response.headers["x-sheets"] = "1"
-        super()._page(connection, response)
+        super()._handle_page(connection, response)
 
 
 class TellsTheLast(HttpExchange):
@@ -177,14 +177,14 @@
 
     def stop(self, outcome: Outcome) -> None:
         super().stop(outcome)
-        self._stopping = outcome
+        self._stop_outcome = outcome
 
 
 class DeletesUnasked(HttpExchange):
     """E4: after a break it deletes what it has not asked for."""
 
     def _delete(self) -> None:
-        self._unsure = False
+        self._is_process_uncertain = False
         super()._delete()
 
 
@@ -192,35 +192,35 @@
     """E4: a question that overtook its POST tells it that nothing runs."""
 
     def _responded(self, connection: HttpConnection, response: Any) -> None:
-        self._beside = False
+        self._is_polled_beside_post = False
         super()._responded(connection, response)
 
 
 class LooksLate(MysqlExchange):
     """E3: after a KILL it takes its time to look whether the thread has ended."""
 
-    def _prove(self) -> None:
-        timers = self._back.timers
-        back = vars(self._back)
+    def _end_thread(self) -> None:
+        timers = self._backend.timers
+        back = vars(self._backend)
         late = SimpleNamespace(at=timers.at, after=lambda us, action: timers.after(RETRY_US, action))
-        self._back = SimpleNamespace(**{**back, "timers": late})
-        super()._prove()
+        self._backend = SimpleNamespace(**{**back, "timers": late})
+        super()._end_thread()
 
 
 class Confuses(MysqlExchange):
     """E7: what is prepared on one connection is so on all."""
 
-    def _begin(self, connection: MysqlConnection) -> None:
-        connection.statements = vars(self._back).setdefault("statements", connection.statements)
-        super()._begin(connection)
+    def _connected(self, connection: MysqlConnection) -> None:
+        connection.statements = vars(self._backend).setdefault("statements", connection.statements)
+        super()._connected(connection)
 
 
 class SendsAgain(HttpExchange):
     """E6: it sends what is not answered once more, where it should ask for it."""
 
-    def _ask(self, connection: HttpConnection) -> None:
+    def _poll(self, connection: HttpConnection) -> None:
         if self._answered:
-            super()._ask(connection)
+            super()._poll(connection)
         else:
             self._post(connection)
 
--- a/tests/exchange_models.py
+++ b/tests/exchange_models.py
@@ -14,9 +14,15 @@
 from slipbay.backends.http import HttpBackend
 from slipbay.backends.http_exchange import HttpExchange
 from slipbay.backends.mysql import MysqlBackend
-from slipbay.backends.mysql_exchange import PROVE_US, MysqlExchange
+from slipbay.backends.mysql_exchange import PROOF_TIMEOUT_US, MysqlExchange
 from slipbay.backends.mysql_thread import RETRY_US
-from slipbay.backends.pool import HOLD_US, LOST_US, QUIET_US, UNASKED_US, SocketBudget
+from slipbay.backends.pool import (
+    LONG_POLL_US,
+    QUERY_DROPPED_US,
+    UNPOLLED_QUERY_US,
+    UNREACHABLE_AFTER_US,
+    SocketBudget,
+)
 from slipbay.core.model import Endpoint
 from slipbay.emulator.fleet_model import FleetModel
 from slipbay.policy.actions import Action, Cancel, Dispatch
@@ -250,7 +256,7 @@
 class HttpModel(Wired):
     """An engine that knows a query by its id, and drops it when nobody asks."""
 
-    bound_us = LOST_US + HOLD_US + 500_000
+    bound_us = QUERY_DROPPED_US + LONG_POLL_US + 500_000
     exchange_type: type[HttpExchange] = HttpExchange
 
     def __init__(self, check: Check = anything, draw: Draw = first) -> None:
@@ -313,7 +319,7 @@
         if self.hidden:
             return
         if method == "POST" or (path.endswith("/0") and self.runs_until is not None and method != "DELETE"):
-            self.runs_until = self.loop.us + HOLD_US + UNASKED_US
+            self.runs_until = self.loop.us + LONG_POLL_US + UNPOLLED_QUERY_US
         elif method == "DELETE":
             self.runs_until = None
 
@@ -325,12 +331,12 @@
         up what it was sent; to new calls it is a process that has never had the query."""
         if stop:
             self.stop()
-        self.loop.advance(QUIET_US + 50_000)
+        self.loop.advance(UNREACHABLE_AFTER_US + 50_000)
         for transport in self.dialer.transports:
             transport.close()
         self.calls.clear()
         self.flying.clear()
-        self.runs_until = self.posted + HOLD_US + UNASKED_US
+        self.runs_until = self.posted + LONG_POLL_US + UNPOLLED_QUERY_US
         self.hidden = True
         self.hung_up = True
         self.loop.settle()
@@ -406,7 +412,9 @@
 
     exchange_type: type[MysqlExchange] = MysqlExchange
     expires_in_us = 2_000_000
-    bound_us = expires_in_us + PROVE_US + RETRY_US + 500_000  # then no other attempt can follow any more
+    bound_us = (
+        expires_in_us + PROOF_TIMEOUT_US + RETRY_US + 500_000
+    )  # then no other attempt can follow any more
 
     def __init__(self, check: Check = anything, draw: Draw = first) -> None:
         super().__init__(check)
@@ -443,7 +451,7 @@
     def runs(self) -> bool:
         on_its_way = any(call == "RUN" for _, call in self.flying)
         return (on_its_way or self.running is not None) and (
-            self.loop.us <= self.attempt.request.deadline_us + PROVE_US
+            self.loop.us <= self.attempt.request.deadline_us + PROOF_TIMEOUT_US
         )
 
     @property
--- a/tests/test_engine_races.py
+++ b/tests/test_engine_races.py
@@ -18,7 +18,7 @@
 from slipbay.backends import http_connection
 from slipbay.backends.http_connection import HttpConnection
 from slipbay.backends.http_exchange import HttpExchange
-from slipbay.backends.pool import EVICTED_AT_ONCE, ConnectFailure, Pool, SocketBudget
+from slipbay.backends.pool import MAX_EVICTED_PER_TURN, ConnectFailure, Pool, SocketBudget
 from slipbay.policy.events import Outcome
 from slipbay.stream import Dialer, Stream
 
@@ -58,7 +58,7 @@
     """Guards against 'served' with another's rows, and against a proof that nothing ran where it runs: the
     copy of an answer stands before the answer to the next call on its connection."""
     monkeypatch.setattr(
-        http_connection, "REST_US", 60_000_000
+        http_connection, "DUPLICATE_WINDOW_US", 60_000_000
     )  # whatever the machine does between the two queries
 
     async def script(call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
@@ -80,7 +80,7 @@
 
 def test_a_refusal_soon_after_another_s_answer_is_still_a_proof(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a load that fails, though the engine turned it away, as its refusal came quickly."""
-    monkeypatch.setattr(http_connection, "REST_US", 300_000)
+    monkeypatch.setattr(http_connection, "DUPLICATE_WINDOW_US", 300_000)
     turned_away: list[str] = []
 
     async def script(call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
@@ -253,13 +253,13 @@
         full.acquire(lambda stream: None, troubles.append)
     while dialer.waiting:
         dialer.accept(0)
-    for stream in list(full._held):
+    for stream in list(full._streams):
         stream.release()
     for _ in range(20):
         wanted.acquire(lambda stream: None, troubles.append)
-    assert sockets.used == 20 + EVICTED_AT_ONCE
+    assert sockets.used == 20 + MAX_EVICTED_PER_TURN
     loop.advance(0)
-    assert troubles == [ConnectFailure.NO_ROOM] * (20 - EVICTED_AT_ONCE)
+    assert troubles == [ConnectFailure.NO_SOCKETS] * (20 - MAX_EVICTED_PER_TURN)
     assert sockets.used == 20
 
 
--- a/tests/test_http_exchange.py
+++ b/tests/test_http_exchange.py
@@ -6,7 +6,7 @@
 from exchange_models import Attempt, HastyModel, HttpModel
 from fakes import EndedSocket, FakeTransport
 
-from slipbay.backends.pool import LOST_US
+from slipbay.backends.pool import QUERY_DROPPED_US
 from slipbay.policy.events import Outcome
 
 
@@ -46,7 +46,7 @@
     model.connect()
     model.dialer._take = write
     model.arrive(0)
-    model.loop.advance(LOST_US - 300_000)
+    model.loop.advance(QUERY_DROPPED_US - 300_000)
     assert model.runs
     assert not model.attempt.ends
 
