--- a/slipbay/backends/__init__.py
+++ b/slipbay/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Engine connections: pools, attempts, results, probes and cancels."""
+"""Connections to engines: pools, attempts, results, probes and cancellation."""
--- a/slipbay/backends/mysql_exchange.py
+++ b/slipbay/backends/mysql_exchange.py
@@ -73,14 +73,14 @@
         closing = []
         if self._work.sql in connection.statements:
             closing.append(connection.statements.pop(self._work.sql)[0])
-        connection.statements[self._work.sql] = reader.statement, reader.told
+        connection.statements[self._work.sql] = reader.statement, reader.description
         if len(connection.statements) > MAX_STATEMENTS:
             closing.append(connection.statements.popitem(last=False)[1][0])
         for statement in closing:
             connection.send(mysql.close_statement(statement))
         if self._work.run is None:
             connection.release()
-            self._finish(Outcome.OK, reader.told)
+            self._finish(Outcome.OK, reader.description)
         else:
             self._execute(connection, reader.statement)
 
--- a/slipbay/wire/__init__.py
+++ b/slipbay/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Parsers and encoders without I/O: they take bytes in any chunking and hold no more than their limits."""
+"""Parsers and encoders without I/O. They accept bytes in pieces of any size and buffer a limited amount."""
--- a/slipbay/wire/http1.py
+++ b/slipbay/wire/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as engines speak it: requests out, responses in, one call at a time."""
+"""HTTP/1.1 client side for engines: encodes requests and parses responses, one call at a time."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 from slipbay.errors import SlipbayError
 
-# a page has 6,000 bytes at most
-MOST_HEAD_BYTES = 16 * 1024
-MOST_BODY_BYTES = 64 * 1024
+# a page has at most 6,000 bytes
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024
 STATUS_DIGITS = 3
-MOST_LENGTH_DIGITS = 9  # of a body's length in decimal; longer ones are over every limit
-MOST_CHUNK_DIGITS = 7  # of a chunk's length in hex
+MAX_LENGTH_DIGITS = 9  # of a Content-Length; longer ones exceed every limit
+MAX_CHUNK_DIGITS = 7  # of a chunk size, in hex
 
-# Statuses that engines answer with (RFC 9110)
+# Statuses of engines' responses (RFC 9110)
 OK = 200
 ACCEPTED = 202
 NO_CONTENT = 204
@@ -25,17 +25,17 @@
 
 
 class MalformedResponseError(SlipbayError):
-    """What came is no response; the connection can't be used any more."""
+    """The received bytes are not a valid response; the connection can't be used any more."""
 
 
 @dataclass(slots=True, frozen=True)
 class Response:
-    """One whole response."""
+    """One complete response."""
 
     status: int
     headers: dict[str, str]  # names in lower case
     body: bytes
-    keep: bool = True  # the connection serves further calls
+    keep: bool = True  # the connection can be used for further calls
 
     def has_same_content(self, other: Response) -> bool:
         """Whether both have the same status, headers and body; ``keep`` may differ."""
@@ -45,7 +45,7 @@
 def request(
     method: str, path: str, host: str, headers: Iterable[tuple[str, str]] = (), body: bytes | None = None
 ) -> bytes:
-    """The bytes of a request, with ``Content-Length`` where there is a body."""
+    """Encode a request, with ``Content-Length`` if there is a body."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}", *(f"{name}: {value}" for name, value in headers)]
     if body is not None:
         lines.append(f"Content-Length: {len(body)}")
@@ -53,25 +53,25 @@
 
 
 class ResponseParser:
-    """Takes bytes in any chunking and gives the response of each call. Calls go out one at a time."""
+    """Parses bytes, split in any way, into the response of each call. Calls are sent one at a time."""
 
     def __init__(self) -> None:
         self._data = bytearray()
         self._head: tuple[int, dict[str, str], bool] | None = None
-        self._body = bytearray()  # chunks so far
-        self._scanned = 0
-        self._interim = 0  # bytes of interim heads before the response
+        self._body = bytearray()  # chunks received so far
+        self._scanned_bytes = 0  # bytes that were searched for the end of the head
+        self._interim_bytes = 0  # bytes of interim responses before the final one
 
     def feed(self, data: bytes) -> Response | None:
-        """The response once it is whole. It is good whatever stands behind it; but nobody asked for that, and
-        what it would be taken for is the answer to the next call, so that there must be none."""
+        """The response once it is complete. If further data follows, ``keep`` is false: that data belongs to
+        no call, and would be taken for the response to the next one."""
         self._data += data
-        if (response := self._next()) is None:
+        if (response := self._parse()) is None:
             return None
         return replace(response, keep=False) if self._data else response
 
-    def _next(self) -> Response | None:
-        while self._head is None or self._head[0] < OK:  # an interim response: the final one follows
+    def _parse(self) -> Response | None:
+        while self._head is None or self._head[0] < OK:  # after an interim response the final one follows
             self._head = None
             if not self._read_head():
                 return None
@@ -81,97 +81,101 @@
         elif "transfer-encoding" in headers:
             body = self._read_chunks(headers)
         else:
-            body = self._read_sized(headers)
+            body = self._read_fixed_length(headers)
         if body is None:
             return None
         self._head = None
-        self._interim = 0
+        self._interim_bytes = 0
         return Response(status, headers, body, keep)
 
     def _read_head(self) -> bool:
-        end = self._data.find(b"\r\n\r\n", max(0, self._scanned - 3))
-        if max(end, 0) > MOST_HEAD_BYTES or (end < 0 and len(self._data) > MOST_HEAD_BYTES):
+        end = self._data.find(b"\r\n\r\n", max(0, self._scanned_bytes - 3))
+        if max(end, 0) > MAX_HEAD_BYTES or (end < 0 and len(self._data) > MAX_HEAD_BYTES):
             raise MalformedResponseError("the head is too long")
         if end < 0:
-            self._scanned = len(self._data)
+            self._scanned_bytes = len(self._data)
             return False
-        first, *lines = bytes(self._data[:end]).decode("latin-1").split("\r\n")
+        status_line, *lines = bytes(self._data[:end]).decode("latin-1").split("\r\n")
         del self._data[: end + 4]
-        self._scanned = 0
-        self._interim += end + 4
-        if self._interim > 2 * MOST_HEAD_BYTES:
-            raise MalformedResponseError("interim responses that never end")
-        version, _, rest = first.partition(" ")
+        self._scanned_bytes = 0
+        self._interim_bytes += end + 4
+        if self._interim_bytes > 2 * MAX_HEAD_BYTES:
+            raise MalformedResponseError("too many interim responses")
+        version, _, rest = status_line.partition(" ")
         status = rest.partition(" ")[0]
         if (
             version not in ("HTTP/1.1", "HTTP/1.0")
             or len(status) != STATUS_DIGITS
             or not (status.isascii() and status.isdigit())
         ):
-            raise MalformedResponseError("no status line")
+            raise MalformedResponseError("invalid status line")
         headers: dict[str, str] = {}
         for line in lines:
             name, colon, value = line.partition(":")
             if not colon or not name or name != name.strip():
-                raise MalformedResponseError("no header line")
+                raise MalformedResponseError("invalid header line")
             headers[name.lower()] = value.strip()
         connection = headers.get("connection", "").lower()
         keep = connection != "close" if version == "HTTP/1.1" else connection == "keep-alive"
         self._head = int(status), headers, keep
         return True
 
-    def _read_sized(self, headers: dict[str, str]) -> bytes | None:
-        told = headers.get("content-length", "")
+    def _read_fixed_length(self, headers: dict[str, str]) -> bytes | None:
+        length_text = headers.get("content-length", "")
         if (
-            not (told.isascii() and told.isdigit())
-            or len(told) > MOST_LENGTH_DIGITS
-            or int(told) > MOST_BODY_BYTES
+            not (length_text.isascii() and length_text.isdigit())
+            or len(length_text) > MAX_LENGTH_DIGITS
+            or int(length_text) > MAX_BODY_BYTES
         ):
-            raise MalformedResponseError("no body length that can be taken")
-        size = int(told)
+            raise MalformedResponseError("invalid or too large body length")
+        size = int(length_text)
         if len(self._data) < size:
             return None
-        return self._take(size)
+        return self._consume(size)
 
     def _read_chunks(self, headers: dict[str, str]) -> bytes | None:
         if headers["transfer-encoding"].lower() != "chunked":
-            raise MalformedResponseError("a transfer coding that is not known")
+            raise MalformedResponseError("unknown transfer coding")
         while (end := self._data.find(b"\r\n")) >= 0:
-            told = bytes(self._data[:end]).split(b";")[0].strip()
+            length_text = bytes(self._data[:end]).split(b";")[0].strip()
             try:
-                size = int(told, 16) if told.isalnum() and len(told) <= MOST_CHUNK_DIGITS else -1
+                size = (
+                    int(length_text, 16)
+                    if length_text.isalnum() and len(length_text) <= MAX_CHUNK_DIGITS
+                    else -1
+                )
             except ValueError:
                 size = -1
-            if size < 0 or len(self._body) + size > MOST_BODY_BYTES:
-                raise MalformedResponseError("no chunk size that can be taken")
+            if size < 0 or len(self._body) + size > MAX_BODY_BYTES:
+                raise MalformedResponseError("invalid or too large chunk size")
             if size == 0:
                 return self._read_trailers(end)
             if len(self._data) < end + 2 + size + 2:
                 return None
-            self._take(end + 2)
-            self._body += self._take(size)
-            if self._take(2) != b"\r\n":
-                raise MalformedResponseError("a chunk does not end")
-        if len(self._data) > MOST_HEAD_BYTES:
-            raise MalformedResponseError("no chunk size")
+            self._consume(end + 2)
+            self._body += self._consume(size)
+            if self._consume(2) != b"\r\n":
+                raise MalformedResponseError("a chunk has no end of line")
+        if len(self._data) > MAX_HEAD_BYTES:
+            raise MalformedResponseError("the line of a chunk size is too long")
         return None
 
     def _read_trailers(self, end: int) -> bytes | None:
-        """The last chunk's line ends at ``end``; trailers are skipped up to the empty line."""
+        """Skip the trailers up to the empty line; the line of the last chunk ends at ``end``."""
         if self._data[end : end + 4] == b"\r\n\r\n":
-            self._take(end + 4)
+            self._consume(end + 4)
         else:
-            last = self._data.find(b"\r\n\r\n", end)
-            if last < 0:
-                if len(self._data) > MOST_HEAD_BYTES:
+            trailers_end = self._data.find(b"\r\n\r\n", end)
+            if trailers_end < 0:
+                if len(self._data) > MAX_HEAD_BYTES:
                     raise MalformedResponseError("the trailers are too long")
                 return None
-            self._take(last + 4)
+            self._consume(trailers_end + 4)
         body = bytes(self._body)
         self._body = bytearray()
         return body
 
-    def _take(self, size: int) -> bytes:
-        taken = bytes(self._data[:size])
+    def _consume(self, size: int) -> bytes:
+        consumed = bytes(self._data[:size])
         del self._data[:size]
-        return taken
+        return consumed
--- a/slipbay/wire/jsonrpc.py
+++ b/slipbay/wire/jsonrpc.py
@@ -1,4 +1,4 @@
-"""JSON-RPC 2.0, one message to a line, as the platform's clients speak it."""
+"""JSON-RPC 2.0 with one message per line: parses requests of clients and encodes answers."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 FAILED = -32000
 REFUSED = -32002
 
-MOST_LIMIT_MS = 24 * 3600 * 1000
-MOST_CPU_MS = 4_000_000
-MOST_RAM_MB = 1e9
-_TXN = re.compile(r"[0-9a-fA-F]{16}")
-_REPLAY_KEY = re.compile(r"[!-~]{1,200}")  # what an engine's header can carry unchanged
+MAX_LIMIT_MS = 24 * 3600 * 1000
+MAX_CPU_MS = 4_000_000
+MAX_RAM_MB = 1e9
+_TXN_PATTERN = re.compile(r"[0-9a-fA-F]{16}")
+_REPLAY_KEY_PATTERN = re.compile(r"[!-~]{1,200}")  # characters that an HTTP header carries unchanged
 
 
 class JsonRpcError(SlipbayError):
-    """A message that can't be served: its id where it can be read, a standard code and a sentence."""
+    """An invalid message: its id if that is readable, a standard error code and a text for the client."""
 
     def __init__(self, id: int | None, code: int, text: str) -> None:
         super().__init__(text)
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QueryParams:
-    """What a client's query asks for, checked."""
+    """Validated parameters of a client's query."""
 
     txn: str
     limit_us: int
@@ -57,7 +57,7 @@
     cost_us: int | None
     memory_mb: float
     statement: bytes
-    replay_key: str = ""  # by which engines drop repeats, where the class is of that kind
+    replay_key: str = ""  # by which engines drop repeats, if the class is keyed
 
 
 def _is_id(value: object) -> bool:
@@ -65,10 +65,10 @@
 
 
 def parse(line: bytes) -> Call:
-    """The message in one line.
+    """Parse one line.
 
     Raises:
-        JsonRpcError: if the line is no message of JSON-RPC 2.0.
+        JsonRpcError: if the line is not a message of JSON-RPC 2.0.
     """
     try:
         message = json.loads(line)
@@ -89,47 +89,47 @@
 
 
 def cancelled(call: Call) -> int | str | None:
-    """Which request a ``cancelRequest`` names: by its id, or by its txn."""
-    named = call.params.get("id", call.params.get("txn", call.id))
-    return named if _is_id(named) or isinstance(named, str) else None
+    """The request that a ``cancelRequest`` names: its id or its txn; None if it names none."""
+    request = call.params.get("id", call.params.get("txn", call.id))
+    return request if _is_id(request) or isinstance(request, str) else None
 
 
 def read_query(call: Call) -> QueryParams:
     """The parameters of a query.
 
     Raises:
-        JsonRpcError: naming the parameter at fault.
+        JsonRpcError: if a parameter is invalid; the text names it.
     """
     txn = _text(call, "txn")
-    limit_ms = _number(call, "limit", MOST_LIMIT_MS)
+    limit_ms = _number(call, "limit", MAX_LIMIT_MS)
     data = _text(call, "data")
     replay_key = _text(call, "unique") or ""
-    if replay_key and not _REPLAY_KEY.fullmatch(replay_key):
+    if replay_key and not _REPLAY_KEY_PATTERN.fullmatch(replay_key):
         raise JsonRpcError(call.id, INVALID_PARAMS, "unique is up to 200 visible ASCII characters")
-    if txn is None or not _TXN.fullmatch(txn):
+    if txn is None or not _TXN_PATTERN.fullmatch(txn):
         raise JsonRpcError(call.id, INVALID_PARAMS, "txn is 16 hex digits")
     if limit_ms is None:
         raise JsonRpcError(call.id, INVALID_PARAMS, "limit is missing")
     statement = _statement(call, data or "")
-    cpu_ms = _number(call, "cpu", MOST_CPU_MS)
+    cpu_ms = _number(call, "cpu", MAX_CPU_MS)
     return QueryParams(
         txn,
         int(limit_ms * 1000),
         _text(call, "team"),
         call.params.get("second") in (1, "1", True),
         None if cpu_ms is None else int(cpu_ms * 1000),
-        _number(call, "ram", MOST_RAM_MB) or 0.0,
+        _number(call, "ram", MAX_RAM_MB) or 0.0,
         statement,
         replay_key,
     )
 
 
-def _number(call: Call, name: str, most: float) -> float | None:
+def _number(call: Call, name: str, max_value: float) -> float | None:
     value = call.params.get(name)
     if value is None:
         return None
-    if type(value) not in (int, float) or not math.isfinite(value) or not 0 <= value <= most:
-        raise JsonRpcError(call.id, INVALID_PARAMS, f"{name} is a number from 0 to {most:g}")
+    if type(value) not in (int, float) or not math.isfinite(value) or not 0 <= value <= max_value:
+        raise JsonRpcError(call.id, INVALID_PARAMS, f"{name} is a number from 0 to {max_value:g}")
     return float(value)
 
 
@@ -151,14 +151,14 @@
 
 
 def result(id: int, data: bytes) -> bytes:
-    """The line that answers a query with rows."""
+    """Encode the answer to a query with its rows."""
     return b'{"jsonrpc":"2.0","id":%d,"result":{"data":"%s"}}\n' % (id, base64.b64encode(data))
 
 
 def gathered(
     id: int, data: bytes, asked: Sequence[int], present: Sequence[int], missing: Sequence[int]
 ) -> bytes:
-    """The answer to a scattered query: rows of the groups that are present, in this order."""
+    """Encode the answer to a scattered query: rows of the table groups that are present, in this order."""
     parts = json.dumps({"asked": asked, "present": present, "missing": missing}, separators=(",", ":"))
     return b'{"jsonrpc":"2.0","id":%d,"result":{"data":"%s","parts":%s}}\n' % (
         id,
@@ -168,14 +168,14 @@
 
 
 def health(id: int, well: bool) -> bytes:
-    """The line that answers ``alive``."""
+    """Encode the answer to ``alive``."""
     return b'{"jsonrpc":"2.0","id":%d,"result":{"well":%s}}\n' % (id, b"true" if well else b"false")
 
 
-def error(id: int | None, code: int, text: str, later_ms: int | None = None) -> bytes:
-    """The line of an error; ``later_ms``: when a repeat makes sense."""
+def error(id: int | None, code: int, text: str, retry_after_ms: int | None = None) -> bytes:
+    """Encode an error; ``later_ms``: time after which the client may retry."""
     body: dict[str, Any] = {"code": code, "message": text}
-    if later_ms is not None:
-        body["data"] = {"later": later_ms}
+    if retry_after_ms is not None:
+        body["data"] = {"later": retry_after_ms}
     message = {"jsonrpc": "2.0", "id": id, "error": body}
     return json.dumps(message, separators=(",", ":")).encode() + b"\n"
--- a/slipbay/wire/lines.py
+++ b/slipbay/wire/lines.py
@@ -6,19 +6,19 @@
 
 
 class LineTooLongError(SlipbayError):
-    """Where the next line begins is not known any more."""
+    """A line exceeds the limit; the input can't be parsed any further."""
 
 
 class Lines:
-    """Takes bytes in any chunking and gives whole lines of at most ``most_bytes``."""
+    """Splits bytes, received in any pieces, into complete lines of at most ``max_line_bytes``."""
 
-    def __init__(self, most_bytes: int) -> None:
-        self._most = most_bytes
+    def __init__(self, max_line_bytes: int) -> None:
+        self._max_line_bytes = max_line_bytes
         self._parts: list[bytes] = []
         self.held = 0
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that are whole now, without their ends."""
+        """The lines that are complete now, without their line ends."""
         *whole, rest = data.split(b"\n")
         if whole:
             whole[0] = b"".join((*self._parts, whole[0]))
@@ -27,6 +27,6 @@
         if rest:
             self._parts.append(rest)
             self.held += len(rest)
-        if self.held > self._most or any(len(line) > self._most for line in whole):
+        if self.held > self._max_line_bytes or any(len(line) > self._max_line_bytes for line in whole):
             raise LineTooLongError
         return [line.removesuffix(b"\r") for line in whole]
--- a/slipbay/wire/mysql.py
+++ b/slipbay/wire/mysql.py
@@ -1,7 +1,7 @@
-"""The MySQL client/server protocol, both sides of it: packets, handshake, authentication, results.
+"""The MySQL client/server protocol, client and server side: packets, handshake, authentication, results.
 
-Both legs of the router use the same capabilities, ``CAPABILITIES``, whatever a peer could do beyond them, so
-that the packets of an engine's answer can be passed on to a client as they are.
+Connections to clients and to engines use the same capabilities, ``CAPABILITIES``, even if the other side has
+more, so that the packets of an engine's answer are passed to a client unchanged.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
     | CONNECT_ATTRS
     | PLUGIN_AUTH_LENENC
 )
-NEEDED = PROTOCOL_41 | SECURE_CONNECTION
+REQUIRED_CAPABILITIES = PROTOCOL_41 | SECURE_CONNECTION
 
 # Commands
 COM_QUIT = 0x01
@@ -68,7 +68,7 @@
 ER_MALFORMED_PACKET = 1835
 ER_QUERY_TIMEOUT = 3024
 ER_SECURE_TRANSPORT = 3159
-# Errors of ours, outside of the numbers that servers use
+# Errors of the router itself, outside of the numbers that servers use
 ER_FAILED = 9500
 ER_REFUSED = 9503
 SQLSTATES = {
@@ -91,13 +91,13 @@
 
 NATIVE = "mysql_native_password"
 CACHING_SHA2 = "caching_sha2_password"
-UTF8MB4 = 45  # utf8mb4_general_ci; every server since 5.5 knows it
+UTF8MB4 = 45  # utf8mb4_general_ci; all servers since 5.5 have it
 STATUS_AUTOCOMMIT = 2
-MOST_IN_PACKET = 0xFFFFFF
+MAX_PACKET_PAYLOAD_BYTES = 0xFFFFFF
 PACKET_HEAD_BYTES = 4
 PROTOCOL_VERSION = 10
-MOST_EOF_BYTES = 8  # a row that begins like one is longer
-NULL = 0xFB  # in place of a length; numbers below it are their own length-encoded form
+MAX_EOF_BYTES = 8  # a row with the same first byte is longer
+NULL = 0xFB  # in place of a length; numbers below it are encoded as one byte
 OK = 0x00
 EOF = 0xFE
 ERR = 0xFF
@@ -108,33 +108,33 @@
 
 _U16 = Struct("<H")
 _U32 = Struct("<I")
-_RESPONSE_HEAD = Struct("<IIB23x")  # capabilities, longest packet, character set
+_HANDSHAKE_HEAD = Struct("<IIB23x")  # capabilities, longest packet, character set
 _EXECUTE_HEAD = Struct("<IBI")  # statement, cursor type, iterations
-_PREPARED = Struct("<BIHHxH")  # status, statement, columns, parameters, warnings
+_PREPARE_HEAD = Struct("<BIHHxH")  # status, statement, columns, parameters, warnings
 
 
 class MalformedPacketError(SlipbayError):
-    """What came is not what the protocol allows."""
+    """A packet violates the protocol."""
 
 
 class PacketTooLargeError(SlipbayError):
-    """A payload is longer than the limit; where the next packet begins is not followed."""
+    """A payload exceeds the limit; the input can't be parsed any further."""
 
 
 class Packets:
-    """Takes bytes in any chunking and gives payloads with the sequence number of their last packet."""
+    """Parses bytes, split in any way, into payloads with the sequence number of their last packet."""
 
     def __init__(self, most_bytes: int) -> None:
         self.most_bytes = most_bytes
         self._data = bytearray()
-        self._payload = bytearray()  # of a payload in several packets, those so far
+        self._payload = bytearray()  # packets received so far of a payload in several packets
 
     def feed(self, data: bytes) -> Iterator[tuple[int, bytes]]:
-        """Whole payloads in order. What is left unread of this iterator comes with the next call."""
+        """Complete payloads in order. Payloads not taken from this iterator are returned by the next call."""
         self._data += data
-        return self._whole()
+        return self._complete_payloads()
 
-    def _whole(self) -> Iterator[tuple[int, bytes]]:
+    def _complete_payloads(self) -> Iterator[tuple[int, bytes]]:
         while len(self._data) >= PACKET_HEAD_BYTES:
             size = int.from_bytes(self._data[:3], "little")
             sequence = self._data[3]
@@ -144,40 +144,40 @@
                 return
             self._payload += self._data[PACKET_HEAD_BYTES : PACKET_HEAD_BYTES + size]
             del self._data[: PACKET_HEAD_BYTES + size]
-            if size < MOST_IN_PACKET:
+            if size < MAX_PACKET_PAYLOAD_BYTES:
                 payload = bytes(self._payload)
                 self._payload.clear()
                 yield sequence, payload
 
     @property
     def held(self) -> int:
-        """Bytes that came and were not given out yet."""
+        """Received bytes that are not returned yet."""
         return len(self._data) + len(self._payload)
 
     def rest(self) -> bytes:
-        """What has come and is no packet yet; after it the connection speaks something else."""
+        """Remove and return the unparsed bytes, as the connection switches to another protocol."""
         rest = bytes(self._data)
         self._data.clear()
         return rest
 
 
 def packets(payloads: Iterable[bytes], sequence: int) -> tuple[bytes, int]:
-    """Payloads as packets from a sequence number on; and the number after the last."""
-    parts: list[bytes] = []
+    """Encode payloads as packets, numbered from ``sequence`` on; also returns the number after the last."""
+    encoded: list[bytes] = []
     for payload in payloads:
         start = 0
         while True:
-            piece = payload[start : start + MOST_IN_PACKET]
-            parts += [len(piece).to_bytes(3, "little"), bytes([sequence % 256]), piece]
+            chunk = payload[start : start + MAX_PACKET_PAYLOAD_BYTES]
+            encoded += [len(chunk).to_bytes(3, "little"), bytes([sequence % 256]), chunk]
             sequence += 1
-            start += MOST_IN_PACKET
-            if len(piece) < MOST_IN_PACKET:
+            start += MAX_PACKET_PAYLOAD_BYTES
+            if len(chunk) < MAX_PACKET_PAYLOAD_BYTES:
                 break
-    return b"".join(parts), sequence % 256
+    return b"".join(encoded), sequence % 256
 
 
 class Reader:
-    """Reads fields of a payload one after the other."""
+    """Reads the fields of a payload in order."""
 
     def __init__(self, payload: bytes, at: int = 0) -> None:
         self.payload = payload
@@ -187,7 +187,7 @@
         """The next ``size`` bytes.
 
         Raises:
-            MalformedPacketError: if the payload ends before.
+            MalformedPacketError: if fewer bytes are left.
         """
         if size < 0 or self.at + size > len(self.payload):
             raise MalformedPacketError("a packet ends inside a field")
@@ -202,7 +202,7 @@
         """The next length-encoded number.
 
         Raises:
-            MalformedPacketError: if a NULL or an error stands in its place.
+            MalformedPacketError: if a NULL or an error is in its place.
         """
         first = self.number(1)
         if first < NULL:
@@ -212,7 +212,7 @@
         return self.number({0xFC: 2, 0xFD: 3, 0xFE: 8}[first])
 
     def null_ended(self) -> bytes:
-        """The next string that ends with NUL, without it."""
+        """The next NUL-terminated string, without the NUL."""
         end = self.payload.find(b"\0", self.at)
         if end < 0:
             raise MalformedPacketError("a string does not end")
@@ -225,27 +225,27 @@
         return self.take(self.lenenc())
 
     def rest(self) -> bytes:
-        """All that is left."""
+        """All remaining bytes."""
         return self.take(len(self.payload) - self.at)
 
     @property
     def left(self) -> int:
-        """How many bytes are left."""
+        """Number of remaining bytes."""
         return len(self.payload) - self.at
 
 
 def lenenc(value: int) -> bytes:
-    """A length-encoded number."""
+    """Encode a number with its length."""
     if value < NULL:
         return bytes([value])
-    for mark, size in ((0xFC, 2), (0xFD, 3)):
+    for prefix, size in ((0xFC, 2), (0xFD, 3)):
         if value < 1 << (8 * size):
-            return bytes([mark]) + value.to_bytes(size, "little")
+            return bytes([prefix]) + value.to_bytes(size, "little")
     return b"\xfe" + value.to_bytes(8, "little")
 
 
 def lenenc_bytes(value: bytes) -> bytes:
-    """A length-encoded string."""
+    """Encode a string with its length."""
     return lenenc(len(value)) + value
 
 
@@ -253,18 +253,18 @@
 
 
 def ok(affected: int = 0, status: int = STATUS_AUTOCOMMIT) -> bytes:
-    """An OK packet; ``affected``: rows."""
+    """Encode an OK packet; ``affected``: number of affected rows."""
     return b"\0" + lenenc(affected) + b"\0" + _U16.pack(status) + b"\0\0"
 
 
 def eof(status: int = STATUS_AUTOCOMMIT) -> bytes:
-    """An EOF packet, as ends a run of definitions or rows."""
+    """Encode an EOF packet, which ends a sequence of definitions or rows."""
     return bytes([EOF]) + b"\0\0" + _U16.pack(status)
 
 
 @dataclass(slots=True, frozen=True)
 class ErrorPacket:
-    """What an error packet says."""
+    """Fields of an error packet."""
 
     code: int
     sqlstate: str
@@ -272,14 +272,14 @@
 
 
 def err(code: int, message: str) -> bytes:
-    """An error packet, with the SQLSTATE that goes with the code."""
+    """Encode an error packet with the SQLSTATE of its code."""
     return (
         bytes([ERR]) + _U16.pack(code) + b"#" + SQLSTATES.get(code, "HY000").encode() + message.encode()[:512]
     )
 
 
 def read_err(payload: bytes) -> ErrorPacket:
-    """What an error packet says, whether or not it carries a SQLSTATE."""
+    """Parse an error packet with or without a SQLSTATE."""
     reader = Reader(payload, 1)
     code = reader.number(2)
     rest = reader.rest()
@@ -288,8 +288,8 @@
 
 
 def is_eof(payload: bytes) -> bool:
-    """Whether a payload is an EOF packet, and not a row that begins like one."""
-    return payload[:1] == b"\xfe" and len(payload) <= MOST_EOF_BYTES
+    """Whether a payload is an EOF packet, and not a row with the same first byte."""
+    return payload[:1] == b"\xfe" and len(payload) <= MAX_EOF_BYTES
 
 
 # Handshake
@@ -306,39 +306,39 @@
     version: str = "8.0.36-slipbay"
 
 
-def greeting(told: Greeting) -> bytes:
-    """The packet of a greeting."""
+def greeting(fields: Greeting) -> bytes:
+    """Encode a greeting."""
     return b"".join(
         (
             b"\x0a",
-            told.version.encode(),
+            fields.version.encode(),
             b"\0",
-            _U32.pack(told.connection),
-            told.challenge[:8],
+            _U32.pack(fields.connection),
+            fields.challenge[:8],
             b"\0",
-            _U16.pack(told.capabilities & 0xFFFF),
+            _U16.pack(fields.capabilities & 0xFFFF),
             bytes([UTF8MB4]),
             _U16.pack(STATUS_AUTOCOMMIT),
-            _U16.pack(told.capabilities >> 16),
-            bytes([len(told.challenge) + 1]),
+            _U16.pack(fields.capabilities >> 16),
+            bytes([len(fields.challenge) + 1]),
             bytes(10),
-            told.challenge[8:],
+            fields.challenge[8:],
             b"\0",
-            told.plugin.encode(),
+            fields.plugin.encode(),
             b"\0",
         )
     )
 
 
 def read_greeting(payload: bytes) -> Greeting:
-    """A server's greeting.
+    """Parse a server's greeting.
 
     Raises:
-        MalformedPacketError: if it is cut off, of another version, or of a server that is too old.
+        MalformedPacketError: if it is truncated, of another protocol version, or from too old a server.
     """
     reader = Reader(payload)
     if reader.number(1) != PROTOCOL_VERSION:
-        raise MalformedPacketError("the server speaks no version 10 of the handshake")
+        raise MalformedPacketError("the server's handshake is not of version 10")
     version = reader.null_ended()
     connection = reader.number(4)
     challenge = reader.take(8)
@@ -348,7 +348,7 @@
     capabilities |= reader.number(2) << 16
     size = reader.number(1)
     reader.take(10)
-    if capabilities & NEEDED != NEEDED:
+    if capabilities & REQUIRED_CAPABILITIES != REQUIRED_CAPABILITIES:
         raise MalformedPacketError("the server is too old")
     challenge += reader.take(max(13, size - 8))[:12]
     plugin = reader.null_ended().decode("ascii", "replace") if capabilities & PLUGIN_AUTH else NATIVE
@@ -357,7 +357,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Login:
-    """A client's answer to the greeting. ``user`` is None in a request for TLS, which comes before it."""
+    """A client's handshake response, or if ``user`` is None the TLS request that precedes it."""
 
     capabilities: int
     charset: int
@@ -367,41 +367,41 @@
     plugin: str = NATIVE
 
 
-def login(told: Login) -> bytes:
-    """The packet of a client's answer to the greeting.
+def login(fields: Login) -> bytes:
+    """Encode a client's handshake response.
 
     Raises:
-        ValueError: if it names no user.
+        ValueError: if it has no user.
     """
-    if told.user is None:
+    if fields.user is None:
         raise ValueError("want a user")
     return b"".join(
         (
-            _RESPONSE_HEAD.pack(told.capabilities, MOST_IN_PACKET, told.charset),
-            told.user.encode(),
+            _HANDSHAKE_HEAD.pack(fields.capabilities, MAX_PACKET_PAYLOAD_BYTES, fields.charset),
+            fields.user.encode(),
             b"\0",
-            lenenc_bytes(told.proof),
-            told.database.encode() + b"\0" if told.capabilities & CONNECT_WITH_DB else b"",
-            told.plugin.encode(),
+            lenenc_bytes(fields.proof),
+            fields.database.encode() + b"\0" if fields.capabilities & CONNECT_WITH_DB else b"",
+            fields.plugin.encode(),
             b"\0",
         )
     )
 
 
 def read_login(payload: bytes) -> Login:
-    """A client's answer to the greeting, or its request for TLS.
+    """Parse a client's handshake response or TLS request.
 
     Raises:
-        MalformedPacketError: if it is cut off, or of a client that is too old.
+        MalformedPacketError: if it is truncated, or from a client that is too old.
     """
-    if len(payload) < _RESPONSE_HEAD.size:
+    if len(payload) < _HANDSHAKE_HEAD.size:
         raise MalformedPacketError("the client's answer is too short")
-    capabilities, _, charset = _RESPONSE_HEAD.unpack_from(payload)
-    if capabilities & NEEDED != NEEDED:
+    capabilities, _, charset = _HANDSHAKE_HEAD.unpack_from(payload)
+    if capabilities & REQUIRED_CAPABILITIES != REQUIRED_CAPABILITIES:
         raise MalformedPacketError("the client is too old")
-    if len(payload) == _RESPONSE_HEAD.size and capabilities & SSL:
+    if len(payload) == _HANDSHAKE_HEAD.size and capabilities & SSL:
         return Login(capabilities, charset)
-    reader = Reader(payload, _RESPONSE_HEAD.size)
+    reader = Reader(payload, _HANDSHAKE_HEAD.size)
     user = reader.null_ended()
     proof = reader.lenenc_bytes() if capabilities & PLUGIN_AUTH_LENENC else reader.take(reader.number(1))
     database = reader.null_ended() if capabilities & CONNECT_WITH_DB and reader.left else b""
@@ -419,30 +419,30 @@
 
 
 def tls_request(capabilities: int, charset: int) -> bytes:
-    """The packet with which a client asks for TLS."""
-    return _RESPONSE_HEAD.pack(capabilities | SSL, MOST_IN_PACKET, charset)
+    """Encode a client's TLS request."""
+    return _HANDSHAKE_HEAD.pack(capabilities | SSL, MAX_PACKET_PAYLOAD_BYTES, charset)
 
 
 def prove(plugin: str, password: bytes, challenge: bytes) -> bytes | None:
-    """What a client that knows the password answers to a challenge; None where the plugin is not known."""
+    """A client's answer to an authentication challenge, from the password; None if the plugin is unknown."""
     if plugin not in (NATIVE, CACHING_SHA2):
         return None
     if not password:
         return b""
     digest = hashlib.sha1 if plugin == NATIVE else hashlib.sha256
-    once = digest(password).digest()
-    twice = digest(once).digest()
-    mask = digest(challenge + twice if plugin == NATIVE else twice + challenge).digest()
-    return bytes(a ^ b for a, b in zip(once, mask, strict=True))
+    password_digest = digest(password).digest()
+    double_digest = digest(password_digest).digest()
+    mask = digest(challenge + double_digest if plugin == NATIVE else double_digest + challenge).digest()
+    return bytes(a ^ b for a, b in zip(password_digest, mask, strict=True))
 
 
 def auth_switch(plugin: str, challenge: bytes) -> bytes:
-    """The packet that asks a client to prove itself by another plugin."""
+    """Encode the request that a client authenticates with another plugin."""
     return bytes([AUTH_SWITCH]) + plugin.encode() + b"\0" + challenge + b"\0"
 
 
 def read_auth_switch(payload: bytes) -> tuple[str, bytes]:
-    """Plugin and challenge of a server that asks for another plugin."""
+    """Plugin and challenge of a server's request for another plugin."""
     reader = Reader(payload, 1)
     return reader.null_ended().decode("ascii", "replace"), reader.rest()[:20]
 
@@ -452,28 +452,28 @@
 
 @dataclass(slots=True, frozen=True)
 class Prepared:
-    """What an engine tells of a statement; the definitions go to the client as they came."""
+    """An engine's description of a prepared statement; the definitions are passed to the client unchanged."""
 
     columns: int
     parameters: int
-    definitions: tuple[bytes, ...]  # of parameters, then of columns, each run with its EOF
+    definitions: tuple[bytes, ...]  # of parameters, then of columns, each sequence with its EOF
     warnings: int = 0
 
 
-def prepared(statement: int, told: Prepared) -> list[bytes]:
-    """The payloads that answer a preparation, under a statement's number."""
-    head = _PREPARED.pack(0, statement, told.columns, told.parameters, told.warnings)
-    return [head, *told.definitions]
+def prepared(statement: int, description: Prepared) -> list[bytes]:
+    """Encode the answer to a prepare, with a statement number."""
+    head = _PREPARE_HEAD.pack(0, statement, description.columns, description.parameters, description.warnings)
+    return [head, *description.definitions]
 
 
 def statement_of(payload: bytes) -> int:
-    """The statement that a command names, behind the command's byte."""
+    """The statement number of a command, which follows the command's byte."""
     return Reader(payload, 1).number(4)
 
 
 @dataclass(slots=True)
 class Execution:
-    """An execution with all that it needs on any engine: types always go with it."""
+    """An execution that can be sent to any engine, as it always includes the types."""
 
     nulls: bytes
     types: bytes
@@ -482,7 +482,7 @@
 
 
 def read_execute(payload: bytes, parameters: int, types: bytes, long_data: dict[int, bytes]) -> Execution:
-    """``types`` are those bound by an earlier execution, used where this one brings none."""
+    """Parse an execution; ``types``: those of an earlier execution, used if this one has none."""
     try:
         _, cursor, _ = _EXECUTE_HEAD.unpack_from(payload, 1)
     except error:
@@ -501,30 +501,30 @@
 
 
 def execute(statement: int, run: Execution) -> bytes:
-    """The payload of an execution of a prepared statement."""
+    """Encode the execution of a prepared statement."""
     head = bytes([COM_STMT_EXECUTE]) + _EXECUTE_HEAD.pack(statement, 0, 1)
     return head + (run.nulls + b"\x01" + run.types + run.values if run.types else b"")
 
 
 def long_data(statement: int, parameter: int, data: bytes) -> bytes:
-    """The payload that sends a part of a long parameter."""
+    """Encode a chunk of a long parameter."""
     return bytes([COM_STMT_SEND_LONG_DATA]) + _U32.pack(statement) + _U16.pack(parameter) + data
 
 
 def read_long_data(payload: bytes) -> tuple[int, int, bytes]:
-    """Statement, parameter and data of a part of a long parameter."""
+    """Statement, parameter and data of a chunk of a long parameter."""
     reader = Reader(payload, 1)
     return reader.number(4), reader.number(2), reader.rest()
 
 
 def close_statement(statement: int) -> bytes:
-    """The payload that closes a statement; it has no answer."""
+    """Encode the command that closes a statement; it has no answer."""
     return bytes([COM_STMT_CLOSE]) + _U32.pack(statement)
 
 
 @dataclass(slots=True, frozen=True)
 class Work:
-    """What a client wants of an engine: a statement run as text, prepared, or prepared and run."""
+    """A client's request for an engine: a statement to run as text, to prepare, or to prepare and run."""
 
     sql: bytes
     run: Execution | None = None
@@ -532,36 +532,36 @@
 
     @property
     def size(self) -> int:
-        """Bytes that it holds."""
+        """Size of the statement and its parameters, bytes."""
         values = len(self.run.values) + sum(map(len, self.run.long_data.values())) if self.run else 0
         return len(self.sql) + values
 
 
 class ResultReader:
-    """Follows the packets of one answer up to its end, be it OK, an error or rows."""
+    """Reads the packets of one answer up to its end: OK, an error, or rows."""
 
     def __init__(self) -> None:
         self.payloads: list[bytes] = []
-        self._eofs = -1  # ends of runs still to come; -1 before the first packet
+        self._remaining_eofs = -1  # EOF packets until the end of the answer; -1 before the first packet
 
     def feed(self, payload: bytes) -> bool:
-        """Take a payload in; true if the answer is whole."""
+        """Add a payload; true if the answer is complete."""
         self.payloads.append(payload)
         first = payload[0] if payload else LOCAL_INFILE
-        if first == LOCAL_INFILE and self._eofs < 0:
-            raise MalformedPacketError("an answer that can't be passed on")
+        if first == LOCAL_INFILE and self._remaining_eofs < 0:
+            raise MalformedPacketError("an answer that can't be passed to the client")
         if first == ERR:
             return True
-        if self._eofs < 0:
-            self._eofs = 2
+        if self._remaining_eofs < 0:
+            self._remaining_eofs = 2
             return first == OK
-        self._eofs -= is_eof(payload)
-        return not self._eofs
+        self._remaining_eofs -= is_eof(payload)
+        return not self._remaining_eofs
 
 
 def read_uptime(payloads: list[bytes]) -> int | None:
-    """Seconds since the server began, from its answer to ``SHOW GLOBAL STATUS LIKE 'Uptime'``; None if it
-    gives none."""
+    """Seconds since the start of the server, from its answer to ``SHOW GLOBAL STATUS LIKE 'Uptime'``; None if
+    the answer has no uptime."""
     for payload in payloads[1:]:
         name, _, value = payload[1:].partition(b"Uptime")
         if not name and payload[:1] == b"\x06" and value[1:].isdigit():
@@ -570,37 +570,37 @@
 
 
 class PrepareReader:
-    """Follows the packets of the answer to a prepare."""
+    """Reads the packets of the answer to a prepare."""
 
     def __init__(self) -> None:
         self.error: bytes | None = None
         self.statement = 0
         self._head: tuple[int, int, int] | None = None
         self._definitions: list[bytes] = []
-        self._eofs = 0
+        self._remaining_eofs = 0
 
     def feed(self, payload: bytes) -> bool:
-        """Take a payload in; true if the answer is whole."""
+        """Add a payload; true if the answer is complete."""
         if self._head is None:
             if payload[:1] == b"\xff":
                 self.error = payload
                 return True
-            if len(payload) < _PREPARED.size or payload[0]:
-                raise MalformedPacketError("no answer to a prepare")
-            _, self.statement, columns, parameters, warnings = _PREPARED.unpack_from(payload)
+            if len(payload) < _PREPARE_HEAD.size or payload[0]:
+                raise MalformedPacketError("invalid answer to a prepare")
+            _, self.statement, columns, parameters, warnings = _PREPARE_HEAD.unpack_from(payload)
             self._head = columns, parameters, warnings
-            self._eofs = bool(columns) + bool(parameters)
-            return not self._eofs
+            self._remaining_eofs = bool(columns) + bool(parameters)
+            return not self._remaining_eofs
         self._definitions.append(payload)
-        self._eofs -= is_eof(payload)
-        return not self._eofs
+        self._remaining_eofs -= is_eof(payload)
+        return not self._remaining_eofs
 
     @property
-    def told(self) -> Prepared:
-        """What the engine said of the statement.
+    def description(self) -> Prepared:
+        """The engine's description of the statement.
 
         Raises:
-            MalformedPacketError: if the answer was an error, or has not come.
+            MalformedPacketError: if the answer is an error, or has not arrived.
         """
         if self._head is None:
             raise MalformedPacketError("no answer to a prepare")
--- a/slipbay/wire/sql.py
+++ b/slipbay/wire/sql.py
@@ -1,11 +1,11 @@
-"""What can be told of a statement without a grammar: its tables' group, its verb, its hints."""
+"""Inspects SQL statements with a tokenizer, without a grammar: table group, verb, hints."""
 
 from __future__ import annotations
 
 import re
 from dataclasses import dataclass
 
-_TOKEN = re.compile(
+_TOKEN_PATTERN = re.compile(
     r"""
     (?P<comment>--[^\n]*|\#[^\n]*|/\*.*?(?:\*/|\Z))
   | (?P<string>'(?:[^'\\]|\\.|'')*(?:'|\Z))
@@ -16,59 +16,68 @@
 """,
     re.X | re.S,
 )
-_PART = re.compile(r"""`(?:[^`]|``)*`|"(?:[^"\\]|\\.|"")*"|[^.\s]+""", re.S)
-_SCHEMA = re.compile(r"(\w*)_(\d{1,9})")
-_BEFORE_TABLES = {"from", "join", "into", "update", "table"}
-_WITHIN_TABLES = {"as", "only", "lateral", "ignore", "low_priority", "if", "exists"}
+_NAME_PART_PATTERN = re.compile(r"""`(?:[^`]|``)*`|"(?:[^"\\]|\\.|"")*"|[^.\s]+""", re.S)
+_SCHEMA_PATTERN = re.compile(r"(\w*)_(\d{1,9})")
+_KEYWORDS_BEFORE_TABLES = {"from", "join", "into", "update", "table"}
+_KEYWORDS_WITHIN_TABLES = {"as", "only", "lateral", "ignore", "low_priority", "if", "exists"}
 
 
 def table_group(statement: str) -> int:
-    """The group of the first table that the statement names; 0 where it names none with a number.
+    """The table group of the first table in a schema with a numeric suffix; 0 if there is none.
 
-    Names count where a table can stand: an alias such as ``t_1`` before a column says nothing.
+    Only names in the position of a table count, as an alias such as ``t_1`` before a column looks the same.
     """
-    expecting = listing = False
-    for token in _TOKEN.finditer(statement):
+    expects_table = in_table_list = False
+    for token in _TOKEN_PATTERN.finditer(statement):
         if token["name"] is not None:
             name = token["name"]
-            word = name.lower()
-            if word in _BEFORE_TABLES:
-                expecting = listing = True
-            elif expecting and word not in _WITHIN_TABLES:
-                expecting = False
+            keyword = name.lower()
+            if keyword in _KEYWORDS_BEFORE_TABLES:
+                expects_table = in_table_list = True
+            elif expects_table and keyword not in _KEYWORDS_WITHIN_TABLES:
+                expects_table = False
                 group = _group(name)
                 if group is not None:
                     return group
-            elif listing and word in ("where", "set", "on", "group", "order", "values", "select", "having"):
-                listing = False
-        elif token["mark"] == "," and listing:
-            expecting = True
+            elif in_table_list and keyword in (
+                "where",
+                "set",
+                "on",
+                "group",
+                "order",
+                "values",
+                "select",
+                "having",
+            ):
+                in_table_list = False
+        elif token["mark"] == "," and in_table_list:
+            expects_table = True
         elif token["mark"] == ")":
-            expecting = False
+            expects_table = False
     return 0
 
 
 def _group(name: str) -> int | None:
-    parts = [part.strip('`"') for part in _PART.findall(name)]
+    parts = [part.strip('`"') for part in _NAME_PART_PATTERN.findall(name)]
     for schema in parts[:-1]:
-        found = _SCHEMA.fullmatch(schema)
-        if found and found[1].lower() != "staging":
-            return int(found[2])
+        match = _SCHEMA_PATTERN.fullmatch(schema)
+        if match and match[1].lower() != "staging":
+            return int(match[2])
     return None
 
 
 @dataclass(slots=True, frozen=True)
 class Outline:
-    """What a statement is made of, as far as that shows without a grammar."""
+    """Properties of a statement that its tokens show."""
 
     verb: str  # its first word, in lower case
     words: frozenset[str]  # words outside of strings, comments and quoted names
-    has_variables: bool  # user variables, which live in a session
+    has_variables: bool  # user variables, which are part of the session's state
     has_hidden_code: bool  # comments that the engine may run
 
     @property
     def only_reads(self) -> bool:
-        """Whether it can be repeated: when in doubt, it can't."""
+        """Whether the statement only reads, so that it can be repeated; false if that is uncertain."""
         if self.has_hidden_code or not self.words.isdisjoint(("into", "update", "share")):
             return False
         if self.verb == "with":
@@ -77,10 +86,10 @@
 
 
 def outline(statement: str) -> Outline:
-    """What a statement is made of, without its strings and comments."""
+    """Properties of a statement; its strings and comments are ignored."""
     words: list[str] = []
     has_variables = has_hidden_code = False
-    for token in _TOKEN.finditer(statement):
+    for token in _TOKEN_PATTERN.finditer(statement):
         if token["comment"] is not None:
             has_hidden_code |= token["comment"].startswith("/*!")
         elif token["variable"] is not None:
@@ -91,9 +100,9 @@
 
 
 def hints(statement: str, mark: str) -> dict[str, str]:
-    """``{"class": "report"}`` of a statement with the comment ``/* mark: class=report */``."""
-    for token in _TOKEN.finditer(statement):
+    """Hints in a comment: ``{"class": "report"}`` for ``/* mark: class=report */``."""
+    for token in _TOKEN_PATTERN.finditer(statement):
         words = (token["comment"] or "").removeprefix("/*").removesuffix("*/").split()
         if words and words[0].rstrip(":") == mark:
-            return dict(word.split("=", 1) for word in words[1:] if "=" in word)
+            return dict(option.split("=", 1) for option in words[1:] if "=" in option)
     return {}
