--- a/slipbay/stream.py
+++ b/slipbay/stream.py
@@ -1,4 +1,4 @@
-"""What all TCP connections share: one receive buffer, writes with back-pressure, and connecting."""
+"""Base of all TCP connections: a shared receive buffer, writes with back-pressure, and connecting."""
 
 from __future__ import annotations
 
@@ -11,84 +11,84 @@
 from slipbay.core.timers import Timers
 
 RECEIVE_BYTES = 64 * 1024
-_RECEIVE = bytearray(RECEIVE_BYTES)
-_VIEW = memoryview(_RECEIVE)
-STARTED = (0, errno.EINPROGRESS, errno.EINTR)  # what ``connect_ex`` says of a connection on its way
-PEEK = int(socket.MSG_PEEK | socket.MSG_DONTWAIT)  # put together once, as flags of an enum take their time
+_RECEIVE_BUFFER = bytearray(RECEIVE_BYTES)
+_RECEIVE_VIEW = memoryview(_RECEIVE_BUFFER)
+CONNECT_STARTED = (0, errno.EINPROGRESS, errno.EINTR)  # results of ``connect_ex`` that are no failure
+PEEK_FLAGS = int(socket.MSG_PEEK | socket.MSG_DONTWAIT)  # computed once, as combining enum flags is slow
 
 
 class Stream(asyncio.BufferedProtocol):
-    """A connection as an object with callbacks.
+    """A TCP connection with callbacks for subclasses.
 
-    All connections read into one buffer: asyncio fills it and calls ``buffer_updated`` in one go, so that
-    a thousand silent connections hold no memory for what they might send.
+    All connections receive into the same buffer: asyncio fills it and calls ``buffer_updated`` in one step,
+    so that a thousand idle connections need no receive buffers of their own.
     """
 
     transport: asyncio.Transport | None = None
-    sock: socket.socket | None = None  # below the transport, to look at what has come
+    sock: socket.socket | None = None  # socket of the transport, to check for unread data
     lost = False
-    ours = False  # it was we who closed it
-    congested = False  # more bytes wait to be written than the transport likes
-    half_closed = False  # we have ended our side; what still comes is read and dropped
+    ours = False  # closed by this process
+    congested = False  # the write buffer is above the transport's high-water mark
+    half_closed = False  # the write side is closed; received data is dropped
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by asyncio once the connection is up."""
+        """Called by asyncio when the connection is established."""
         if not isinstance(transport, asyncio.Transport):
             raise TypeError(f"want a transport of a stream; got {transport!r}")
         self.transport = transport
         if self.half_closed:
             self.half_close()
-        elif self.ours:  # given up while its transport was made
+        elif self.ours:  # closed while its transport was created
             transport.abort()
         else:
             self.opened()
 
     def get_buffer(self, sizehint: int) -> memoryview:  # noqa: ARG002 - the signature is asyncio's
-        """Where asyncio is to write what it receives; the same for all connections."""
-        return _VIEW
+        """The buffer into which asyncio writes received data; shared by all connections."""
+        return _RECEIVE_VIEW
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Called by asyncio with so many bytes in the buffer."""
+        """Called by asyncio when it has written ``nbytes`` bytes to the buffer."""
         if not self.half_closed:
-            self.received(bytes(_VIEW[:nbytes]))
+            self.received(bytes(_RECEIVE_VIEW[:nbytes]))
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the signature is asyncio's
-        """Called by asyncio once the connection has ended, by whichever side."""
+        """Called by asyncio when the connection has ended, closed by either side."""
         if not self.lost:
             self.lost = True
             self.ended()
 
     def pause_writing(self) -> None:
-        """Called by asyncio when more bytes wait to be written than it likes."""
+        """Called by asyncio when the write buffer exceeds its high-water mark."""
         self.congested = True
         self.flow_changed()
 
     def resume_writing(self) -> None:
-        """Called by asyncio when few enough bytes wait to be written again."""
+        """Called by asyncio when the write buffer falls below its low-water mark."""
         self.congested = False
         self.flow_changed()
 
     def write(self, data: bytes) -> None:
-        """Send bytes; they are dropped where the connection is not up, or is being closed."""
+        """Send bytes; they are dropped if the connection is not established or is being closed."""
         if self.transport is not None and not self.lost and not self.closing:
             self.transport.write(data)
 
     @property
     def closing(self) -> bool:
-        """Whether nothing more can be written."""
+        """Whether no more data can be written."""
         return self.transport is None or self.transport.is_closing() or self.half_closed
 
     @property
     def unsent(self) -> int:
-        """Bytes that have not yet been handed to the system."""
+        """Bytes that have not yet been passed to the kernel."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def stale(self) -> bool:
-        """Whether the other side has closed, or sent what nobody asked for, and we have not read it yet."""
+        """Whether the connection has ended, or has unread data or an unread end from the other side."""
         if self.lost or self.transport is None or self.transport.is_closing() or self.sock is None:
             return True
         try:
-            self.sock.recv(1, PEEK)
+            self.sock.recv(1, PEEK_FLAGS)
         except BlockingIOError:
             return False
         except OSError:
@@ -96,26 +96,26 @@
         return True
 
     def unread(self) -> bool:
-        """Whether the other side has sent what we have not read yet."""
+        """Whether the other side has sent data that is not read yet."""
         try:
-            return self.sock is not None and bool(self.sock.recv(1, PEEK))
-        except OSError:  # nothing has come, or the connection is broken
+            return self.sock is not None and bool(self.sock.recv(1, PEEK_FLAGS))
+        except OSError:  # no data has arrived, or the connection is broken
             return False
 
     def close(self) -> None:
-        """Close once everything written has been sent."""
+        """Close after all written data has been sent."""
         self.ours = True
         if self.transport is not None:
             self.transport.close()
 
     def half_close(self) -> None:
-        """End our side once everything written has been sent, and drop what comes until the other side ends
-        its own, which closes the connection. A close over bytes that we have not read would reset it, and
-        take with it what the other side has not received yet."""
+        """Close the write side after all written data has been sent, and drop received data until the other
+        side closes too, which ends the connection. A full close with unread data would reset the connection,
+        and data that the other side has not received yet would be lost."""
         self.ours = self.half_closed = True
         if self.transport is None:
-            return  # it is not up yet; ``connection_made`` goes on
-        if not self.transport.can_write_eof():  # TLS has its own notice of the end
+            return  # not established yet; ``connection_made`` continues
+        if not self.transport.can_write_eof():  # TLS has its own end-of-data message
             self.transport.close()
             return
         try:
@@ -126,7 +126,7 @@
             self.transport.resume_reading()
 
     def abort(self) -> None:
-        """Close at once; what was not sent yet is lost."""
+        """Close immediately; unsent data is lost."""
         self.ours = True
         if self.transport is not None:
             self.transport.abort()
@@ -134,10 +134,10 @@
     # For subclasses
 
     def opened(self) -> None:
-        """The connection is up."""
+        """The connection is established."""
 
     def received(self, data: bytes) -> None:
-        """Bytes came."""
+        """Data was received."""
 
     def ended(self) -> None:
         """The connection has ended."""
@@ -147,7 +147,7 @@
 
 
 class Dial:
-    """One connection attempt. Exactly one of connecting, ``failed`` and ``give_up`` ends it."""
+    """One pending connect. It ends exactly once: by success, by ``failed`` or by ``give_up``."""
 
     def __init__(
         self, dialer: Dialer, address: Address, stream: Stream, timeout_us: int, failed: Callable[[int], None]
@@ -155,7 +155,7 @@
         self._dialer = dialer
         self._stream = stream
         self._failed = failed
-        self._waiting = True
+        self._is_pending = True
         self._sock: socket.socket | None = None
         error = self._connect(address)
         self._timer = (
@@ -165,23 +165,23 @@
         )
 
     def _connect(self, address: Address) -> int:
-        """Start to connect; the error where not even that can be done, else 0.
+        """Start to connect; returns the error if the connect fails immediately, else 0.
 
-        A socket whose connect was refused out of hand has no ``SO_ERROR``, and can be written to.
+        After an immediate failure the socket is writable and has no ``SO_ERROR``, so it must not be polled.
         """
         try:
             self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
             self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             error = self._sock.connect_ex(address)
-            if error not in STARTED:
+            if error not in CONNECT_STARTED:
                 return error
             self._dialer.loop.add_writer(self._sock.fileno(), self._writable)
         except OSError as problem:
             return problem.errno or errno.EIO
         return 0
 
-    def _stop_waiting(self) -> None:
-        self._waiting = False
+    def _stop_polling(self) -> None:
+        self._is_pending = False
         self._timer.cancel()
         if self._sock is not None:
             self._dialer.loop.remove_writer(self._sock.fileno())
@@ -193,7 +193,7 @@
         if error:
             self._fail(error)
         else:
-            self._stop_waiting()
+            self._stop_polling()
             self._dialer.hand_over(self._stream, self._sock)
 
     def _fail(self, error: int) -> None:
@@ -201,35 +201,38 @@
         self._failed(error)
 
     def give_up(self) -> None:
-        """Does nothing once the connection has come up, or failed; its stream is to be aborted then."""
-        if self._waiting:
-            self._stop_waiting()
+        """Cancel the connect. No effect after success or failure; then the caller aborts the stream."""
+        if self._is_pending:
+            self._stop_polling()
             if self._sock is not None:
                 self._sock.close()
 
 
 class Dialer:
-    """Opens connections. Each has a task until its transport is made, as asyncio makes those in coroutines
-    only: one task for all would make them one after another, and the turns of a busy process are long."""
+    """Opens connections. asyncio creates transports only in coroutines, so each connection has a task until
+    its transport exists: a single task would create them one after another, and a turn of the loop is long in
+    a busy process."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, timers: Timers) -> None:
         self.loop = loop
         self.timers = timers
 
     def dial(self, address: Address, stream: Stream, timeout_us: int, failed: Callable[[int], None]) -> Dial:
-        """Start to connect; ``stream.opened`` or ``failed(errno)`` follows, never within this call, and
-        neither once the dial is given up."""
+        """Start to connect. Later ``stream.opened`` or ``failed(errno)`` is called, but never within this call
+        and never after the connect is cancelled."""
         return Dial(self, address, stream, timeout_us, failed)
 
     def hand_over(self, stream: Stream, sock: socket.socket) -> None:
-        """Give a connected socket its transport, in a task of its own."""
+        """Create the transport of a connected socket, in a separate task."""
         stream.sock = sock
-        self.loop.create_task(self._begin(stream, sock))  # what it waits for is on the loop, and holds it
+        self.loop.create_task(
+            self._create_transport(stream, sock)
+        )  # the loop references what the task awaits
 
-    async def _begin(self, stream: Stream, sock: socket.socket) -> None:
+    async def _create_transport(self, stream: Stream, sock: socket.socket) -> None:
         try:
             if stream.ours:
-                raise ConnectionAbortedError("given up since it was handed over")
+                raise ConnectionAbortedError("closed before its transport was created")
             await self.loop.create_connection(lambda: stream, sock=sock)
         except OSError:
             sock.close()
