--- a/slipbay/stream.py
+++ b/slipbay/stream.py
@@ -218,8 +218,8 @@
         self.timers = timers
 
     def dial(self, address: Address, stream: Stream, timeout_us: int, failed: Callable[[int], None]) -> Dial:
-        """Start to connect. Later ``stream.opened`` or ``failed(errno)`` is called, but never within this call
-        and never after the connect is cancelled."""
+        """Start to connect. Later ``stream.opened`` or ``failed(errno)`` is called, but neither within this
+        call nor after the connect is cancelled."""
         return Dial(self, address, stream, timeout_us, failed)
 
     def hand_over(self, stream: Stream, sock: socket.socket) -> None:
