--- a/slipbay/core/dispatcher.py
+++ b/slipbay/core/dispatcher.py
@@ -52,7 +52,8 @@
 from slipbay.policy.protocol import Policy
 from slipbay.policy.settings import Effect, Settings
 
-ANSWER_GRACE_US = 10_000  # after the deadline; then the dispatcher answers if the policy has not
+# time after the deadline of a request at which the dispatcher answers it if the policy has not
+ANSWER_GRACE_US = 10_000
 
 
 class Dispatcher:
@@ -88,7 +89,7 @@
         self._events: list[Event] = []
         self._is_processing_scheduled = False
         self._is_applying_actions = False
-        self._finished_parts: list[Request] = []  # ended, but a later action of this call may name them
+        self._finished_parts: list[Request] = []  # ended; a later action of the same call may name them
         self._action_handlers = self._make_action_handlers()
 
     def _make_action_handlers(self) -> dict[type[Action], Callable[[Any, int], None]]:
@@ -169,7 +170,7 @@
         )
 
     def has_room(self, requests: int, size_bytes: int) -> bool:
-        """Whether that many more requests, with ``size_bytes`` of payload in total, may be open."""
+        """Whether ``requests`` more requests, with ``size_bytes`` of payload in total, may be opened."""
         return (
             len(self.requests) + requests <= self.max_open and self._open_bytes + size_bytes <= self.max_bytes
         )
--- a/slipbay/core/model.py
+++ b/slipbay/core/model.py
@@ -84,7 +84,7 @@
     """The exchange with an engine for one attempt."""
 
     def stop(self, outcome: Outcome) -> None:
-        """Abandon the attempt; it ends with ``outcome`` once none of it can run on the engine any more."""
+        """Abandon the attempt; it ends with ``outcome`` once the engine can no longer run it."""
 
     def set_priority(self, priority: int) -> None:
         """Change the priority (0 to 3) at which the engine runs the query."""
@@ -149,7 +149,7 @@
     statement_digest: bytes = b""  # distinguishes statements sent under the same key
     has_client_key: bool = False  # the client chose the key and may repeat the request under it
     is_resent: bool = False  # the client has marked the request as a repeat
-    quota_tokens: int = 1  # that must be available, of which one is taken; 0: another request takes the token
+    quota_tokens: int = 1  # must be available; one of them is taken (0: another request takes it)
     observer: AttemptObserver | None = None  # set only for parts of scattered queries
 
     id: int = 0
@@ -189,7 +189,7 @@
         return not self.request.finished and self._owner.clock.now() < self.send_deadline_us
 
     def finish(self, outcome: Outcome, result: object = None) -> None:
-        """Report the end of the attempt, once; after that nothing of it runs on any engine."""
+        """Report the end of the attempt, once; the backend ensures that no engine runs it any longer."""
         if not self.finished:
             self.finished = True
             self._owner.attempt_ended(self, outcome, result)
--- a/slipbay/core/ports.py
+++ b/slipbay/core/ports.py
@@ -44,7 +44,7 @@
     """
 
     def admit(self, request: Request) -> int | None:
-        """None if the request is admitted; else it is rejected and may be retried after that many us."""
+        """None if the request is admitted, else the time (us) after which the client may retry it."""
 
     def release(self, request: Request) -> None:
         """An admitted request was answered or abandoned, or a later gate has rejected it; called once."""
--- a/slipbay/idempotency/coordinator.py
+++ b/slipbay/idempotency/coordinator.py
@@ -181,7 +181,7 @@
         if identity.uncertainty_us:
             log(
                 "store",
-                "uncertainty window begins",  # a key that is not in the store runs only if it is proved new
+                "uncertainty window begins",  # a request under a key without a record runs only if proved new
                 seconds=round(identity.uncertainty_us / 1e6, 1),
             )
 
--- a/slipbay/idempotency/ledger.py
+++ b/slipbay/idempotency/ledger.py
@@ -37,7 +37,7 @@
     NEW = "new"  # it may run
     ATTACH = "attach"  # a request with the same key is running: wait for its end
     REPLAY = "again"  # it was served: return the stored answer
-    ANSWER_NOT_STORED = "answer gone"  # it was served, but its answer was too long to be stored
+    ANSWER_NOT_STORED = "answer gone"  # it was served, but its answer was too long or could not be written
     MAY_HAVE_RUN = "may have run"  # it failed and is never run again
     CONFLICT = "conflict"  # the key belongs to another statement or tenant
     NO_ROOM = "no room"  # the ledger holds the maximum number of keys
@@ -171,11 +171,11 @@
 
     def expire(self, now: int, max_keys: int = MAX_EXPIRED_AT_ONCE) -> list[Change]:
         """Delete records whose retention period has passed, at most ``max_keys`` of them."""
-        expired_us = self.advance_clock(now) - self.limits.retention_us
+        latest_expired_us = self.advance_clock(now) - self.limits.retention_us
         changes = list[Change]()
         expired = list[bytes]()
-        for key, ended in self._ended.items():
-            if ended > expired_us or len(expired) >= max_keys:
+        for key, ended_us in self._ended.items():
+            if ended_us > latest_expired_us or len(expired) >= max_keys:
                 break
             expired.append(key)
         for key in expired:
--- a/slipbay/idempotency/recovery.py
+++ b/slipbay/idempotency/recovery.py
@@ -24,7 +24,7 @@
     """How to find out the outcome of an intent."""
 
     QUERY = "ask"  # query the HTTP engine by the id of the query; needs the same engine process
-    KILL = "kill"  # kill the MySQL thread before anything is reported; its outcome stays unknown
+    KILL = "kill"  # kill the MySQL thread, and then record that the request may have run
     NONE = "none"  # the outcome cannot be found out
 
 
--- a/slipbay/idempotency/retry_budget.py
+++ b/slipbay/idempotency/retry_budget.py
@@ -5,7 +5,7 @@
 end of its step, and a margin is added, because retries may be sent between the last write and a crash.
 
 Work sent to cold engines needs no record: the policy counts the whole first window after a start as spent
-(``Controller.cold_room``), and no record of an earlier incarnation could improve on that.
+(``SlowStart.has_room``), and no record of an earlier incarnation could improve on that.
 """
 
 from __future__ import annotations
--- a/slipbay/idempotency/store_generation.py
+++ b/slipbay/idempotency/store_generation.py
@@ -22,10 +22,10 @@
 from slipbay.idempotency.errors import MissingReasonError, UnreadableRecordError
 
 IDENTITY_KEY = b"g"  # the key under which a store holds its identity
-ID_BYTES = 16
+ID_BYTES = 16  # length of a store's id
 MAX_PROVED_KEYS = 8192  # keys proved to be new, remembered in case they are repeated after a rejection
-WINDOW_STEPS = 64  # the remaining window is written once per step
-MIN_STEP_US = 1_000_000  # shortest step
+WINDOW_STEPS = 64  # steps of the window; the remaining time is written once per step
+MIN_STEP_US = 1_000_000  # minimum length of a step
 
 
 @dataclass(frozen=True, slots=True)
--- a/slipbay/idempotency/witnesses.py
+++ b/slipbay/idempotency/witnesses.py
@@ -15,7 +15,7 @@
 message that names a store adds 8s (the first bytes of its id) and generation u32; if the store was closed,
 also its last sequence, i64. With head and checksum a message has 24, 36 or 43 bytes (4 more with a key). A
 start costs its router 180 bytes and each of its witnesses 48 to 67 bytes, a proper shutdown 129 bytes. A
-message that exceeds the channel's budget is kept here and sent later.
+message that exceeds the channel's budget is kept and sent at a later tick.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 from slipbay.idempotency.store_generation import StoreWitness
 from slipbay.peer_channel.interfaces import Send
 
-HEAD = Struct("<BII")
-NAMED = Struct("<8sI")
-SEQUENCE = Struct("<q")
+HEAD = Struct("<BII")  # type, incarnation of the owner, incarnation of the witness
+NAMED = Struct("<8sI")  # first bytes of the store's id, generation
+SEQUENCE = Struct("<q")  # last sequence of a closed store
 BARE_BYTES = HEAD.size
 OPEN_BYTES = BARE_BYTES + NAMED.size
 CLOSED_BYTES = OPEN_BYTES + SEQUENCE.size
-MAX_WITNESSES = 3
+MAX_WITNESSES = 3  # per router
 MAX_REPLACED_STORES = 8  # ids of replaced stores that a witness remembers for each router
 RESEND_US = 1_000_000  # until an unanswered message is resent; a shorter time would exceed the start's budget
 RETRY_UNSENT_US = 50_000  # until a message that exceeded the channel's budget is sent again
--- a/slipbay/policy/admission.py
+++ b/slipbay/policy/admission.py
@@ -21,7 +21,7 @@
 from slipbay.policy.statistics import SAMPLE_DECAY
 from slipbay.policy.timing import SECOND, Uptime
 
-# time after the start in which the drain rates are still unreliable; three sampling periods
+# time after the start during which the drain rates are still unreliable: three sampling periods
 LEARNING_PERIOD_US = 3 * SECOND
 LAST_ANSWER_TICKS = 2  # timer ticks before the deadline at which a query gets its final answer
 
@@ -72,7 +72,10 @@
         self.queries.queue_query(query, now_us)
 
     def _admits_light_only(self, class_state: ClassState, now_us: int) -> bool:
-        """Whether to prefer light queries as threads are scarce: each answer of a class has equal utility."""
+        """Whether the class admits only light queries, because threads are scarce.
+
+        Light queries yield more utility per thread, as all answers of a class have the same utility.
+        """
         engines = self.engines
         is_full = self.pressure.is_on(now_us) and engines.threads_in_flight >= engines.thread_share
         return is_full and class_state is not self.priorities.highest_class()
@@ -80,9 +83,9 @@
     def _may_bypass_bound(self, class_state: ClassState, now_us: int) -> bool:
         """Whether a query may be admitted beyond the bound.
 
-        It may if the class has no other open query, so that its unused share has accumulated. It also may
-        while the drain rate is still set by the first query (a light one sets it far too low) and threads are
-        free.
+        A query may if it is the only open query of its class, because the class then uses none of its share.
+        Any query may if threads are free, no query waits, and the drain rates are still unreliable: the first
+        query of a class sets its rate, and a light query sets it far too low.
         """
         if self.pressure.is_on(now_us):
             return False
--- a/slipbay/policy/affinity.py
+++ b/slipbay/policy/affinity.py
@@ -8,7 +8,8 @@
 
 from slipbay.policy.events import EngineId
 
-# groups of the latest queries on an engine that count as in its memory; with more, engines look alike
+# An engine is assumed to have the groups of its latest queries in memory, for this number of queries. With a
+# larger number, most engines would be assumed to have most groups.
 MAX_WARM_GROUPS = 4
 MAX_COUNTED_GROUPS = 512  # groups with counts and arcs; limited because clients may send any number of groups
 
@@ -23,9 +24,8 @@
     def __init__(self) -> None:
         self.ring: list[EngineId] = []  # ordered by checksum, so identical on all routers of a zone
         self.query_counts: dict[float, int] = {}  # received queries by group
-        self.arcs: dict[
-            float, tuple[float, float]
-        ] = {}  # start and length of the arc, as fractions of the ring, by group
+        # start and length of the arc, as fractions of the ring, by group
+        self.arcs: dict[float, tuple[float, float]] = {}
 
     def count_query(self, group: float) -> None:
         """Count a query of the group."""
--- a/slipbay/policy/controller.py
+++ b/slipbay/policy/controller.py
@@ -1,7 +1,7 @@
 """The routing policy: takes events and returns actions. Times are in microseconds.
 
 Normal path: the policy admits a query if its cost plus the queued cost of its class fits within the bound of
-the class, and rejects it otherwise. Each second, the bound becomes the predicted delay plus a PI correction.
+the class, and rejects it otherwise. The bound is recomputed each second (``queue_bounds.py``).
 Queued queries are sent in first-in, first-out order to the engine with the fewest threads in use. All other
 rules are exceptions or safeguards (docs/design.md). Each decision has its own module and its own state; the
 controller passes the events to these modules and runs the periodic work.
@@ -55,7 +55,7 @@
 from slipbay.policy.timing import CHECK_PERIOD_US, SECOND, Uptime
 
 EVENT_ORDER: dict[type, int] = {EngineList: -1, TimerFired: 1}
-"""Engine lists come first and timers last, as a batch mixes old and new events after a process pause."""
+"""Engine lists are processed first and timers last: after a pause, a batch has both old and new events."""
 
 
 def _processing_order(event: Event) -> int:
--- a/slipbay/policy/engine_table.py
+++ b/slipbay/policy/engine_table.py
@@ -10,9 +10,10 @@
 from slipbay.policy.settings import Settings
 from slipbay.policy.statistics import SAMPLE_DECAY, DecayingRatio
 
-THREADS_PER_CORE = 1.6  # threads per core under pressure; engine throughput falls above one to two
-CORE_WORK = 0.85  # fraction of its cores' time that counts as an engine's full capacity
-SLOWDOWN_FACTOR = 2.0  # times the best pace above which engines count as slowed
+# threads per core under pressure; the throughput of an engine falls if it runs more than one to two
+THREADS_PER_CORE = 1.6
+CORE_WORK = 0.85  # fraction of the time of an engine's cores that counts as its full capacity
+SLOWDOWN_FACTOR = 2.0  # engines count as slowed if their pace exceeds the best pace by this factor
 
 
 class EngineHealth(NamedTuple):
@@ -32,7 +33,7 @@
         self.router_count = settings.router_count  # live routers that share the engines
         self.threads_in_flight = 0
         self.thread_share = 0.0  # threads that this router may use under pressure
-        self.ready_count = 0
+        self.ready_count = 0  # engines that the list reports as ready
         self.pace_ratio = DecayingRatio()  # thread time of all answers divided by their work
         self.best_pace = 0.0
 
@@ -91,7 +92,7 @@
             engine.locked_groups = {
                 group: until for group, until in engine.locked_groups.items() if until > now_us
             }
-            spent = engine.charges.since(charges_since_us)  # drops what is older
+            spent = engine.charges.since(charges_since_us)  # also removes older charges
             if engine.entry.state is EngineState.GONE and not engine.attempts and not spent:
                 del self.by_id[name]
 
--- a/slipbay/policy/estimates.py
+++ b/slipbay/policy/estimates.py
@@ -10,7 +10,7 @@
 from slipbay.policy.records import ClassState
 from slipbay.policy.statistics import SAMPLE_WEIGHT
 
-# weight of estimates from other routers, in samples; the memory of a running mean
+# weight of estimates from other routers, in samples: as many as a running mean remembers
 RESTORED_SAMPLES = 1 / SAMPLE_WEIGHT
 
 
--- a/slipbay/policy/gossip.py
+++ b/slipbay/policy/gossip.py
@@ -108,6 +108,6 @@
             engine.threads_at_report = engine.threads
             engine.lottery_draw = self.random.random()
         threads = sum(e.threads + e.peer_threads for e in self.engines.by_id.values() if not e.is_unhealthy)
-        # shows pressure long before answers slow down
+        # full thread shares show pressure long before answers slow down
         if threads >= self.engines.thread_share * self.engines.router_count:
             self.pressure.report(now_us)
--- a/slipbay/policy/open_queries.py
+++ b/slipbay/policy/open_queries.py
@@ -34,7 +34,7 @@
         self.shutdown_us: int | None = None
 
     def register(self, event: QueryArrived, now_us: int) -> Query:
-        """Create the record of a new query; estimates its cost if the client has not."""
+        """Create the record of a new query; estimates its cost if the client has given no estimate."""
         class_state = self.classes[event.service_class]
         spec = class_state.spec
         estimated_cost = float(
--- a/slipbay/policy/outlier_detection.py
+++ b/slipbay/policy/outlier_detection.py
@@ -15,7 +15,8 @@
 # engines send no notes, latency objectives take the place of progress periods
 UNRESPONSIVE_PERIODS = 2.5
 MIN_PAUSE_US = 3 * CHECK_PERIOD_US  # a timer delay of this length shows that this process was paused
-MAX_CONNECTION_ERROR_SHARE = 0.19  # running share of connection errors from which an engine stays unhealthy
+# an unhealthy engine stays so while its running share of connection errors is at least this
+MAX_CONNECTION_ERROR_SHARE = 0.19
 # running share of errors above which an engine is ejected for a class; three consecutive errors exceed it
 MAX_CLASS_ERROR_SHARE = 0.45
 CLASS_EJECTION_US = 5 * SECOND  # time for which an ejected engine gets no queries of the class
@@ -92,7 +93,7 @@
 
     def _record_symptoms(self, engine: Engine, outcome: Outcome, now_us: int) -> None:
         is_broken = outcome in CONNECTION_ERRORS
-        # far above any useful load; a hung engine fills up and rejects all queries
+        # a full engine has far more than any useful load, or hangs and therefore rejects all queries
         if outcome is Outcome.FULL:
             self.pressure.report(now_us)
             engine.is_unhealthy = True
@@ -100,7 +101,7 @@
             engine.last_activity_us = now_us
             engine.connection_error_share += SAMPLE_WEIGHT * (is_broken - engine.connection_error_share)
         if outcome is Outcome.CONNECT_FAILED:
-            engine.down_since_us = now_us  # it may have restarted, and be cold, before the list reports it
+            engine.down_since_us = now_us  # it may be restarted, and cold, before the list reports that
         if is_broken:
             engine.is_unhealthy = True
         if outcome is Outcome.OK and engine.is_unhealthy:
@@ -112,8 +113,8 @@
         """Mark unresponsive engines as unhealthy; returns their attempts, which may be lost.
 
         ``scheduled_us`` is the planned time of this check. If the check runs far too late, this process was
-        paused: the engines are not blamed, and pressure is reported so that the bounds limit the release of
-        queries. An engine that still works but cannot be reached is marked as well.
+        paused: no engine is marked because of the pause, and pressure is reported so that the bounds limit
+        the release of queries. An engine that still works but cannot be reached is marked as well.
         """
         was_paused = now_us - scheduled_us > MIN_PAUSE_US
         if was_paused:
--- a/slipbay/policy/priority.py
+++ b/slipbay/policy/priority.py
@@ -10,7 +10,8 @@
 
 HIGH_PRIORITY = 3  # priority of the class with the highest utility per work
 USUAL_PRIORITY = 1  # priority of all other classes
-# times the thread bound that it may use; engines reject queries far above the bound
+# The class with the highest utility per work may use up to this many times the thread bound of an engine.
+# Engines reject queries far above the bound.
 HIGH_PRIORITY_THREAD_FACTOR = 2.0
 
 
--- a/slipbay/policy/queue_bounds.py
+++ b/slipbay/policy/queue_bounds.py
@@ -1,8 +1,8 @@
 """The bound on the queued cost of each class.
 
 Source: "A Predictive-Reactive Method for Improving the Robustness of Real-Time Data Services" (the paper).
-Each second the bound becomes a prediction of the delay (Eq. 8 of the paper) plus a PI correction. Times are
-in microseconds.
+Each second, the bound is set to the queued cost for which the mean delay is predicted to meet its target
+(Eq. 8 of the paper), plus the correction of a PI controller. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -18,10 +18,11 @@
 
 PROPORTIONAL_GAIN = 4.93  # the paper's K_P
 INTEGRAL_GAIN = 5.36  # the paper's K_I
-PLANT_GAIN = 0.0142  # s of delay per unit of backlog in steady state (Eq. 10 of the paper), in local units
+# s of delay per unit of backlog in steady state (Eq. 10 of the paper), in the units of this module
+PLANT_GAIN = 0.0142
 # target for the mean delay, as a share of the objective; at 1, half the answers are late
 OBJECTIVE_SHARE = 0.7
-MAX_QUEUED_QUERIES = 64  # queries; the paper's max-data is this times the largest cost
+MAX_QUEUED_QUERIES = 64  # queries; the paper's max-data is this number times the largest cost
 COST_LIMIT_DECREASE = 0.6  # factor of the cost limit at a reset after rejections of light queries
 COST_LIMIT_INCREASE = 1.15  # factor of the cost limit at other resets
 COST_LIMIT_DIVISOR = 4.0  # the cost limit is never below the mean cost of the class divided by this
--- a/slipbay/policy/records.py
+++ b/slipbay/policy/records.py
@@ -40,7 +40,7 @@
     connection_error_share: float = 0.0  # running share of attempts with connection errors
     is_unhealthy: bool = False
     class_errors: dict[ClassState, ClassErrors] = field(default_factory=dict)
-    # time of its latest refused connection; reset to 0 when the list has a new process
+    # time of the latest failure to connect to it; 0 again once the list has a new process of the engine
     down_since_us: int = 0
 
     digest: int = 0  # engine id in messages between routers
@@ -177,10 +177,11 @@
         self.open_queries: dict[int, Query] = {}
         self.queued_cost = 0.0
         self.drain_rate = 0.0  # 1 / rho of the paper: cost drained per second; 0 until seeded
-        self.correction = 0.0  # b_delta of the paper
+        self.correction = 0.0  # cost that the PI controller adds to the bound; b_delta of the paper
+        # target of the mean delay minus the mean delay, in the last period with answers
         self.last_error_s = 0.0
-        self.bound = 0.0
-        self.largest_cost = 0.0
+        self.bound = 0.0  # highest total cost of queued queries
+        self.largest_cost = 0.0  # of a query so far
         self.cost_limit = float("inf")  # highest cost of a query that is admitted under pressure
         self.estimated_costs = DecayingRatio()
         self.measured_work = DecayingRatio()
--- a/slipbay/policy/retries.py
+++ b/slipbay/policy/retries.py
@@ -12,7 +12,8 @@
 from slipbay.policy.statistics import SlidingWindow
 from slipbay.policy.timing import CHECK_PERIOD_US
 
-LAST_ATTEMPT_TICKS = 4  # timer ticks before the deadline when retries end; LAST_ANSWER_TICKS is later
+# timer ticks before the deadline when retries end; LAST_ANSWER_TICKS, for the final answer, is smaller
+LAST_ATTEMPT_TICKS = 4
 # part of the deduplication window reserved for the retry to reach the engine
 DEDUP_MARGIN_US = 2 * CHECK_PERIOD_US
 
--- a/slipbay/policy/selection.py
+++ b/slipbay/policy/selection.py
@@ -143,7 +143,7 @@
     def _limit_candidates(
         self, query: Query, allowed: list[Engine], unhealthy: set[Engine], context: _ChoiceContext
     ) -> list[Engine]:
-        """A subset of engines: all routers see the same load reports and would all select the same engine."""
+        """A subset of the engines: with the same load reports, all routers would select the same engine."""
         sampled = self._sample_engines(query, allowed, context.is_under_pressure)
         # capacity below 1: only a few routers may use a cold engine, so it stays a candidate
         return [
@@ -200,7 +200,7 @@
         """
         spec = query.class_state.spec
         router_count = self.engines.router_count
-        # below 1: cold, and the slow start has room
+        # below 1: the engine is cold, and its slow start has room (see ``is_allowed``)
         capacity = engine.capacity(context.now_us, self.settings)
         threads = context.threads_on(engine)
         room = THREADS_PER_CORE * engine.cores * self._relative_speed(engine, capacity)
@@ -220,7 +220,7 @@
         )
 
     def _rank(self, query: Query, engine: Engine, health: int, context: _ChoiceContext) -> Rank:
-        """Sort key of the engine for the query, best engine first."""
+        """Sort key; ``health`` is -1 for a probe request, 0 for a healthy engine, 1 for an unhealthy one."""
         spec = query.class_state.spec
         capacity = engine.capacity(context.now_us, self.settings)
         load_conflicts = 0
--- a/slipbay/policy/settings.py
+++ b/slipbay/policy/settings.py
@@ -68,21 +68,21 @@
     may_probe: bool = False  # health checks may be sent
     may_gossip: bool = False  # routers may send each other messages
     supports_priority: bool = False  # engines take a priority with an attempt
-    max_retry_after_us: int = 0  # longest advice with a rejection; 0 for none
+    max_retry_after_us: int = 0  # longest Retry-After with a rejection; 0 for none
     list_on_request: bool = False  # the engine list is sent only on request
     ask_within_us: int = 0  # after a change of the list, the router counts as informed after this time
     progress_us: int = 0  # interval between notes of a running attempt; 0 for none
     report_fields: tuple[str, ...] = ()  # names of the values in load reports
-    # sends to an engine must stop within this time after the list reports it draining or gone
+    # sends to an engine must stop within this time after the list reports it as draining or removed
     drain_grace_us: int = 0
     cold_share: float = 1.0  # fraction of its capacity that an engine has at its start
     cold_multiple: float = 1.0  # a cold engine takes work up to this many times its present capacity
-    cold_window_us: int = 0  # window over which this work is counted
+    cold_window_us: int = 0  # window over which the work sent to a cold engine is counted
     ramp_us: int = 0  # time after its start until an engine has its full capacity
     key_rest_us: int = 0  # time for which an order key is blocked after an unknown outcome
     free_retries: float | None = None  # retries per window in addition to retry_share; None: no limit
     retry_share: float = 0.0  # permitted retries per query in the window
-    retry_window_us: int = 0  # window over which both are counted
+    retry_window_us: int = 0  # window over which queries and retries are counted
 
     def __post_init__(self) -> None:
         checks = {
--- a/slipbay/policy/slow_start.py
+++ b/slipbay/policy/slow_start.py
@@ -16,10 +16,11 @@
 from slipbay.policy.settings import Settings
 from slipbay.policy.timing import CHECK_PERIOD_US, Uptime
 
-COLD_BUDGET_SHARE = 0.5  # share of the cold budget that is used; two consecutive slots may overlap a window
-# share that is used if there is also a lottery; two slots and the lottery may overlap a window
+# share of the cold budget that is used, because parts of two consecutive slots may fall into one window
+COLD_BUDGET_SHARE = 0.5
+# share that is used if there is also a lottery, because two slots and the lottery may fall into one window
 COLD_LOTTERY_BUDGET_SHARE = 1 / 3
-MAX_COLD_SLOTS = 8  # routers that may use a cold engine in a window, if each share has room for any query
+MAX_COLD_SLOTS = 8  # routers with a slot on a cold engine in a window, if each share has room for any query
 MIN_SLOT_QUERIES = 1.5  # heaviest queries that a slot's share must have room for; light ones use some of it
 
 
--- a/slipbay/policy/timing.py
+++ b/slipbay/policy/timing.py
@@ -8,7 +8,7 @@
 
 
 class Uptime:
-    """Start time of the router; learned rates and the charges of cold engines start there."""
+    """Start time of the router; learned rates and the charges of cold engines cover the time since then."""
 
     __slots__ = ("started_us",)
 
--- a/slipbay/store/commit_queue.py
+++ b/slipbay/store/commit_queue.py
@@ -23,7 +23,7 @@
     max_changes: int = 256
     max_bytes: int = 1024 * 1024
     max_wait_us: int = 0  # time for which a group waits for more changes
-    retry_delay_us: int = 1_000_000  # between attempts to write again after a failure
+    retry_delay_us: int = 1_000_000  # time between attempts to write again after a failure
 
     @property
     def retry_delay_s(self) -> float:
--- a/slipbay/store/inspect.py
+++ b/slipbay/store/inspect.py
@@ -10,7 +10,7 @@
 from slipbay.store.manifest import Manifest, Segment
 from slipbay.store.opening import scan_segments
 
-MAX_ATTEMPTS = 5  # if a running router switches manifests during a read, all is read again
+MAX_ATTEMPTS = 5  # reads; a read is repeated if a running router switches manifests during it
 VALID = 0  # exit codes of ``slipbay store verify``
 TORN_END = 1
 DAMAGED = 2
--- a/slipbay/store/manifest.py
+++ b/slipbay/store/manifest.py
@@ -28,7 +28,7 @@
     number: int
     base_sequence: int  # sequence before the first record
     valid_bytes: int = 0  # 0 for the active segment
-    last_sequence: int = 0  # last valid sequence
+    last_sequence: int = 0  # sequence of the last record; 0 for the active segment
     uncompressed_bytes: int = 0  # bytes of the frames before compression
     compacted: bool = False  # contains blocks instead of a log
 
--- a/slipbay/store/opening.py
+++ b/slipbay/store/opening.py
@@ -49,9 +49,8 @@
                 yield SegmentChunk(segment, scan)
         _check_end(data, segment, scan, end, sealed)
         if segment.compacted:
-            scan = replace(
-                scan, last_sequence=segment.last_sequence
-            )  # compaction may have dropped the last records
+            # compaction may have dropped the last records
+            scan = replace(scan, last_sequence=segment.last_sequence)
         last_sequence = scan.last_sequence
         yield SegmentChunk(segment, scan, end - scan.end)
 
