--- a/slipbay/idempotency/retry_budget.py
+++ b/slipbay/idempotency/retry_budget.py
@@ -34,8 +34,8 @@
     A sum is dated to the end of its step if ``round_up`` is set, else to its start.
     """
     sums: dict[int, float] = {}
-    for at, amount in items:
-        step = at // STEP_US + round_up
+    for at_us, amount in items:
+        step = at_us // STEP_US + round_up
         sums[step] = sums.get(step, 0.0) + amount
     return sorted((step * STEP_US, amount) for step, amount in sums.items())
 
@@ -44,8 +44,8 @@
     """Encode the budget as the value of its record in the store."""
     retries = sum_by_step(budget.retries, round_up=True)
     if retries:
-        at, amount = retries[-1]
-        retries[-1] = (at, amount + MARGIN_RETRIES)
+        at_us, amount = retries[-1]
+        retries[-1] = (at_us, amount + MARGIN_RETRIES)
     body: bytes = msgpack.packb([sum_by_step(budget.requests, round_up=False), retries])
     return body
 
@@ -58,7 +58,8 @@
     """
     try:
         requests, retries = (
-            [(min(int(at), now), float(amount)) for at, amount in items] for items in msgpack.unpackb(value)
+            [(min(int(at_us), now), float(amount)) for at_us, amount in items]
+            for items in msgpack.unpackb(value)
         )
     except (ValueError, TypeError) as error:
         raise UnreadableRecordError("the record of the retry budget", error) from None
--- a/slipbay/policy/connection_pacer.py
+++ b/slipbay/policy/connection_pacer.py
@@ -25,8 +25,8 @@
 
     def _fill(self, now_us: int) -> None:
         if self.is_limited and self.rate_per_s < float("inf"):
-            earned = self.rate_per_s * (now_us - self.filled_at_us) / SECOND
-            self.tokens = min(MAX_BURST, self.tokens + earned)
+            new_tokens = self.rate_per_s * (now_us - self.filled_at_us) / SECOND
+            self.tokens = min(MAX_BURST, self.tokens + new_tokens)
         self.filled_at_us = now_us
 
     def may_open(self, now_us: int) -> bool:
--- a/slipbay/policy/engine_table.py
+++ b/slipbay/policy/engine_table.py
@@ -92,8 +92,8 @@
             engine.locked_groups = {
                 group: until for group, until in engine.locked_groups.items() if until > now_us
             }
-            spent = engine.charges.since(charges_since_us)  # also removes older charges
-            if engine.entry.state is EngineState.GONE and not engine.attempts and not spent:
+            recent_charges = engine.charges.since(charges_since_us)  # also removes older charges
+            if engine.entry.state is EngineState.GONE and not engine.attempts and not recent_charges:
                 del self.by_id[name]
 
     def condition(self, engine_id: EngineId, now_us: int) -> EngineHealth:
--- a/slipbay/policy/events.py
+++ b/slipbay/policy/events.py
@@ -201,9 +201,9 @@
 class WarmupChanged:
     """Limit on new engine connections while this router warms up at the same time as many others.
 
-    With ``limit_connections``, a query goes to an engine with an idle connection. Otherwise it waits until a
-    connection becomes idle or a new one may be opened, at a rate of ``connections_per_s`` plus a first one
-    immediately.
+    With ``limit_connections``, a query is sent to an engine with an idle connection. Without one, the query
+    waits until a connection becomes idle or a new one may be opened. The first may be opened immediately,
+    others at a rate of ``connections_per_s``.
     """
 
     limit_connections: bool
--- a/slipbay/policy/outlier_detection.py
+++ b/slipbay/policy/outlier_detection.py
@@ -92,17 +92,19 @@
         engine.class_errors[class_state] = ClassErrors(share, until_us)
 
     def _record_symptoms(self, engine: Engine, outcome: Outcome, now_us: int) -> None:
-        is_broken = outcome in CONNECTION_ERRORS
+        is_connection_error = outcome in CONNECTION_ERRORS
         # a full engine has far more than any useful load, or hangs and therefore rejects all queries
         if outcome is Outcome.FULL:
             self.pressure.report(now_us)
             engine.is_unhealthy = True
-        if is_broken or outcome is Outcome.OK:
+        if is_connection_error or outcome is Outcome.OK:
             engine.last_activity_us = now_us
-            engine.connection_error_share += SAMPLE_WEIGHT * (is_broken - engine.connection_error_share)
+            engine.connection_error_share += SAMPLE_WEIGHT * (
+                is_connection_error - engine.connection_error_share
+            )
         if outcome is Outcome.CONNECT_FAILED:
             engine.down_since_us = now_us  # it may be restarted, and cold, before the list reports that
-        if is_broken:
+        if is_connection_error:
             engine.is_unhealthy = True
         if outcome is Outcome.OK and engine.is_unhealthy:
             engine.is_unhealthy = engine.connection_error_share >= MAX_CONNECTION_ERROR_SHARE
--- a/slipbay/policy/queue_bounds.py
+++ b/slipbay/policy/queue_bounds.py
@@ -103,8 +103,8 @@
         """
         if not class_state.drain_rate:
             return
-        drained = class_state.finished_cost if class_state.queue else potential_rate
-        rate = class_state.drain_rate + SAMPLE_WEIGHT * (drained - class_state.drain_rate)
+        current_rate = class_state.finished_cost if class_state.queue else potential_rate
+        rate = class_state.drain_rate + SAMPLE_WEIGHT * (current_rate - class_state.drain_rate)
         class_state.drain_rate = max(rate, class_state.mean_cost)
 
     def _update_correction(self, class_state: ClassState) -> None:
@@ -127,8 +127,8 @@
 
     def _correction_limit(self, class_state: ClassState) -> float:
         objective_us = class_state.latency_objective(class_state.mean_cost)
-        drained = class_state.drain_rate / SECOND * objective_us
-        return min(MAX_QUEUED_QUERIES * class_state.largest_cost, drained)
+        drained_cost = class_state.drain_rate / SECOND * objective_us
+        return min(MAX_QUEUED_QUERIES * class_state.largest_cost, drained_cost)
 
     def _update_cost_limit(self, class_state: ClassState) -> None:
         """Lower the cost limit while light queries are rejected; a single rejection is not evidence."""
--- a/slipbay/policy/selection.py
+++ b/slipbay/policy/selection.py
@@ -203,18 +203,18 @@
         # below 1: the engine is cold, and its slow start has room (see ``is_allowed``)
         capacity = engine.capacity(context.now_us, self.settings)
         threads = context.threads_on(engine)
-        room = THREADS_PER_CORE * engine.cores * self._relative_speed(engine, capacity)
+        max_threads = THREADS_PER_CORE * engine.cores * self._relative_speed(engine, capacity)
         if not context.has_peer_loads:
-            room /= router_count
-        is_at_capacity = threads >= room
+            max_threads /= router_count
+        is_at_capacity = threads >= max_threads
         # slow start limits cold engines already
         if not is_at_capacity and context.has_peer_loads and capacity == 1:
             added_threads = engine.threads - engine.threads_at_report + spec.threads
-            free = (room - engine.peer_threads - engine.threads_at_report) / router_count
-            is_at_capacity = added_threads > free + engine.lottery_draw * spec.threads
+            free_share = (max_threads - engine.peer_threads - engine.threads_at_report) / router_count
+            is_at_capacity = added_threads > free_share + engine.lottery_draw * spec.threads
         if not is_at_capacity:
             return False
-        may_exceed = self.priorities.may_exceed_bound and threads < HIGH_PRIORITY_THREAD_FACTOR * room
+        may_exceed = self.priorities.may_exceed_bound and threads < HIGH_PRIORITY_THREAD_FACTOR * max_threads
         return not (
             (context.has_peer_loads or may_exceed) and query.class_state is self.priorities.highest_class()
         )
--- a/slipbay/policy/slow_start.py
+++ b/slipbay/policy/slow_start.py
@@ -60,8 +60,8 @@
         uses_lottery = slots < self.router_count and self.gossip.is_recent(now_us)
         budget *= COLD_LOTTERY_BUDGET_SHARE if uses_lottery else COLD_BUDGET_SHARE
         if self._slot_position(engine, max_slots, now_us) < slots and self.uptime.age_us(now_us) >= window_us:
-            spent = engine.charges.since(now_us - window_us - CHECK_PERIOD_US)
-            return spent + class_state.charged_work <= budget / slots
+            spent_work = engine.charges.since(now_us - window_us - CHECK_PERIOD_US)
+            return spent_work + class_state.charged_work <= budget / slots
         return uses_lottery and self._wins_lottery(class_state, engine, capacity, budget)
 
     def _slot_count(self, slots: int, budget: float) -> int:
@@ -80,9 +80,11 @@
 
     def _wins_lottery(self, class_state: ClassState, engine: Engine, capacity: float, budget: float) -> bool:
         window_us = max(self.settings.cold_window_us, 1)
-        threads = THREADS_PER_CORE * engine.cores * capacity - engine.peer_threads - engine.threads_at_report
+        free_threads = (
+            THREADS_PER_CORE * engine.cores * capacity - engine.peer_threads - engine.threads_at_report
+        )
         work = class_state.charged_work
-        fair_work = threads / class_state.spec.threads * work
-        share = min(fair_work, budget * GOSSIP_PERIOD_US / window_us) / self.engines.router_count
-        sent = sum(charge for at_us, charge in engine.charges.items if at_us >= self.gossip.sums_at_us)
-        return sent + work <= share + engine.lottery_draw * work
+        free_work = free_threads / class_state.spec.threads * work
+        router_share = min(free_work, budget * GOSSIP_PERIOD_US / window_us) / self.engines.router_count
+        sent_work = sum(charge for at_us, charge in engine.charges.items if at_us >= self.gossip.sums_at_us)
+        return sent_work + work <= router_share + engine.lottery_draw * work
--- a/slipbay/store/index.py
+++ b/slipbay/store/index.py
@@ -84,7 +84,7 @@
         tables = self._tables
         live_bytes = self._live_bytes
         location = segment << SEGMENT_SHIFT
-        added = 0
+        added_bytes = 0
         for _, key, value, offset, inner_offset, length in records:  # runs for every record: no calls
             table = tables[hash(key) & TABLE_COUNT - 1]
             if value is None:
@@ -92,13 +92,13 @@
             else:
                 old = table.get(key, 0)
                 table[key] = location | offset << OFFSET_SHIFT | inner_offset + 1 << INNER_SHIFT | length
-                added += length
+                added_bytes += length
             if old:
                 if old >> SEGMENT_SHIFT == segment:
-                    added -= old & LENGTH_MASK
+                    added_bytes -= old & LENGTH_MASK
                 else:
                     live_bytes[old >> SEGMENT_SHIFT] -= old & LENGTH_MASK
-        live_bytes[segment] = live_bytes.get(segment, 0) + added
+        live_bytes[segment] = live_bytes.get(segment, 0) + added_bytes
 
     def move(self, moves: Iterable[Move]) -> None:
         """Update the locations of copied records, except of keys that were written or deleted meanwhile."""
--- a/slipbay/store/inspect.py
+++ b/slipbay/store/inspect.py
@@ -37,7 +37,7 @@
 
 
 def inspect_store(disk: Disk) -> Inspection:
-    """Read a whole store.
+    """Read the files and records of a store.
 
     Faults of the store are reported in ``problem``. Raises ``OSError`` if the directory cannot be read.
     """
--- a/slipbay/store/marker.py
+++ b/slipbay/store/marker.py
@@ -43,9 +43,9 @@
         except FileNotFoundError:
             return None
         found: StoreWitness | None = None
-        for at in (0, SLOT_BYTES):
-            slot = data[at : at + SLOT.size]
-            crc = data[at + SLOT.size : at + SLOT.size + CRC.size]
+        for offset in (0, SLOT_BYTES):
+            slot = data[offset : offset + SLOT.size]
+            crc = data[offset + SLOT.size : offset + SLOT.size + CRC.size]
             if len(crc) < CRC.size or CRC.unpack(crc)[0] != checksum(slot):
                 continue
             magic, write_count, store_id, generation, sequence = SLOT.unpack(slot)
--- a/slipbay/store/reader.py
+++ b/slipbay/store/reader.py
@@ -74,12 +74,14 @@
         last_sequence = segment.base_sequence
         reader = FrameReader(disk)
         data = disk.read(segment.name, 0, segment.valid_bytes)
-        at = frame.HEAD_BYTES
-        while at < segment.valid_bytes:
-            scan = frame.scan(data, at, segment.valid_bytes, last_sequence, not segment.compacted, batch_size)
+        offset = frame.HEAD_BYTES
+        while offset < segment.valid_bytes:
+            scan = frame.scan(
+                data, offset, segment.valid_bytes, last_sequence, not segment.compacted, batch_size
+            )
             if scan.fault:
                 raise DamagedStoreError(f"byte {scan.end}: {scan.fault}", segment.name)
-            at = scan.end
+            offset = scan.end
             last_sequence = scan.last_sequence
             yield _live_of(index, segment.number, scan.records, data, reader)
 
