--- a/slipbay/idempotency/retry_budget.py
+++ b/slipbay/idempotency/retry_budget.py
@@ -5,7 +5,7 @@
 end of its step, and a margin is added, because retries may be sent between the last write and a crash.
 
 Work sent to cold engines needs no record: the policy counts the whole first window after a start as spent
-(``Controller.cold_room``), and no record of an earlier incarnation could improve on that.
+(``SlowStart.has_room``), and no record of an earlier incarnation could improve on that.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
     A sum is dated to the end of its step if ``round_up`` is set, else to its start.
     """
     sums: dict[int, float] = {}
-    for at, amount in items:
-        step = at // STEP_US + round_up
+    for at_us, amount in items:
+        step = at_us // STEP_US + round_up
         sums[step] = sums.get(step, 0.0) + amount
     return sorted((step * STEP_US, amount) for step, amount in sums.items())
 
@@ -44,8 +44,8 @@
     """Encode the budget as the value of its record in the store."""
     retries = sum_by_step(budget.retries, round_up=True)
     if retries:
-        at, amount = retries[-1]
-        retries[-1] = (at, amount + MARGIN_RETRIES)
+        at_us, amount = retries[-1]
+        retries[-1] = (at_us, amount + MARGIN_RETRIES)
     body: bytes = msgpack.packb([sum_by_step(budget.requests, round_up=False), retries])
     return body
 
@@ -58,7 +58,8 @@
     """
     try:
         requests, retries = (
-            [(min(int(at), now), float(amount)) for at, amount in items] for items in msgpack.unpackb(value)
+            [(min(int(at_us), now), float(amount)) for at_us, amount in items]
+            for items in msgpack.unpackb(value)
         )
     except (ValueError, TypeError) as error:
         raise UnreadableRecordError("the record of the retry budget", error) from None
