--- a/tests/contracts/test_exchange_contract.py
+++ b/tests/contracts/test_exchange_contract.py
@@ -1,5 +1,5 @@
-"""What exchanges with engines must keep (docs/contracts.md, E1 to E7), and such that break one obligation
-each."""
+"""Contract of exchanges with engines (docs/contracts.md, E1 to E7), and broken exchanges that each violate
+one obligation."""
 
 from __future__ import annotations
 
@@ -8,7 +8,16 @@
 from types import SimpleNamespace
 from typing import Any
 
-from exchange_models import Check, Draw, EmulatedModel, HastyModel, HttpModel, Model, Moves, MysqlModel
+from exchange_models import (
+    Check,
+    Draw,
+    EmulatedModel,
+    HttpModel,
+    Model,
+    Moves,
+    MysqlModel,
+    ShortDeadlineModel,
+)
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 from obligations import held, suite, with_part
@@ -29,14 +38,14 @@
     "another": 8,
     "wait": 2,
     "dawdle": 3,
-}  # others 1: most get to an engine
-SMOOTH = ("connect", "arrive", "answer")  # moves that nothing goes wrong with
-STOPS = (Outcome.CANCELLED, Outcome.TIMEOUT)  # as which the core calls off
-TENDED_US = 100_000  # in which what is called off ends then, if the engine does at once what it is asked
+}  # 1 for other moves, so that most attempts reach an engine
+MOVES_WITHOUT_FAILURE = ("connect", "arrive", "answer")
+STOPS = (Outcome.CANCELLED, Outcome.TIMEOUT)  # outcomes with which the core stops an attempt
+MAX_STOP_US = 100_000  # a stopped attempt ends within this time, if the engine answers and nothing fails
 Make = Callable[[Check, Draw], Model]
 
 
-sampled = cache(st.sampled_from)  # to make a strategy takes as long as a draw
+sampled = cache(st.sampled_from)  # creating a strategy takes as long as a draw
 
 
 def drawing(data: st.DataObject) -> Draw:
@@ -51,12 +60,15 @@
         self.ends += 1
         held(self.ends == 1, "E1", "it ended twice")
         held(
-            not outcome.proves_not_run or not model.sent or model.turned_away, "E2", f"{outcome} of what left"
+            not outcome.proves_not_run or not model.sent or model.was_rejected,
+            "E2",
+            f"{outcome} of a sent attempt",
         )
         held(
-            outcome is not Outcome.OK or (model.made is not None and result == model.made),
+            outcome is not Outcome.OK
+            or (model.expected_result is not None and result == model.expected_result),
             "E5",
-            f"{result!r} for {model.made!r}",
+            f"{result!r} for {model.expected_result!r}",
         )
         held(outcome not in STOPS or outcome is model.stopped, "E5", f"{outcome} of {model.stopped}")
 
@@ -65,14 +77,14 @@
         self.another(drawing(data))
 
     def another(self, draw: Draw) -> None:
-        """An attempt at an engine of its own."""
+        """Start an attempt on a new engine."""
         self.ends = 0
-        self.smooth = True
+        self.without_failure = True
         self.model = self.make(self._ended, draw)
 
     @rule(data=st.data())
     def move(self, data: st.DataObject) -> None:
-        """What may happen; an end and a stop may cross."""
+        """Do one possible move; the end of the attempt and a stop may cross."""
         draw = drawing(data)
         model = self.model
         moves: Moves = {
@@ -82,42 +94,42 @@
         }
         if self.ends:
             moves["another"] = self.another
-        elif self.smooth:
-            moves["hurry"] = lambda draw: self.hurry()
+        elif self.without_failure:
+            moves["hurry"] = lambda draw: self.stop_early()
         name = draw([name for name in sorted(moves) for _ in range(WEIGHTS.get(name, 1))])
-        self.smooth &= name in ("another", *SMOOTH)
+        self.without_failure &= name in ("another", *MOVES_WITHOUT_FAILURE)
         moves[name](draw)
 
-    def hurry(self) -> None:
-        """It is called off before anything went wrong."""
+    def stop_early(self) -> None:
+        """Stop the attempt before any failure."""
         self.model.stop()
-        self.model.tend(TENDED_US)
-        held(self.ends, "E3", f"called off, and not over after {TENDED_US / 1e6} s")
+        self.model.serve(MAX_STOP_US)
+        held(self.ends, "E3", f"stopped, but not ended after {MAX_STOP_US / 1e6} s")
 
     @invariant()
-    def nothing_strays(self) -> None:
+    def nothing_is_wrong(self) -> None:
         held(self.model.sent <= 1, "E6", "it was sent twice")
-        held(not self.model.strayed, "E7", "it is not what the client asked for")
-        held(not self.ends or not self.model.runs, "E4", "what was told as over runs")
+        held(not self.model.sent_other_statement, "E7", "another statement than the client's was sent")
+        held(not self.ends or not self.model.runs, "E4", "an attempt that was reported as ended runs")
 
     @invariant()
-    def nothing_hangs(self) -> None:
+    def attempt_ends(self) -> None:
         model = self.model
         if model.idle and not self.ends:
             model.wait(model.bound_us)
-            held(self.ends or not model.idle, "E3", "with nothing under way it did not end")
+            held(self.ends or not model.idle, "E3", "it did not end though no data is in transit")
 
     def teardown(self) -> None:
-        """Whatever state it is in: nobody says anything more, and it is called off."""
+        """In any state: the engine sends nothing more, and the attempt is stopped."""
         if not self.ends:
             self.model.stop()
             self.model.wait(self.model.bound_us)
-            held(self.ends, "E3", f"stopped, and not over after {self.model.bound_us / 1e6} s")
+            held(self.ends, "E3", f"stopped, but not ended after {self.model.bound_us / 1e6} s")
 
 
-EXCHANGES: dict[str, tuple[Make, int]] = {  # and how many histories
+EXCHANGES: dict[str, tuple[Make, int]] = {  # with the number of histories
     "HTTP": (HttpModel, 300),
-    "HTTP, hasty": (HastyModel, 300),
+    "HTTP, hasty": (ShortDeadlineModel, 300),
     "MySQL": (MysqlModel, 300),
     "emulator": (EmulatedModel, 50),
 }
@@ -127,96 +139,96 @@
 
 
 class EndsTwice(HttpExchange):
-    """E1: it is called off though it has ended."""
+    """E1: a stop after its end ends it again."""
 
     def stop(self, outcome: Outcome) -> None:
         self._is_ended = False
         super().stop(outcome)
 
 
-class TakesCutsForUnsent(MysqlExchange):
-    """E2: whatever breaks has not been sent."""
+class TakesBrokenForUnsent(MysqlExchange):
+    """E2: reports a statement as not sent if the connection breaks."""
 
     def _interrupted(self) -> None:
         self._is_statement_sent = False
         super()._interrupted()
 
 
-class NeverGivesUp(HttpExchange):
-    """E3: it waits for a silent engine for ever."""
+class WaitsForever(HttpExchange):
+    """E3: waits forever for an unresponsive engine."""
 
     def _check_progress(self) -> None:
         self._last_call_us = max(self._last_call_us, self._backend.now() - pool.LONG_POLL_US)
         super()._check_progress()
 
 
-class Believes(HttpExchange):
-    """E4: what it calls off is over."""
+class EndsWithoutProof(HttpExchange):
+    """E4: reports a stopped attempt as ended immediately."""
 
     def stop(self, outcome: Outcome) -> None:
         self._finish(outcome)
 
 
-class ProvesNothing(MysqlExchange):
-    """E4: a server whose connection broke has ended the statement."""
+class TakesBreakForProof(MysqlExchange):
+    """E4: takes a broken connection as proof that the statement has ended."""
 
     def _end_thread(self) -> None:
         self._finish(self._outcome)
 
 
-class FirstPage(HttpExchange):
-    """E5: it takes the first page for the whole."""
+class TakesFirstPageForAll(HttpExchange):
+    """E5: takes the first page for the complete result."""
 
     def _handle_page(self, connection: HttpConnection, response: Any) -> None:
         response.headers["x-sheets"] = "1"
         super()._handle_page(connection, response)
 
 
-class TellsTheLast(HttpExchange):
-    """E5: what is called off twice is told as the second time."""
+class ReportsLastStop(HttpExchange):
+    """E5: reports the outcome of the second stop instead of the first."""
 
     def stop(self, outcome: Outcome) -> None:
         super().stop(outcome)
         self._stop_outcome = outcome
 
 
-class DeletesUnasked(HttpExchange):
-    """E4: after a break it deletes what it has not asked for."""
+class DeletesWithoutPoll(HttpExchange):
+    """E4: sends the DELETE after a broken connection without a poll before it."""
 
     def _delete(self) -> None:
         self._is_process_uncertain = False
         super()._delete()
 
 
-class HearsTooSoon(HttpExchange):
-    """E4: a question that overtook its POST tells it that nothing runs."""
+class TrustsOvertakingPoll(HttpExchange):
+    """E4: takes the answer to a poll that overtook the POST as proof that no query runs."""
 
     def _responded(self, connection: HttpConnection, response: Any) -> None:
         self._is_polled_beside_post = False
         super()._responded(connection, response)
 
 
-class LooksLate(MysqlExchange):
-    """E3: after a KILL it takes its time to look whether the thread has ended."""
+class ChecksKillLate(MysqlExchange):
+    """E3: waits too long after a KILL before it checks whether the thread has ended."""
 
     def _end_thread(self) -> None:
         timers = self._backend.timers
-        back = vars(self._backend)
-        late = SimpleNamespace(at=timers.at, after=lambda us, action: timers.after(RETRY_US, action))
-        self._backend = SimpleNamespace(**{**back, "timers": late})
+        members = vars(self._backend)
+        delayed = SimpleNamespace(at=timers.at, after=lambda us, action: timers.after(RETRY_US, action))
+        self._backend = SimpleNamespace(**{**members, "timers": delayed})
         super()._end_thread()
 
 
-class Confuses(MysqlExchange):
-    """E7: what is prepared on one connection is so on all."""
+class SharesPreparedStatements(MysqlExchange):
+    """E7: takes a statement that is prepared on one connection as prepared on all."""
 
     def _connected(self, connection: MysqlConnection) -> None:
         connection.statements = vars(self._backend).setdefault("statements", connection.statements)
         super()._connected(connection)
 
 
-class SendsAgain(HttpExchange):
-    """E6: it sends what is not answered once more, where it should ask for it."""
+class SendsTwice(HttpExchange):
+    """E6: sends the query again instead of a poll, if it has no answer."""
 
     def _poll(self, connection: HttpConnection) -> None:
         if self._answered:
@@ -225,8 +237,8 @@
             self._post(connection)
 
 
-class RunsOn(FleetModel):
-    """E4: an engine of the emulator works on what is called off."""
+class ContinuesCancelled(FleetModel):
+    """E4: the emulator's engine continues a cancelled query."""
 
     def _end(self, me: int, query: int, attempt: int, outcome: Outcome) -> None:
         name, number = self.out[me, query, attempt]
@@ -238,26 +250,26 @@
 
 BROKEN = (
     EndsTwice,
-    TakesCutsForUnsent,
-    NeverGivesUp,
-    LooksLate,
-    Believes,
-    ProvesNothing,
-    DeletesUnasked,
-    HearsTooSoon,
-    FirstPage,
-    TellsTheLast,
-    SendsAgain,
-    Confuses,
-    RunsOn,
+    TakesBrokenForUnsent,
+    WaitsForever,
+    ChecksKillLate,
+    EndsWithoutProof,
+    TakesBreakForProof,
+    DeletesWithoutPoll,
+    TrustsOvertakingPoll,
+    TakesFirstPageForAll,
+    ReportsLastStop,
+    SendsTwice,
+    SharesPreparedStatements,
+    ContinuesCancelled,
 )
-PLACES = (
+REPLACED_TYPES = (
     (EmulatedModel, FleetModel, "tier_type"),
-    (HastyModel, HearsTooSoon, "exchange_type"),
+    (ShortDeadlineModel, TrustsOvertakingPoll, "exchange_type"),
     (HttpModel, HttpExchange, "exchange_type"),
     (MysqlModel, MysqlExchange, "exchange_type"),
 )
 
 test_an_exchange_keeps_the_contract, test_the_contract_finds_the_broken_obligation = suite(
-    ExchangeContract, EXCHANGES, BROKEN, 40, lambda part: with_part(part, PLACES)
+    ExchangeContract, EXCHANGES, BROKEN, 40, lambda part: with_part(part, REPLACED_TYPES)
 )
--- a/tests/test_engine_races.py
+++ b/tests/test_engine_races.py
@@ -1,5 +1,5 @@
-"""Crossings on engines' connections, forced on real sockets: second answers, halves of lines, clients that
-leave while a connection comes up, repeats whose time runs out meanwhile."""
+"""Races on connections to engines, forced on real sockets: duplicate answers, half lines, clients that
+disconnect while a connection is opened, repeats whose deadline passes meanwhile."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     return base64.b64decode((await client.answer())["result"]["data"])
 
 
-def when_a_connection_comes_up(monkeypatch: pytest.MonkeyPatch, action: Callable[[], None]) -> None:
-    """Call ``action`` once, after a dial has come up and before its connection is used."""
+def when_a_connection_opens(monkeypatch: pytest.MonkeyPatch, action: Callable[[], None]) -> None:
+    """Call ``action`` once, after a connection is established and before it is used."""
     original = HttpConnection.opened
 
     def opened(self: HttpConnection) -> None:
@@ -52,14 +52,13 @@
         http_answer(504, X_No_Effect="1"),
     ],
 )
-def test_a_second_answer_some_ms_late_is_not_taken_for_the_next_query_s(
+def test_a_late_duplicate_answer_is_not_taken_for_the_answer_to_the_next_query(
     late: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against 'served' with another's rows, and against a proof that nothing ran where it runs: the
-    copy of an answer stands before the answer to the next call on its connection."""
-    monkeypatch.setattr(
-        http_connection, "DUPLICATE_WINDOW_US", 60_000_000
-    )  # whatever the machine does between the two queries
+    """Guards against a query served with the rows of another one, and against a false proof that a query did
+    not run: a duplicate arrives before the answer to the next call on its connection."""
+    # Long enough for any delay of the machine between the two queries
+    monkeypatch.setattr(http_connection, "DUPLICATE_WINDOW_US", 60_000_000)
 
     async def script(call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
         if call.method == "GET" or call.body != b"SELECT 2":
@@ -78,8 +77,8 @@
     run(test)
 
 
-def test_a_refusal_soon_after_another_s_answer_is_still_a_proof(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a load that fails, though the engine turned it away, as its refusal came quickly."""
+def test_a_rejection_soon_after_another_answer_is_still_a_proof(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a load that fails instead of being retried, as the rejection arrived quickly."""
     monkeypatch.setattr(http_connection, "DUPLICATE_WINDOW_US", 300_000)
     turned_away: list[str] = []
 
@@ -97,7 +96,7 @@
         async with Loopback(*engines) as net:
             client = await net.client()
             group = 0
-            while not all(engine.calls for engine in engines):  # each has a connection that has answered
+            while not all(engine.calls for engine in engines):  # then each has a connection with an answer
                 group += 1
                 assert await served(client, f"SELECT 1 FROM sales_{group}.orders") == FIRST
             client.query("ticket-load", "INSERT INTO sales_1.tickets VALUES (1)", limit=20_000)
@@ -108,8 +107,8 @@
     run(test)
 
 
-def test_a_second_answer_does_not_stand_for_the_answer_to_a_delete() -> None:
-    """Guards against an attempt that is held to be over, so that another begins beside it."""
+def test_a_duplicate_answer_is_not_taken_for_the_answer_to_a_delete() -> None:
+    """Guards against an attempt that is taken for ended while it runs, so that another overlaps with it."""
     writers: list[asyncio.StreamWriter] = []
 
     async def script(call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
@@ -117,7 +116,7 @@
             return http_answer(202)
         writer.write(http_answer(202))
         writers.append(writer)
-        await asyncio.Event().wait()  # the DELETE's own answer comes when the test says so
+        await asyncio.Event().wait()  # the test sends the answer to the DELETE
         return None
 
     async def test() -> None:
@@ -129,7 +128,7 @@
             client.cancel(1)
             await until(lambda: bool(writers))
             client.send("alive")
-            await client.answer()  # the copy has been read: it was written before
+            await client.answer()  # the duplicate has been read, as it was written before
             assert net.router.dispatcher.requests
             writers[0].write(http_answer(204))
             await until(lambda: not net.router.dispatcher.requests)
@@ -137,7 +136,7 @@
     run(test)
 
 
-def test_half_a_line_from_an_engine_retires_a_resting_connection() -> None:
+def test_half_a_line_from_an_engine_closes_an_idle_connection() -> None:
     async def test() -> None:
         engine = StandInEngine()
         async with Loopback(engine) as net:
@@ -154,21 +153,21 @@
     run(test)
 
 
-def test_a_client_that_leaves_while_a_connection_comes_up_has_nothing_sent_for_it(
+def test_a_query_is_not_sent_if_its_client_disconnects_while_a_connection_opens(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The end of the client is read after the dial was begun and before the decisions hear of it."""
+    """The end of the client is read after the connect has started and before the policy receives it."""
 
     async def test() -> None:
         engine = StandInEngine()
         async with Loopback(engine) as net:
             client = await net.client()
 
-            def leave() -> None:
+            def disconnect() -> None:
                 (connection,) = net.router.server.connections
                 connection.eof_received()
 
-            when_a_connection_comes_up(monkeypatch, leave)
+            when_a_connection_opens(monkeypatch, disconnect)
             client.query()
             await until(lambda: bool(engine.writers))
             await until(lambda: not net.router.dispatcher.requests)
@@ -179,32 +178,32 @@
     run(test)
 
 
-def test_a_repeat_does_not_leave_after_the_time_in_which_engines_drop_it(
+def test_a_repeat_is_not_sent_after_the_window_in_which_engines_drop_repeats(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a second run: the window counts from the first byte of the first attempt to the first of
-    the repeat, and the connection for the repeat came up late."""
+    the repeat, and the connection for the repeat opened late."""
     settings = copy.deepcopy(SETTINGS)
     settings["profiles"][2] |= {"effect": "dedup", "windowUs": 2_000_000, "keyScope": "all"}
 
-    async def break_off(call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
+    async def fail(call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
         return http_answer(500)
 
     async def test() -> None:
-        engines = [StandInEngine(break_off), StandInEngine(break_off)]
+        engines = [StandInEngine(fail), StandInEngine(fail)]
         net = Loopback(*engines)
         net.settings = settings
         async with net:
             client = await net.client()
 
-            def stand_still() -> None:
+            def stop_clock() -> None:
                 net.router.clock._offset += 2_000_000
                 net.router.clock._now = None
 
             def before_the_repeat() -> None:
-                when_a_connection_comes_up(monkeypatch, stand_still)
+                when_a_connection_opens(monkeypatch, stop_clock)
 
-            when_a_connection_comes_up(monkeypatch, before_the_repeat)
+            when_a_connection_opens(monkeypatch, before_the_repeat)
             client.query("ticket-load", limit=20_000)
             answer = await client.answer()
             assert answer["error"]["code"] in (-32000, -32002)
@@ -213,10 +212,10 @@
     run(test)
 
 
-def test_a_connection_that_came_up_in_the_turn_of_its_time_out_is_used(
+def test_a_connection_that_opens_in_the_turn_of_its_timeout_is_used(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against 'no answer' told of an engine by a process that got no time to see it."""
+    """Guards against a timeout reported for an engine by a process that got no CPU time to see it."""
     original = Dialer.hand_over
 
     async def test() -> None:
@@ -239,8 +238,8 @@
     run(test)
 
 
-def test_idle_connections_give_way_a_few_at_a_time() -> None:
-    """Guards against a burst that runs out of descriptors: what gives way is closed a turn later."""
+def test_idle_connections_are_evicted_a_few_at_a_time() -> None:
+    """Guards against a burst that runs out of descriptors: an evicted connection is closed a turn later."""
     loop = FakeLoop()
     dialer: Any = FakeDialer(loop, lambda transport, data: None)
     sockets = SocketBudget(20)
@@ -248,34 +247,34 @@
         Pool(name, (HOST, 1), HttpConnection, dialer, loop.timers, sockets, loop.now, 250_000, 30_000_000)
         for name in (b"s-0", b"s-1")
     )
-    troubles: list[ConnectFailure] = []
+    failures: list[ConnectFailure] = []
     for _ in range(20):
-        full.acquire(lambda stream: None, troubles.append)
+        full.acquire(lambda stream: None, failures.append)
     while dialer.waiting:
         dialer.accept(0)
     for stream in list(full._streams):
         stream.release()
     for _ in range(20):
-        wanted.acquire(lambda stream: None, troubles.append)
+        wanted.acquire(lambda stream: None, failures.append)
     assert sockets.used == 20 + MAX_EVICTED_PER_TURN
     loop.advance(0)
-    assert troubles == [ConnectFailure.NO_SOCKETS] * (20 - MAX_EVICTED_PER_TURN)
+    assert failures == [ConnectFailure.NO_SOCKETS] * (20 - MAX_EVICTED_PER_TURN)
     assert sockets.used == 20
 
 
-@pytest.mark.parametrize("speaks", [False, True])
-def test_a_connection_that_comes_up_late_says_nothing_of_an_engine_that_answers_on_others(
-    speaks: bool,
+@pytest.mark.parametrize("answers", [False, True])
+def test_a_slow_connect_proves_nothing_about_an_engine_that_answers_on_other_connections(
+    answers: bool,
 ) -> None:
-    """Guards against an engine that is held to have restarted, and to be cold, as one connection is slow."""
+    """Guards against an engine that is taken for restarted and cold, as one connection opens slowly."""
     model = HttpModel()
     model.connect()
     model.arrive(0)
     second = Attempt(model.loop.us, b"SELECT 2")
-    pool = model.back._pools[ENGINE]
-    HttpExchange(model.back, second, pool)  # type: ignore[arg-type]
+    pool = model.backend._pools[ENGINE]
+    HttpExchange(model.backend, second, pool)  # type: ignore[arg-type]
     model.loop.advance(100_000)
-    if speaks:
+    if answers:
         model.answer(0, "nothing")
-    model.loop.advance(model.back._config.connect_timeout_us)
-    assert second.ends == [(Outcome.MOOT if speaks else Outcome.CONNECT_FAILED, None)]
+    model.loop.advance(model.backend._config.connect_timeout_us)
+    assert second.ends == [(Outcome.MOOT if answers else Outcome.CONNECT_FAILED, None)]
--- a/tests/test_http_exchange.py
+++ b/tests/test_http_exchange.py
@@ -1,16 +1,16 @@
-"""How an attempt on an HTTP engine goes on after trouble that was seen. What always holds, in any order of
-events, is in contracts/test_exchange_contract.py."""
+"""Attempts on an HTTP engine after certain failures, each with a fixed order of events. Obligations that hold
+in any order of events are in contracts/test_exchange_contract.py."""
 
 from __future__ import annotations
 
-from exchange_models import Attempt, HastyModel, HttpModel
+from exchange_models import Attempt, HttpModel, ShortDeadlineModel
 from fakes import EndedSocket, FakeTransport
 
 from slipbay.backends.pool import QUERY_DROPPED_US
 from slipbay.policy.events import Outcome
 
 
-def test_a_process_that_hangs_up_and_refuses_is_gone() -> None:
+def test_a_closed_and_then_refused_connection_proves_the_end_of_the_process() -> None:
     model = HttpModel()
     model.connect()
     model.arrive(0)
@@ -19,8 +19,8 @@
     assert model.attempt.ends == [(Outcome.RESET, None)]
 
 
-def test_unknown_proves_the_end_only_where_the_engine_was_heard_just_before() -> None:
-    """A machine that was lost breaks its connections as it comes back, and may take up what it was sent."""
+def test_an_unknown_query_has_ended_only_if_the_engine_was_reachable_just_before() -> None:
+    """A host that was unreachable breaks its connections when it returns, and may read earlier data."""
     for quiet, ends in ((0, [(Outcome.ERROR, None)]), (400_000, [])):
         model = HttpModel()
         model.connect()
@@ -32,17 +32,17 @@
         assert model.attempt.ends == ends
 
 
-def test_a_process_that_stood_still_before_it_wrote_counts_from_when_it_had_written() -> None:
-    """Guards against two attempts at once, seen with a router that was stopped under load: it had read
-    the clock before, wrote the POST after, and held the query for dropped in its next turn."""
+def test_times_of_a_process_stopped_before_a_write_count_from_the_write() -> None:
+    """Guards against two attempts at once: a router under load was stopped after it had read the clock and
+    before it wrote the POST, and took the query for dropped in its next turn."""
     model = HttpModel()
     write = model.dialer._take
 
-    def stand(transport: FakeTransport, data: bytes) -> None:
+    def stop_and_write(transport: FakeTransport, data: bytes) -> None:
         model.loop.us += 5_000_000
         write(transport, data)
 
-    model.dialer._take = stand
+    model.dialer._take = stop_and_write
     model.connect()
     model.dialer._take = write
     model.arrive(0)
@@ -51,9 +51,9 @@
     assert not model.attempt.ends
 
 
-def test_what_a_note_calls_off_is_deleted_on_the_note_s_connection() -> None:
-    """Guards against a dial for each query that is moved, as the next call was written before the decisions
-    had heard the note."""
+def test_a_query_cancelled_on_a_note_is_deleted_on_the_note_s_connection() -> None:
+    """Guards against a new connection for each query that is moved to another engine: the next poll was
+    written before the policy had received the note, so the connection was not idle."""
     model = HttpModel()
     model.connect()
     model.arrive(0)
@@ -61,20 +61,21 @@
         model.exchange.stop, Outcome.CANCELLED
     )
     model.answer(0, "note")
-    assert [call for _, call in model.flying] == ["DELETE /obj/9b1f03aa5c7e2d41"]
+    assert [call for _, call in model.in_transit] == ["DELETE /obj/9b1f03aa5c7e2d41"]
     assert not model.dialer.waiting
 
 
-def test_a_connection_that_is_reset_while_new_does_not_cost_the_attempt() -> None:
-    """Guards against 'no connection' told of engines that are there: they were held to be down, and cold."""
+def test_a_reset_of_a_new_connection_does_not_end_the_attempt() -> None:
+    """Guards against a failed connect reported for engines that run: the policy took them for down, and then
+    for cold."""
     model = HttpModel()
     model.reset()
-    model.dialer.accept(0, EndedSocket())  # ended as soon as it came up
+    model.dialer.accept(0, EndedSocket())  # ended as soon as it was established
     model.loop.settle()
     before = model.sent
     model.connect()
     assert (before, model.sent) == (0, 1)
-    model.dialer.transports[-1].close()  # before anything of it was read
+    model.dialer.transports[-1].close()  # before the engine read any data
     model.loop.settle()
     assert not model.attempt.ends
     assert len(model.dialer.waiting) == 1
@@ -84,12 +85,12 @@
     assert model.attempt.ends == [(Outcome.CONNECT_FAILED, None)]
 
 
-def test_an_answer_that_stops_short_is_asked_for_again_well_within_a_short_deadline() -> None:
-    """Guards against waiting for the rest of it while the time of a lookup, under a second, runs out."""
+def test_a_truncated_answer_is_requested_again_well_within_a_short_deadline() -> None:
+    """Guards against a wait for the rest until the deadline of a lookup, under a second, has passed."""
     model = HttpModel()
     model.connect()
     model.arrive(0)
-    model.spoil(0, "short")
+    model.damage(0, "short")
     model.loop.advance(400_000)
     model.connect()
     model.arrive(0)
@@ -97,19 +98,19 @@
     assert model.attempt.ends == [(Outcome.OK, b"1\n")]
 
 
-def test_a_hasty_client_s_query_is_asked_for_beside_its_post() -> None:
-    """Guards against lookups that are late for an answer that never came: they ended in a tenth of the time.
-    The question may overtake the POST: that it is not known yet tells nothing."""
-    model = HastyModel()
+def test_a_query_with_a_short_deadline_is_polled_beside_its_post() -> None:
+    """Guards against lookups that miss a deadline as an answer is lost, though they run for a tenth of it.
+    The poll may overtake the POST: then the answer that the query is unknown proves nothing."""
+    model = ShortDeadlineModel()
     model.connect()
     model.loop.advance(70_000)
-    (post, _), ask = model.flying
-    model.flying = [ask]
+    (post, _), ask = model.in_transit
+    model.in_transit = [ask]
     model.arrive(0)
     model.answer(0, "page")
     assert not post.closing
     assert not model.attempt.ends
-    model.flying = [(post, "POST /obj")]
+    model.in_transit = [(post, "POST /obj")]
     model.arrive(0)
     model.loop.advance(350_000)
     model.connect()
@@ -118,8 +119,9 @@
     assert model.attempt.ends == [(Outcome.OK, b"1\n")]
 
 
-def test_no_connection_is_opened_only_to_ask_beside_the_post_but_for_an_overdue_answer_one_is() -> None:
-    """Joins, 60 routers: 1,296 of 5,163 new connections looked beside a POST that had 250 ms to answer."""
+def test_a_poll_beside_the_post_opens_no_connection_but_an_overdue_answer_does() -> None:
+    """Guards against needless connections: in a run with 60 routers that join, 1,296 of 5,163 new connections
+    polled beside a POST whose answer was due within 250 ms."""
     model = HttpModel()
     model.attempt.request.expires_in_us = 800_000
     model.connect()
@@ -129,8 +131,8 @@
     assert len(model.dialer.waiting) == 1
 
 
-def test_a_page_that_does_not_come_is_asked_for_again_soon() -> None:
-    """Guards against pages that wait for the check on the query's news, though they are there at once."""
+def test_a_missing_page_is_requested_again_soon() -> None:
+    """Guards against a wait for the timer of a long poll: engines send pages immediately."""
     model = HttpModel()
     model.connect()
     model.arrive(0)
@@ -140,21 +142,21 @@
     assert not model.attempt.ends
 
 
-def test_an_idle_connection_that_has_ended_is_passed_over() -> None:
-    """Guards against a POST into a connection whose end was not read yet: the attempt would be lost."""
+def test_an_idle_connection_that_has_ended_is_not_used() -> None:
+    """Guards against a POST on a connection whose end is not read yet: the attempt would fail."""
     model = HttpModel()
     model.connect()
     model.arrive(0)
     model.answer(0, "page")
     transport = model.dialer.transports[0]
     transport.stream.sock = EndedSocket()  # type: ignore[assignment]
-    model.back.start(Attempt(model.loop.us, b"SELECT 1"))
-    assert not model.flying
+    model.backend.start(Attempt(model.loop.us, b"SELECT 1"))
+    assert not model.in_transit
     assert len(model.dialer.waiting) == 1
 
 
-def test_a_call_that_is_never_answered_does_not_hold_its_connection() -> None:
-    """Guards against sockets that a silent engine uses up, one for each DELETE."""
+def test_a_call_without_an_answer_does_not_keep_its_connection() -> None:
+    """Guards against sockets that an unresponsive engine uses up, one for each DELETE."""
     model = HttpModel()
     model.connect()
     model.arrive(0)
