--- a/tests/compat/make_data.py
+++ b/tests/compat/make_data.py
@@ -135,7 +135,7 @@
 def fixed_records(folder: Path) -> None:
     """A retry budget and both snapshots with known contents, as the router writes them from time to time."""
     store = stored.open_store(folder)
-    words = wire.gather_party(0, 4, 40 * wire.SECOND).bodies(41 * wire.SECOND)
+    words = wire.latency_endpoint(0, 4, 40 * wire.SECOND).bodies(41 * wire.SECOND)
     store.commit(
         [
             (RETRY_BUDGET, retry_budget.encode(stored.remembered())),
@@ -170,7 +170,7 @@
         {
             "cases": {name: encode(value).hex() for name, (value, encode, _) in wire.CASES.items()},
             "others": {name: [data.hex() for data in rows] for name, rows in wire.other_bytes().items()},
-            "plays": {wire.VERSION: {name: wire.played(name) for name in wire.PLAYS}},
+            "plays": {wire.VERSION: {name: wire.simulated(name) for name in wire.SIMULATIONS}},
         },
     )
 
--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -1,8 +1,8 @@
-"""Bytes between routers, and between a router and commands on its machine, stay as commit 5d63481 wrote them.
+"""Bytes between routers, and between a router and commands on its host, stay as commit 5d63481 wrote them.
 
-Kept in ``data/wire.json``; ``make_data.py`` wrote it on that commit. Routers of that release and of this one
-must understand each other, so a change here is a change of protocol, never a mere renaming. All use of the
-program's names stands in the small functions at the top.
+The bytes are stored in ``data/wire.json``, written by ``make_data.py`` on that commit. Routers of that
+release and of this one must understand each other, so a change here is a change of the protocol, never only a
+renaming. Names of the program are used only in the small functions at the top, and in simulated fleets.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from slipbay.emulator.network import LinkConditions, Network
 from slipbay.emulator.quota import QuotaFleet
 from slipbay.idempotency import witnesses
-from slipbay.membership import codec as fleet
+from slipbay.membership import codec as membership
 from slipbay.membership import status_client
 from slipbay.peer_channel import external_traffic, frame, interfaces, multiplexer, status_pages
 from slipbay.policy import gossip, records
@@ -34,34 +34,36 @@
 from slipbay.quota import fleet_start
 from slipbay.quota.plan import Quota, QuotaPlan, key_of
 from slipbay.scatter_gather import estimate_gossip, latency_model
-from slipbay.scatter_gather import interfaces as gather_seam
-from slipbay.warmup import codec as comeback
+from slipbay.scatter_gather import interfaces as gather_interfaces
+from slipbay.warmup import codec as warmup
 from slipbay.warmup.plan import WarmupPlan as ComebackPlan
 from slipbay.warmup.state_machine import WarmupStateMachine
 
-KEPT = Path(__file__).parent / "data" / "wire.json"
+STORED_FILE = Path(__file__).parent / "data" / "wire.json"
 KEY = b"a key of nobody"
 SECOND = 1_000_000
 
 # How each message is built, encoded and decoded
 
 
-def fleet_news(number: int, state: str, incarnation: int, by: int = 0) -> fleet.Update:
-    return fleet.Update(number, fleet.MemberState[state], incarnation, by)
+def membership_update(number: int, state: str, incarnation: int, by: int = 0) -> membership.Update:
+    return membership.Update(number, membership.MemberState[state], incarnation, by)
 
 
-def fleet_message(kind: str, target: int, hashes: tuple[int, ...], *news: fleet.Update) -> fleet.Message:
-    return fleet.Message(
-        fleet.MessageType[kind], 513, 70_001, 4_660, 3_735_928_559, 258, 9, 1, target, hashes, news
+def membership_message(
+    kind: str, target: int, hashes: tuple[int, ...], *updates: membership.Update
+) -> membership.Message:
+    return membership.Message(
+        membership.MessageType[kind], 513, 70_001, 4_660, 3_735_928_559, 258, 9, 1, target, hashes, updates
     )
 
 
-def fleet_bytes(message: fleet.Message, key: bytes) -> bytes:
-    return fleet.encode(message, key)
+def encode_membership(message: membership.Message, key: bytes) -> bytes:
+    return membership.encode(message, key)
 
 
-def fleet_read(data: bytes, key: bytes) -> fleet.Message | None:
-    return fleet.decode(data, (key,) if key else ())
+def decode_membership(data: bytes, key: bytes) -> membership.Message | None:
+    return membership.decode(data, (key,) if key else ())
 
 
 START_STATES = {
@@ -83,85 +85,85 @@
 }
 
 
-def quota_loan(sort: str, *entries: tuple[int, int, int, float, float]) -> quota.BorrowMessage:
+def borrow_message(type_name: str, *entries: tuple[int, int, int, float, float]) -> quota.BorrowMessage:
     return quota.BorrowMessage(
-        QUOTA_TYPES[sort], 772, 200, 305_419_896, 1_500, [quota.BorrowEntry(*e) for e in entries]
+        QUOTA_TYPES[type_name], 772, 200, 305_419_896, 1_500, [quota.BorrowEntry(*e) for e in entries]
     )
 
 
-def quota_word(sort: str, *places: tuple[int, int, int]) -> quota.LeaseMessage:
+def lease_message(type_name: str, *entries: tuple[int, int, int]) -> quota.LeaseMessage:
     return quota.LeaseMessage(
-        QUOTA_TYPES[sort], 772, 200, 305_419_896, 1_500, [quota.LeaseEntry(*p) for p in places]
+        QUOTA_TYPES[type_name], 772, 200, 305_419_896, 1_500, [quota.LeaseEntry(*p) for p in entries]
     )
 
 
-def quota_bytes(message: quota.BorrowMessage | quota.LeaseMessage) -> bytes:
+def encode_quota(message: quota.BorrowMessage | quota.LeaseMessage) -> bytes:
     return quota.encode(message)
 
 
-def quota_read(data: bytes) -> quota.BorrowMessage | quota.LeaseMessage | None:
+def decode_quota(data: bytes) -> quota.BorrowMessage | quota.LeaseMessage | None:
     return quota.decode(data)
 
 
-def birth_state(name: str) -> int:
+def fleet_start_state(name: str) -> int:
     return START_STATES[name]
 
 
-def learned_news() -> EstimatesRestored:
-    """What one controller knows: pace, best pace, classes, ill engines, groups."""
+def restored_estimates() -> EstimatesRestored:
+    """Estimates of one controller: pace, best pace, classes, unhealthy engines, groups."""
     classes = ((1000.0, 1500.0, 1.25), (2000.0, 2500.0, 0.75))
     return EstimatesRestored(
         1.5, 0.5, classes, ((4_660, 20_000), (22_136, 3_000_000)), ((3.0, 40.0), (7.5, 2.0))
     )
 
 
-COMEBACK_TYPES = {
-    "HELLO": comeback.MessageType.SURVEY_REQUEST,
-    "HERE": comeback.MessageType.SURVEY_REPLY,
-    "ASK": comeback.MessageType.ESTIMATES_REQUEST,
-    "NEWS": comeback.MessageType.ESTIMATES,
+WARMUP_TYPES = {
+    "HELLO": warmup.MessageType.SURVEY_REQUEST,
+    "HERE": warmup.MessageType.SURVEY_REPLY,
+    "ASK": warmup.MessageType.ESTIMATES_REQUEST,
+    "NEWS": warmup.MessageType.ESTIMATES,
 }
 
 
-def comeback_message(
-    sort: str, age_us: int, phase: int, extras: int, news: EstimatesRestored
-) -> comeback.Message:
-    return comeback.Message(COMEBACK_TYPES[sort], 4_660, age_us, phase, extras, news)
+def warmup_message(
+    type_name: str, age_us: int, phase: int, extras: int, estimates: EstimatesRestored
+) -> warmup.Message:
+    return warmup.Message(WARMUP_TYPES[type_name], 4_660, age_us, phase, extras, estimates)
 
 
-def comeback_bytes(message: comeback.Message) -> bytes:
-    return comeback.encode(message)
+def encode_warmup(message: warmup.Message) -> bytes:
+    return warmup.encode(message)
 
 
-def comeback_read(data: bytes) -> comeback.Message | None:
-    return comeback.decode(data)
+def decode_warmup(data: bytes) -> warmup.Message | None:
+    return warmup.decode(data)
 
 
-def no_news() -> EstimatesRestored:
+def no_estimates() -> EstimatesRestored:
     return EstimatesRestored()
 
 
 def buckets(**weights: float) -> list[float]:
-    """A row of part times: ``b30=2.0`` is a weight of 2 in bucket 30."""
+    """A histogram of part latencies: ``b30=2.0`` is a weight of 2 in bucket 30."""
     return [weights.get(f"b{number}", 0.0) for number in range(latency_model.BUCKETS)]
 
 
-def gather_word(state: int, came: list[float], gone: list[float]) -> estimate_gossip.LatencyReport:
+def latency_report(state: int, arrived: list[float], abandoned: list[float]) -> estimate_gossip.LatencyReport:
     engines = [(3_735_928_559, latency_model.SHIFTS[0], 0.2), (17, latency_model.SHIFTS[-1], 1.0)]
     return estimate_gossip.LatencyReport(
-        43_981, gather_seam.EngineCondition(state), 70_001, came, gone, engines
+        43_981, gather_interfaces.EngineCondition(state), 70_001, arrived, abandoned, engines
     )
 
 
-def gather_bytes(word: estimate_gossip.LatencyReport) -> bytes:
-    return estimate_gossip.encode(word)
+def encode_latency(report: estimate_gossip.LatencyReport) -> bytes:
+    return estimate_gossip.encode(report)
 
 
-def gather_read(data: bytes) -> estimate_gossip.LatencyReport | None:
+def decode_latency(data: bytes) -> estimate_gossip.LatencyReport | None:
     return estimate_gossip.decode(data)
 
 
-def gather_question() -> bytes:
+def latency_request() -> bytes:
     return estimate_gossip.ASK
 
 
@@ -169,23 +171,23 @@
     return frame.Frame(interfaces.FrameKind[kind], 513, 4_660, body)
 
 
-def frame_bytes(message: frame.Frame, key: bytes) -> bytes:
+def encode_frame(message: frame.Frame, key: bytes) -> bytes:
     return frame.encode(message, key)
 
 
-def frame_read(data: bytes, key: bytes) -> frame.Frame | None:
+def decode_frame(data: bytes, key: bytes) -> frame.Frame | None:
     return frame.decode(data, (key,) if key else ())
 
 
-def sent_by_channel(kind: str, body: bytes) -> bytes:
-    """The datagram that leaves a router for a part's message."""
+def channel_datagram(kind: str, body: bytes) -> bytes:
+    """The datagram that the channel sends for a message of an endpoint."""
     [(_, data)] = multiplexer.Multiplexer(3, 8, 70_000, SECOND, key=KEY).own(
         SECOND, interfaces.FrameKind[kind], [(5, body)]
     )
     return data
 
 
-def status_question(topic: str) -> bytes:
+def status_request(topic: str) -> bytes:
     return status_pages.question(interfaces.FrameKind[topic] if topic else 0)
 
 
@@ -193,20 +195,20 @@
     return status_pages.topic(data)
 
 
-def pages_of(status: dict[str, object]) -> list[bytes]:
+def status_pages_of(status: dict[str, object]) -> list[bytes]:
     return status_pages.pages(status)
 
 
-def ask_channel(port: int) -> dict[str, Any]:
+def query_channel_status(port: int) -> dict[str, Any]:
     return status_pages.ask(("127.0.0.1", port), status_pages.question(0), 5.0)
 
 
-def ask_view(port: int) -> dict[str, Any]:
+def query_view(port: int) -> dict[str, Any]:
     return status_client.ask(("127.0.0.1", port), 5.0)
 
 
 def peers_of(threads: dict[bytes, int]) -> tuple[gossip.PeerLoads, list[records.Engine]]:
-    """Threads that one gateway holds on engines."""
+    """Threads that one router uses on engines."""
     engines = []
     for name, held in threads.items():
         engine = records.Engine(EngineEntry(name))
@@ -215,34 +217,34 @@
     return gossip.PeerLoads(), engines
 
 
-def cut_to(body: bytes, room: int) -> bytes:
+def truncate(body: bytes, room: int) -> bytes:
     return external_traffic.cut(body, room)
 
 
-def store_lives(me: int, life: int) -> witnesses.StoreWitnesses:
-    return witnesses.StoreWitnesses(me, 4, life, SECOND)
+def store_witnesses(me: int, incarnation: int) -> witnesses.StoreWitnesses:
+    return witnesses.StoreWitnesses(me, 4, incarnation, SECOND)
 
 
-def comeback_party(me: int, size: int, life: int, now: int) -> WarmupStateMachine:
+def warmup_endpoint(me: int, size: int, incarnation: int, now: int) -> WarmupStateMachine:
     plan = ComebackPlan()
-    return WarmupStateMachine(me, size, life, now, lambda now: (learned_news(), 3), plan, 10.0)
+    return WarmupStateMachine(me, size, incarnation, now, lambda now: (restored_estimates(), 3), plan, 10.0)
 
 
 def quota_plan() -> QuotaPlan:
     return QuotaPlan(3, [Quota("fuel", 60.0, 30.0), Quota("air", 8.0, 4.0)])
 
 
-def gather_party(me: int, size: int, now: int) -> estimate_gossip.EstimateGossip:
-    """A teller whose router saw some parts of one scattered class."""
-    seen = latency_model.LatencyModel(now)
-    key = seen.family(now, "report").key(2, gather_seam.EngineCondition.USUAL)
-    engine = seen.engine(now, "10.0.0.1:80")
-    for took in (80_000, 90_000, 120_000, 900_000):
-        seen.see(now, key, engine, 0, took, took < 500_000)
-    return estimate_gossip.EstimateGossip(me, size, ["report"], seen, now)
+def latency_endpoint(me: int, size: int, now: int) -> estimate_gossip.EstimateGossip:
+    """The latency gossip of a router that has seen some parts of one scattered class."""
+    model = latency_model.LatencyModel(now)
+    key = model.family(now, "report").key(2, gather_interfaces.EngineCondition.USUAL)
+    engine = model.engine(now, "10.0.0.1:80")
+    for latency_us in (80_000, 90_000, 120_000, 900_000):
+        model.see(now, key, engine, 0, latency_us, latency_us < 500_000)
+    return estimate_gossip.EstimateGossip(me, size, ["report"], model, now)
 
 
-# Kept cases: what is encoded, and the two functions for it
+# Stored cases: a message with its functions to encode and to decode
 
 Case = tuple[Any, Callable[[Any], bytes], Callable[[bytes], Any]]
 BLANK = [0.0] * latency_model.BUCKETS
@@ -253,75 +255,73 @@
 
 def fleet_cases() -> dict[str, Case]:
     mixed = [
-        fleet_news(3, "ALIVE", 5),
-        fleet_news(900, "ALIVE", 5),
-        fleet_news(4, "SUSPECT", 300, 7),
-        fleet_news(9, "SUSPECT", 300, 8),
-        fleet_news(11, "GONE", 70_000),
-        fleet_news(12, "LEFT", 1),
+        membership_update(3, "ALIVE", 5),
+        membership_update(900, "ALIVE", 5),
+        membership_update(4, "SUSPECT", 300, 7),
+        membership_update(9, "SUSPECT", 300, 8),
+        membership_update(11, "GONE", 70_000),
+        membership_update(12, "LEFT", 1),
     ]
-    dense = [fleet_news(number, "ALIVE", 2) for number in range(16, 40)]
+    dense = [membership_update(number, "ALIVE", 2) for number in range(16, 40)]
     messages = {
-        "ping": fleet_message("PING", 0, ()),
-        "ack": fleet_message("ACK", 0, (), *mixed),
-        "ask": fleet_message("PING_REQUEST", 260, ()),
-        "news": fleet_message("UPDATES", 0, (), *dense),
-        "table": fleet_message("TABLE_HASHES", 0, (1, 258, 65_535), *mixed[:2]),
+        "ping": membership_message("PING", 0, ()),
+        "ack": membership_message("ACK", 0, (), *mixed),
+        "ask": membership_message("PING_REQUEST", 260, ()),
+        "news": membership_message("UPDATES", 0, (), *dense),
+        "table": membership_message("TABLE_HASHES", 0, (1, 258, 65_535), *mixed[:2]),
     }
     cases: dict[str, Case] = {}
     for name, message in messages.items():
-        for sealed, key in (("sum", b""), ("key", KEY)):
-            cases[f"fleet {name} {sealed}"] = (
+        for seal, key in (("sum", b""), ("key", KEY)):
+            cases[f"fleet {name} {seal}"] = (
                 message,
-                partial(fleet_bytes, key=key),
-                partial(fleet_read, key=key),
+                partial(encode_membership, key=key),
+                partial(decode_membership, key=key),
             )
     return cases
 
 
 def quota_cases() -> dict[str, Case]:
     messages: dict[str, quota.BorrowMessage | quota.LeaseMessage] = {
-        sort: quota_loan(sort, (43_981, 1_000, 65_535, 0.5, 1.25), (17, 0, 2, 3.0, 0.0))
-        for sort in ("ASK", "ANSWER")
+        type_name: borrow_message(type_name, (43_981, 1_000, 65_535, 0.5, 1.25), (17, 0, 2, 3.0, 0.0))
+        for type_name in ("ASK", "ANSWER")
     }
-    for sort in ("HOLD", "LEAVE", "PROMISE", "PLACE", "WHERE", "SHORTEN", "RECALL"):
-        messages[sort] = quota_word(sort, (1, 2, 1_500), (258, 515, 65_535))
+    for type_name in ("HOLD", "LEAVE", "PROMISE", "PLACE", "WHERE", "SHORTEN", "RECALL"):
+        messages[type_name] = lease_message(type_name, (1, 2, 1_500), (258, 515, 65_535))
     for name in ("TOLD", "OLD", "WANTS"):
-        messages[f"BORN {name}"] = quota_word("BORN", (3, birth_state(name), 0))
-    return {f"quota {name}": (message, quota_bytes, quota_read) for name, message in messages.items()}
+        messages[f"BORN {name}"] = lease_message("BORN", (3, fleet_start_state(name), 0))
+    return {f"quota {name}": (message, encode_quota, decode_quota) for name, message in messages.items()}
 
 
 def comeback_cases() -> dict[str, Case]:
     messages = {
-        "HELLO": comeback_message("HELLO", 120_000, 1, 0, no_news()),
-        "HERE": comeback_message("HERE", 50_000_000, 3, 0, no_news()),
-        "ASK": comeback_message("ASK", 0, 0, 0, no_news()),
-        "NEWS": comeback_message("NEWS", 0, 0, 9, learned_news()),
-    }
-    return {
-        f"comeback {name}": (message, comeback_bytes, comeback_read) for name, message in messages.items()
+        "HELLO": warmup_message("HELLO", 120_000, 1, 0, no_estimates()),
+        "HERE": warmup_message("HERE", 50_000_000, 3, 0, no_estimates()),
+        "ASK": warmup_message("ASK", 0, 0, 0, no_estimates()),
+        "NEWS": warmup_message("NEWS", 0, 0, 9, restored_estimates()),
     }
+    return {f"comeback {name}": (message, encode_warmup, decode_warmup) for name, message in messages.items()}
 
 
 def gather_cases() -> dict[str, Case]:
-    words = {
-        "usual": gather_word(0, buckets(b30=4.0), BLANK),
-        "cold": gather_word(1, buckets(b12=8.0), buckets(b40=2.0)),
-        "slow": gather_word(2, BLANK, buckets(b95=1.0)),
+    reports = {
+        "usual": latency_report(0, buckets(b30=4.0), BLANK),
+        "cold": latency_report(1, buckets(b12=8.0), buckets(b40=2.0)),
+        "slow": latency_report(2, BLANK, buckets(b95=1.0)),
     }
-    return {f"gather {name}": (word, gather_bytes, gather_read) for name, word in words.items()}
+    return {f"gather {name}": (report, encode_latency, decode_latency) for name, report in reports.items()}
 
 
 def frame_cases() -> dict[str, Case]:
     cases: dict[str, Case] = {}
     for kind in ("COMEBACK", "QUOTA", "GATHER", "LIVES", "LATER"):
         for length in (0, 10, 40):
-            for sealed, key in (("sum", b""), ("key", KEY)):
+            for seal, key in (("sum", b""), ("key", KEY)):
                 message = channel_frame(kind, BODY[:length])
-                cases[f"frame {kind} {length} {sealed}"] = (
+                cases[f"frame {kind} {length} {seal}"] = (
                     message,
-                    partial(frame_bytes, key=key),
-                    partial(frame_read, key=key),
+                    partial(encode_frame, key=key),
+                    partial(decode_frame, key=key),
                 )
     return cases
 
@@ -329,56 +329,57 @@
 CASES = {**fleet_cases(), **quota_cases(), **comeback_cases(), **gather_cases(), **frame_cases()}
 
 
-# Kept bytes that no single function encodes
+# Stored bytes that no single function encodes
 
 
-def lives_dialogue() -> list[bytes]:
-    """Two routers talk of one's store: ask, held, open, opened, closed, and what its next life hears."""
-    asker = store_lives(0, 4_660)
-    witness = store_lives(1, 22_136)
-    said = [body for to, body in asker.tick(SECOND) if to == 1]
-    said += [body for _, body in witness.receive(SECOND, 0, 1, said[-1])]
-    asker.receive(SECOND, 1, 1, said[-1])
-    said += [body for to, body in asker.begin(bytes(range(1, 17)), 7) if to == 1]
-    said += [body for _, body in witness.receive(SECOND, 0, 1, said[-1])]
-    for number, life in ((1, 22_136), (2, 5)):
-        opened = said[-1][:5] + life.to_bytes(4, "little") + said[-1][9:]
-        asker.receive(SECOND, number, 1, opened)
-    assert asker.is_open
-    said += [body for to, body in asker.close(2**33 + 5) if to == 1]
-    witness.receive(SECOND, 0, 1, said[-1])
-    later = store_lives(0, 9)
-    said += [body for to, body in later.tick(SECOND) if to == 1]
-    said += [body for _, body in witness.receive(SECOND, 0, 2, said[-1])]
-    return said
+def store_witness_messages() -> list[bytes]:
+    """Messages of two routers about the store of one: ask, held, open, opened, closed, and the reply to the
+    next incarnation."""
+    requester = store_witnesses(0, 4_660)
+    witness = store_witnesses(1, 22_136)
+    bodies = [body for to, body in requester.tick(SECOND) if to == 1]
+    bodies += [body for _, body in witness.receive(SECOND, 0, 1, bodies[-1])]
+    requester.receive(SECOND, 1, 1, bodies[-1])
+    bodies += [body for to, body in requester.begin(bytes(range(1, 17)), 7) if to == 1]
+    bodies += [body for _, body in witness.receive(SECOND, 0, 1, bodies[-1])]
+    for number, incarnation in ((1, 22_136), (2, 5)):
+        opened = bodies[-1][:5] + incarnation.to_bytes(4, "little") + bodies[-1][9:]
+        requester.receive(SECOND, number, 1, opened)
+    assert requester.is_open
+    bodies += [body for to, body in requester.close(2**33 + 5) if to == 1]
+    witness.receive(SECOND, 0, 1, bodies[-1])
+    later = store_witnesses(0, 9)
+    bodies += [body for to, body in later.tick(SECOND) if to == 1]
+    bodies += [body for _, body in witness.receive(SECOND, 0, 2, bodies[-1])]
+    return bodies
 
 
 def peer_messages() -> list[bytes]:
-    """What a gateway holds, the sums, and both as they leave with little room."""
+    """The threads that a router uses, the sums over routers, and the sums truncated to little room."""
     peers, engines = peers_of({ENGINE_A: 3, ENGINE_B: 300, b"idle--": 0})
-    mine = peers.begin(2**32 + 305_419_896, engines)
+    own_threads = peers.begin(2**32 + 305_419_896, engines)
     other, others = peers_of({ENGINE_A: 2})
     peers.receive(other.begin(2**32 + 305_419_896, others), engines)
     sums = peers.close()
-    return [mine, sums, cut_to(sums, 10), cut_to(sums, 6), cut_to(sums, 4)]
+    return [own_threads, sums, truncate(sums, 10), truncate(sums, 6), truncate(sums, 4)]
 
 
 def other_bytes() -> dict[str, list[bytes]]:
     status: dict[str, object] = {"name": "n0", "counts": {"bytes": 17}, "text": "x" * 300}
     return {
-        "lives": lives_dialogue(),
+        "lives": store_witness_messages(),
         "peers": peer_messages(),
-        "mux": [sent_by_channel(kind, BODY) for kind in ("COMEBACK", "QUOTA", "GATHER", "LIVES")],
-        "pages": pages_of(status),
-        "questions": [status_question(topic) for topic in ("", "COMEBACK", "QUOTA", "GATHER", "LIVES")],
-        "view question": [asked_by(ask_view)],
-        "gather words": [gather_question(), *gather_party(0, 4, 40 * SECOND).bodies(41 * SECOND)],
+        "mux": [channel_datagram(kind, BODY) for kind in ("COMEBACK", "QUOTA", "GATHER", "LIVES")],
+        "pages": status_pages_of(status),
+        "questions": [status_request(topic) for topic in ("", "COMEBACK", "QUOTA", "GATHER", "LIVES")],
+        "view question": [request_of(query_view)],
+        "gather words": [latency_request(), *latency_endpoint(0, 4, 40 * SECOND).bodies(41 * SECOND)],
         "agreed numbers": agreed_numbers(),
     }
 
 
 def agreed_numbers() -> list[bytes]:
-    """Short names that all routers must derive alike."""
+    """Digests that all routers must compute alike."""
     _, engines = peers_of({ENGINE_A: 1, ENGINE_B: 1})
     numbers = [engine.digest for engine in engines]
     numbers += [key_of("fuel"), quota_plan().layout(6), quota_plan().layout(40)]
@@ -386,28 +387,28 @@
     return [number.to_bytes(4, "little") for number in numbers]
 
 
-def asked_by(ask: Callable[[int], dict[str, Any]], answers: tuple[bytes, ...] = ()) -> bytes:
-    """The datagram with which a command asks; it is answered with pages."""
-    pages_of_nothing = answers or tuple(pages_of({}))
-    heard: list[bytes] = []
+def request_of(ask: Callable[[int], dict[str, Any]], answers: tuple[bytes, ...] = ()) -> bytes:
+    """The datagram that a command sends to query a status; it is answered with pages."""
+    reply_pages = answers or tuple(status_pages_of({}))
+    received: list[bytes] = []
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", 0))
         sock.settimeout(5.0)
 
         def answer() -> None:
             data, address = sock.recvfrom(2048)
-            heard.append(data)
-            for page in pages_of_nothing:
+            received.append(data)
+            for page in reply_pages:
                 sock.sendto(page, address)
 
         thread = threading.Thread(target=answer)
         thread.start()
         ask(sock.getsockname()[1])
         thread.join()
-    return heard[0]
+    return received[0]
 
 
-# Whole conversations of simulated fleets: also what goes into the fields must stay
+# All datagrams of simulated fleets: the values of the fields must stay too
 
 
 class Recorder:
@@ -426,8 +427,8 @@
         self._send(source, target, data)
 
 
-def play_view() -> Recorder:
-    """One router dies, one leaves in order, one is new; messages are lost and doubled."""
+def simulate_membership() -> Recorder:
+    """One router crashes, one leaves, one starts; messages are lost and duplicated."""
     model = MembershipModel(7, 3, weather=LinkConditions(loss=0.1, double=0.1), zones=2, key=KEY)
     recorder = Recorder(model.network)
     model.run(2.0)
@@ -439,8 +440,8 @@
     return recorder
 
 
-def play_quotas() -> Recorder:
-    """Unequal demand moves shares; a router dies and comes back."""
+def simulate_quotas() -> Recorder:
+    """Unequal demand moves shares; a router crashes and restarts."""
     demands: dict[str, Sequence[float]] = {
         "fuel": [40.0, 10.0, 5.0, 0.0, 0.0, 1.0],
         "air": [0.0, 0.0, 9.0, 1.0, 0.0, 0.0],
@@ -455,25 +456,25 @@
     return recorder
 
 
-def play_lives() -> Recorder:
-    """Routers come back, ask for news, tell part times, and have their stores' lives remembered."""
+def simulate_endpoints() -> Recorder:
+    """Routers restart, request estimates, report part latencies and witness each other's stores."""
     size = 5
 
-    def parties(me: int, life: int, now: int) -> dict[int, interfaces.ChannelEndpoint]:
+    def endpoints(me: int, incarnation: int, now: int) -> dict[int, interfaces.ChannelEndpoint]:
         return {
-            interfaces.FrameKind.COMEBACK: comeback_party(me, size, life, now),
-            interfaces.FrameKind.GATHER: gather_party(me, size, now),
-            interfaces.FrameKind.LIVES: witnesses.StoreWitnesses(me, size, life, now),
+            interfaces.FrameKind.COMEBACK: warmup_endpoint(me, size, incarnation, now),
+            interfaces.FrameKind.GATHER: latency_endpoint(me, size, now),
+            interfaces.FrameKind.LIVES: witnesses.StoreWitnesses(me, size, incarnation, now),
         }
 
-    routers = ChannelFleet(size, parties, 9, weather=LinkConditions(loss=0.05), key=KEY)
+    routers = ChannelFleet(size, endpoints, 9, weather=LinkConditions(loss=0.05), key=KEY)
     recorder = Recorder(routers.network)
     routers.start()
     routers.run(3.0)
     for me in range(size):
-        party = routers.party(me, interfaces.FrameKind.LIVES)
-        assert isinstance(party, witnesses.StoreWitnesses)
-        routers.say(me, interfaces.FrameKind.LIVES, party.begin(Random(me).randbytes(16), me + 1))
+        endpoint = routers.party(me, interfaces.FrameKind.LIVES)
+        assert isinstance(endpoint, witnesses.StoreWitnesses)
+        routers.say(me, interfaces.FrameKind.LIVES, endpoint.begin(Random(me).randbytes(16), me + 1))
     routers.run(9.0)
     routers.kill([1])
     routers.start([1])
@@ -481,70 +482,70 @@
     return recorder
 
 
-PLAYS = {"view": play_view, "quotas": play_quotas, "lives": play_lives}
+SIMULATIONS = {"view": simulate_membership, "quotas": simulate_quotas, "lives": simulate_endpoints}
 
 
-def played(name: str) -> list[Any]:
-    recorder = PLAYS[name]()
+def simulated(name: str) -> list[Any]:
+    recorder = SIMULATIONS[name]()
     return [recorder.count, recorder.hash.hexdigest()]
 
 
 VERSION = f"{sys.version_info.major}.{sys.version_info.minor}"
 
 
-def kept() -> dict[str, Any]:
-    found: dict[str, Any] = json.loads(KEPT.read_text())
+def stored() -> dict[str, Any]:
+    found: dict[str, Any] = json.loads(STORED_FILE.read_text())
     return found
 
 
-def test_kept_cases_are_those_of_this_file() -> None:
-    assert list(kept()["cases"]) == list(CASES)
-    assert list(kept()["others"]) == list(other_bytes())
+def test_stored_cases_are_those_of_this_file() -> None:
+    assert list(stored()["cases"]) == list(CASES)
+    assert list(stored()["others"]) == list(other_bytes())
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_a_message_is_written_as_kept(name: str) -> None:
+def test_a_message_is_encoded_as_stored(name: str) -> None:
     value, encode, _ = CASES[name]
-    assert encode(value).hex() == kept()["cases"][name]
+    assert encode(value).hex() == stored()["cases"][name]
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_kept_bytes_are_read_as_the_message(name: str) -> None:
+def test_stored_bytes_are_decoded_to_the_message(name: str) -> None:
     value, _, decode = CASES[name]
-    assert decode(bytes.fromhex(kept()["cases"][name])) == value
+    assert decode(bytes.fromhex(stored()["cases"][name])) == value
 
 
-def test_other_bytes_are_as_kept() -> None:
+def test_other_bytes_are_as_stored() -> None:
     found = {name: [data.hex() for data in rows] for name, rows in other_bytes().items()}
-    assert found == kept()["others"]
+    assert found == stored()["others"]
 
 
-def test_kept_peer_messages_are_heard() -> None:
-    mine, sums = (bytes.fromhex(text) for text in kept()["others"]["peers"][:2])
+def test_stored_peer_messages_are_received() -> None:
+    own_threads, sums = (bytes.fromhex(text) for text in stored()["others"]["peers"][:2])
     peers, engines = peers_of({ENGINE_A: 1, ENGINE_B: 1})
     peers.begin(2**32 + 305_419_896, engines)
-    assert not peers.receive(mine, engines)
+    assert not peers.receive(own_threads, engines)
     assert peers.reports == 2
     assert peers.receive(sums, engines)
     assert [engine.peer_threads for engine in engines] == [4, 254]
 
 
-def test_a_command_reads_kept_pages_and_its_topic_is_known() -> None:
-    rows = [bytes.fromhex(text) for text in kept()["others"]["pages"]]
+def test_a_command_reads_stored_pages_and_its_topic_is_recognized() -> None:
+    rows = [bytes.fromhex(text) for text in stored()["others"]["pages"]]
     found: list[dict[str, Any]] = []
 
     def ask(port: int) -> dict[str, Any]:
-        found.append(ask_channel(port))
+        found.append(query_channel_status(port))
         return found[-1]
 
-    question = asked_by(ask, tuple(rows))
-    assert question.hex() == kept()["others"]["questions"][0]
+    question = request_of(ask, tuple(rows))
+    assert question.hex() == stored()["others"]["questions"][0]
     assert found == [{"name": "n0", "counts": {"bytes": 17}, "text": "x" * 300}]
-    topics = [status_topic(bytes.fromhex(text)) for text in kept()["others"]["questions"]]
+    topics = [status_topic(bytes.fromhex(text)) for text in stored()["others"]["questions"]]
     assert topics == [0, 16, 17, 18, 19]
 
 
-@pytest.mark.skipif(VERSION not in kept()["plays"], reason="floats differ between versions of Python")
-@pytest.mark.parametrize("name", PLAYS)
-def test_a_simulated_fleet_sends_what_it_sent(name: str) -> None:
-    assert played(name) == kept()["plays"][VERSION][name]
+@pytest.mark.skipif(VERSION not in stored()["plays"], reason="floats differ between versions of Python")
+@pytest.mark.parametrize("name", SIMULATIONS)
+def test_a_simulated_fleet_sends_the_same_datagrams_as_before(name: str) -> None:
+    assert simulated(name) == stored()["plays"][VERSION][name]
--- a/tests/mysql_standins.py
+++ b/tests/mysql_standins.py
@@ -1,4 +1,5 @@
-"""Stand-ins for MySQL clients and servers, with packets of their own, written from the public protocol."""
+"""Stand-ins for MySQL clients and servers; their packets are written from the public protocol description,
+without the code under test."""
 
 from __future__ import annotations
 
@@ -18,9 +19,9 @@
 
 def scramble(password: bytes, challenge: bytes) -> bytes:
     """caching_sha2_password: XOR(SHA256(p), SHA256(SHA256(SHA256(p)), challenge))."""
-    once = hashlib.sha256(password).digest()
-    mask = hashlib.sha256(hashlib.sha256(once).digest() + challenge).digest()
-    return bytes(a ^ b for a, b in zip(once, mask, strict=True))
+    password_digest = hashlib.sha256(password).digest()
+    mask = hashlib.sha256(hashlib.sha256(password_digest).digest() + challenge).digest()
+    return bytes(a ^ b for a, b in zip(password_digest, mask, strict=True))
 
 
 async def read_packet(reader: asyncio.StreamReader) -> tuple[int, bytes]:
@@ -32,7 +33,7 @@
     return len(payload).to_bytes(3, "little") + bytes([sequence % 256]) + payload
 
 
-def numbered(first: int, *payloads: bytes) -> bytes:
+def packets(first: int, *payloads: bytes) -> bytes:
     return b"".join(packet(first + n, payload) for n, payload in enumerate(payloads))
 
 
@@ -53,7 +54,7 @@
 
 
 class Cut(Exception):
-    """The engine breaks the connection off here."""
+    """The engine aborts the connection at this point."""
 
 
 Fault = Callable[[str], Awaitable[None]]
@@ -64,19 +65,19 @@
 
 
 class MysqlEngine:
-    """A server that counts what it executes. ``fault`` is called at each point of a command's life."""
+    """A server that counts executed statements. ``fault`` is called at each step of a command."""
 
     def __init__(self, fault: Fault = no_fault, first_thread: int = 1) -> None:
         self.fault = fault
         self._next_thread = first_thread
         self.threads: dict[int, asyncio.StreamWriter] = {}
-        self.running: dict[int, bytes] = {}  # by thread, the parameters or text that it executes
+        self.running: dict[int, bytes] = {}  # statement text or parameters in execution, by thread
         self.executed: Counter[bytes] = Counter()
         self.prepared: list[bytes] = []
         self.killed: list[int] = []
         self.commands: list[bytes] = []
         self.uptime_s = 10_000
-        self.hold: asyncio.Event | None = None  # executions wait for it
+        self.hold: asyncio.Event | None = None  # if set, executions wait for this event
 
     async def start(self) -> None:
         self.server, self.port = await serve(lambda r, w: quietly(self._serve(r, w)))
@@ -104,12 +105,12 @@
             )
             sequence, login = await read_packet(reader)
             assert scramble(SECRET, challenge) in login
-            writer.write(numbered(sequence + 1, b"\1\3", OK))
+            writer.write(packets(sequence + 1, b"\1\3", OK))
             await self._commands(reader, writer, thread)
         except Cut:
             writer.transport.abort()
         finally:
-            if thread not in self.running:  # else it runs on, unheard, until it is killed
+            if thread not in self.running:  # else the statement runs on without a client until it is killed
                 self.threads.pop(thread, None)
 
     async def _commands(
@@ -125,12 +126,12 @@
                 writer.write(packet(1, OK))
             elif code == 0x16:
                 await self.fault("prepare")
-                number = len(statements) + 10 * thread  # engines and connections number differently
+                number = len(statements) + 10 * thread  # numbers differ by engine and by connection
                 statements[number] = rest
                 self.prepared.append(rest)
                 count = rest.count(b"?")
                 writer.write(
-                    numbered(
+                    packets(
                         1,
                         b"\0" + struct.pack("<IHHxH", number, 0, count, 0),
                         *([column("?")] * count),
@@ -145,7 +146,7 @@
                 self._kill(writer, int(rest[5:]))
             elif code == 0x03 and b"'Uptime'" in rest:
                 writer.write(
-                    numbered(
+                    packets(
                         1,
                         b"\2",
                         column("Variable_name"),
@@ -169,18 +170,18 @@
         else:
             writer.write(packet(1, error(1094, "HY000", "Unknown thread id")))
 
-    async def _run(self, writer: asyncio.StreamWriter, thread: int, what: bytes) -> None:
-        self.executed[what] += 1
-        self.running[thread] = what
+    async def _run(self, writer: asyncio.StreamWriter, thread: int, execution: bytes) -> None:
+        self.executed[execution] += 1
+        self.running[thread] = execution
         if self.hold is not None:
             await self.hold.wait()
         await self.fault("executed")
         if self.running.pop(thread, None) is None:
             raise Cut  # killed meanwhile
-        if b"broken" in what:
+        if b"broken" in execution:
             writer.write(packet(1, error(1064, "42000", "You have an error in your SQL syntax")))
             return
-        answer = numbered(1, b"\1", column("a"), EOF, text("x" * 100), EOF)
+        answer = packets(1, b"\1", column("a"), EOF, text("x" * 100), EOF)
         writer.write(answer[:40])
         await self.fault("answering")
         writer.write(answer[40:])
@@ -194,7 +195,7 @@
 
 
 class MysqlClient:
-    """A client as an office application has it."""
+    """A MySQL client of an office application."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -213,23 +214,25 @@
         reader, writer = await asyncio.open_connection(HOST, port)
         client = cls(reader, writer)
         _, greeting = await read_packet(reader)
-        end = greeting.index(b"\0", 1) + 1
-        challenge = greeting[end + 4 : end + 12] + greeting[end + 31 : end + 43]
+        version_end = greeting.index(b"\0", 1) + 1
+        challenge = (
+            greeting[version_end + 4 : version_end + 12] + greeting[version_end + 31 : version_end + 43]
+        )
         flags = 0x00288201 | (0x800 if tls else 0) | (8 if database else 0)
         sequence = 1
         if tls is not None:
             writer.write(packet(1, struct.pack("<IIB23x", flags, 1 << 24, charset)))
             await writer.start_tls(tls)
             sequence = 2
-        proof = scramble(password, challenge)
+        auth_response = scramble(password, challenge)
         writer.write(
             packet(
                 sequence,
                 struct.pack("<IIB23x", flags, 1 << 24, charset)
                 + user.encode()
                 + b"\0"
-                + bytes([len(proof)])
-                + proof
+                + bytes([len(auth_response)])
+                + auth_response
                 + (database.encode() + b"\0" if database else b"")
                 + b"caching_sha2_password\0",
             )
@@ -256,12 +259,12 @@
         payload = await self.answer()
         rows: list[bytes] = []
         if payload[0]:
-            runs = 2
-            while runs:
+            remaining_eofs = 2
+            while remaining_eofs:
                 _, payload = await read_packet(self.reader)
                 if payload[0] == 0xFE:
-                    runs -= 1
-                elif runs == 1:
+                    remaining_eofs -= 1
+                elif remaining_eofs == 1:
                     rows.append(payload)
         return rows
 
@@ -290,8 +293,8 @@
             ),
         )
 
-    async def execute(self, statement: int, *values: str, **how: Any) -> list[bytes]:
-        self.send_execute(statement, *values, **how)
+    async def execute(self, statement: int, *values: str, **options: Any) -> list[bytes]:
+        self.send_execute(statement, *values, **options)
         return await self.result()
 
 
--- a/tests/test_dial.py
+++ b/tests/test_dial.py
@@ -1,4 +1,4 @@
-"""Connections on their way up, on real sockets: ends that come at once, twice, or in one turn of the loop."""
+"""Connects on real sockets that end immediately, end twice, or end and time out in one turn of the loop."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from slipbay.core.timers import Timers
 from slipbay.stream import Dial, Dialer, Stream
 
-BROADCAST = ("255.255.255.255", 9)  # connect() refuses it out of hand: nothing is sent
+BROADCAST = ("255.255.255.255", 9)  # connect() fails immediately: nothing is sent
 REFUSED = (errno.EACCES, errno.ENETUNREACH)  # with a network, and without one
 LONG_US = 30_000_000
 
 
-class Told(Stream):
-    """Keeps what it is told."""
+class RecordingStream(Stream):
+    """Records its callbacks."""
 
     def __init__(self) -> None:
         self.log: list[str] = []
 
     def opened(self) -> None:
         self.log.append("opened")
-        if self.ours:  # given up while its transport was made: it is on its owner to look
+        if self.ours:  # closed while its transport was created: the owner must abort it
             self.abort()
 
     def ended(self) -> None:
@@ -54,12 +54,12 @@
         await asyncio.sleep(0)
 
 
-def test_a_connect_that_fails_at_once_is_no_connection() -> None:
-    """Guards against a socket that never connected: it has no error, and can be written to."""
+def test_a_connect_that_fails_immediately_opens_no_connection() -> None:
+    """Guards against taking a socket for connected because it is writable and has no error."""
 
     async def test() -> None:
         errors: list[int] = []
-        stream = Told()
+        stream = RecordingStream()
         make_dialer().dial(BROADCAST, stream, LONG_US, errors.append)
         assert not errors  # never within the call
         await until(lambda: bool(errors or stream.log))
@@ -71,35 +71,36 @@
 
 
 @pytest.mark.parametrize("what", ["connect", "descriptors"])
-def test_a_dial_that_failed_at_once_and_is_given_up_says_nothing(what: str) -> None:
-    """Guards against a failure of a connection that somebody has already replaced by another."""
+def test_a_connect_that_failed_immediately_and_is_cancelled_reports_no_failure(what: str) -> None:
+    """Guards against a reported failure of a connection that its owner has already replaced."""
 
     async def test() -> None:
         errors: list[int] = []
         dialer = make_dialer()
         if what == "connect":
-            dial: Dial | None = dialer.dial(BROADCAST, Told(), LONG_US, errors.append)
+            dial: Dial | None = dialer.dial(BROADCAST, RecordingStream(), LONG_US, errors.append)
         else:
             with no_descriptors():
-                dial = dialer.dial((HOST, 9), Told(), LONG_US, errors.append)
+                dial = dialer.dial((HOST, 9), RecordingStream(), LONG_US, errors.append)
         assert dial is not None
         dial.give_up()
         last: list[int] = []
-        dialer.dial(BROADCAST, Told(), LONG_US, last.append)  # its failure comes after those before it
+        # Its failure is reported after all earlier ones
+        dialer.dial(BROADCAST, RecordingStream(), LONG_US, last.append)
         await until(lambda: bool(last))
         assert not errors
 
     run(test)
 
 
-def test_without_a_descriptor_a_dial_fails_soon_and_the_next_one_may_succeed() -> None:
+def test_without_a_descriptor_a_connect_fails_soon_and_the_next_one_may_succeed() -> None:
     async def test() -> None:
         errors: list[int] = []
         dialer = make_dialer()
-        stream = Told()
+        stream = RecordingStream()
         with listener() as server:
             with no_descriptors():
-                dialer.dial(server.getsockname(), Told(), LONG_US, errors.append)
+                dialer.dial(server.getsockname(), RecordingStream(), LONG_US, errors.append)
             assert not errors
             await until(lambda: bool(errors))
             assert errors == [errno.EMFILE]
@@ -111,13 +112,13 @@
     run(test)
 
 
-def test_a_connection_and_its_time_out_in_one_turn_have_one_end() -> None:
+def test_a_connect_that_succeeds_and_times_out_in_one_turn_ends_once() -> None:
     async def test() -> None:
         errors: list[int] = []
         dialer = make_dialer()
-        stream = Told()
+        stream = RecordingStream()
         with listener() as server:
-            dialer.dial(server.getsockname(), stream, 0, errors.append)  # on loopback it is up at once
+            dialer.dial(server.getsockname(), stream, 0, errors.append)  # on loopback it succeeds immediately
             await until(lambda: bool(errors or stream.log))
             await turns()
             assert (errors, stream.log) in (([], ["opened"]), ([errno.ETIMEDOUT], []))
@@ -129,12 +130,13 @@
 
 @pytest.mark.parametrize("later", [None, 0, 1, 2, 3])
 def test_a_stream_aborted_after_its_hand_over_ends_once_and_closes_its_socket(later: int | None) -> None:
-    """``later``: turns after the hand-over, before (None), in and after the making of its transport."""
+    """``later``: turns from the hand-over to the abort, which is before (None), during or after the creation
+    of the transport."""
 
     async def test() -> None:
         errors: list[int] = []
         dialer = make_dialer()
-        stream = Told()
+        stream = RecordingStream()
         hand_over = dialer.hand_over
 
         def handed_over(stream: Stream, sock: socket.socket) -> None:
@@ -166,11 +168,11 @@
     run(test)
 
 
-def test_a_connection_reset_before_its_transport_is_made_ends_once() -> None:
+def test_a_connection_reset_before_its_transport_is_created_ends_once() -> None:
     async def test() -> None:
         errors: list[int] = []
         dialer = make_dialer()
-        stream = Told()
+        stream = RecordingStream()
         hand_over = dialer.hand_over
 
         def handed_over(stream: Stream, sock: socket.socket) -> None:
@@ -189,13 +191,13 @@
     run(test)
 
 
-def test_a_failure_may_dial_again_at_once() -> None:
-    """Guards against a writer left behind with a descriptor that the next socket gets too."""
+def test_a_failure_callback_may_connect_again_immediately() -> None:
+    """Guards against a writer callback that stays on a descriptor which the next socket reuses."""
 
     async def test() -> None:
         errors: list[int] = []
         dialer = make_dialer()
-        stream = Told()
+        stream = RecordingStream()
         with listener() as server:
 
             def again(error: int) -> None:
@@ -203,7 +205,7 @@
                 target = server.getsockname() if len(errors) == 3 else closed
                 dialer.dial(target, stream, LONG_US, again)
 
-            with socket.socket() as bound:  # bound and not listening: whoever comes is refused
+            with socket.socket() as bound:  # bound but not listening: connects are refused
                 bound.bind((HOST, 0))
                 closed = bound.getsockname()
                 dialer.dial(closed, stream, LONG_US, again)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""The parsers, in any chunking and on any input."""
+"""The parsers, with input split in any way and with arbitrary input."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 PACKETS = b"\1\0\0\0\x0e" + b"\0\0\0\1" + b"\3\0\0\2abc" + b"\5\0\0"
 
 
-def whole(make: Callable[[], Any], data: bytes, cuts: list[int]) -> list[Any]:
+def parse_all(make: Callable[[], Any], data: bytes, splits: list[int]) -> list[Any]:
     parser = make()
     found = []
     start = 0
-    for cut in sorted(cuts) + [len(data)]:
-        part = parser.feed(data[start:cut])
-        found += [part] if isinstance(part, http1.Response) else list(part or ())
-        start = max(start, cut)
+    for split in sorted(splits) + [len(data)]:
+        result = parser.feed(data[start:split])
+        found += [result] if isinstance(result, http1.Response) else list(result or ())
+        start = max(start, split)
     return found
 
 
@@ -44,13 +44,15 @@
         (lambda: mysql.Packets(100), PACKETS),
     ],
 )
-@given(cuts=st.lists(st.integers(0, 400), max_size=8))
-def test_chunking_changes_nothing(make: Callable[[], Any], data: bytes, cuts: list[int]) -> None:
-    assert whole(make, data, [min(cut, len(data)) for cut in cuts]) == whole(make, data, [])
+@given(splits=st.lists(st.integers(0, 400), max_size=8))
+def test_results_do_not_depend_on_how_the_input_is_split(
+    make: Callable[[], Any], data: bytes, splits: list[int]
+) -> None:
+    assert parse_all(make, data, [min(split, len(data)) for split in splits]) == parse_all(make, data, [])
 
 
-def test_what_the_parsers_find() -> None:
-    found = [response for one in RESPONSES for response in whole(http1.ResponseParser, one, [])]
+def test_parsers_return_the_expected_messages() -> None:
+    found = [response for one in RESPONSES for response in parse_all(http1.ResponseParser, one, [])]
     assert [(r.status, r.body, r.keep) for r in found] == [
         (202, b"", True),
         (204, b"", True),
@@ -58,8 +60,8 @@
         (200, b"abcde", True),
         (500, b"", True),
     ]
-    assert whole(lambda: Lines(100), LINES, []) == [b'{"id":1}', b"", b'{"id":2}']
-    assert whole(lambda: mysql.Packets(100), PACKETS, []) == [(0, b"\x0e"), (1, b""), (2, b"abc")]
+    assert parse_all(lambda: Lines(100), LINES, []) == [b'{"id":1}', b"", b'{"id":2}']
+    assert parse_all(lambda: mysql.Packets(100), PACKETS, []) == [(0, b"\x0e"), (1, b""), (2, b"abc")]
 
 
 @pytest.mark.parametrize(
@@ -89,16 +91,18 @@
         ).map(b"".join),
     )
 )
-def test_garbage_raises_nothing_else(make: Callable[[], Any], allowed: type[Exception], data: bytes) -> None:
+def test_arbitrary_input_raises_no_other_error(
+    make: Callable[[], Any], allowed: type[Exception], data: bytes
+) -> None:
     try:
-        whole(make, data, [])
+        parse_all(make, data, [])
     except allowed:
         pass
 
 
 @given(data=st.binary(max_size=80))
-def test_garbled_packets_raise_nothing_else(data: bytes) -> None:
-    def follow(reader: Any) -> None:
+def test_arbitrary_packets_raise_no_other_error(data: bytes) -> None:
+    def read_all(reader: Any) -> None:
         while not reader.feed(data):
             pass
 
@@ -136,7 +140,7 @@
         ).map(lambda value: json.dumps(value).encode()),
     )
 )
-def test_any_line_is_a_query_or_a_problem(line: bytes) -> None:
+def test_any_line_is_a_query_or_an_error(line: bytes) -> None:
     try:
         jsonrpc.read_query(jsonrpc.parse(line))
     except jsonrpc.JsonRpcError as problem:
@@ -144,28 +148,28 @@
 
 
 @given(payload=st.binary(max_size=40), count=st.integers(0, 3))
-def test_packets_round_trip_and_long_ones_are_split(payload: bytes, count: int) -> None:
-    data, after = mysql.packets([payload] * count, 250)
+def test_packets_round_trip(payload: bytes, count: int) -> None:
+    data, next_sequence = mysql.packets([payload] * count, 250)
     assert [found for _, found in mysql.Packets(1000).feed(data)] == [payload] * count
-    assert after == (250 + count) % 256
+    assert next_sequence == (250 + count) % 256
     assert mysql.Reader(mysql.lenenc(len(payload) ** 4)).lenenc() == len(payload) ** 4
 
 
-def test_a_payload_of_the_longest_packet_is_followed_by_an_empty_one() -> None:
-    data, after = mysql.packets([bytes(0xFFFFFF)], 0)
+def test_a_payload_that_fills_a_packet_is_followed_by_an_empty_packet() -> None:
+    data, next_sequence = mysql.packets([bytes(0xFFFFFF)], 0)
     assert data[:4] == b"\xff\xff\xff\0"
     assert data[-4:] == b"\0\0\0\1"
-    assert after == 2
+    assert next_sequence == 2
     assert [len(found) for _, found in mysql.Packets(1 << 25).feed(data)] == [0xFFFFFF]
 
 
-def test_proofs_of_a_password_are_those_of_the_specification() -> None:
+def test_auth_responses_are_those_of_the_specification() -> None:
     challenge = bytes(range(1, 21))
     password = b"oil"
-    once = hashlib.sha1(password).digest()
-    mask = hashlib.sha1(challenge + hashlib.sha1(once).digest()).digest()
-    proof = bytes(a ^ b for a, b in zip(once, mask, strict=True))
-    assert mysql.prove(mysql.NATIVE, password, challenge) == proof
+    password_digest = hashlib.sha1(password).digest()
+    mask = hashlib.sha1(challenge + hashlib.sha1(password_digest).digest()).digest()
+    auth_response = bytes(a ^ b for a, b in zip(password_digest, mask, strict=True))
+    assert mysql.prove(mysql.NATIVE, password, challenge) == auth_response
     assert mysql.prove(mysql.CACHING_SHA2, b"", challenge) == b""
     assert mysql.prove("other", b"", b"") is None
 
@@ -191,7 +195,7 @@
         (r"SELECT * FROM a WHERE b = 'it\'s FROM x_1.y' AND c IN (SELECT d FROM sales_7.e)", 7),
     ],
 )
-def test_the_group_of_tables(statement: str, group: int) -> None:
+def test_the_table_group_of_a_statement(statement: str, group: int) -> None:
     assert sql.table_group(statement) == group
 
 
@@ -213,11 +217,11 @@
         ("REPLACE INTO a", False),
     ],
 )
-def test_only_plain_reads_count_as_reads(statement: str, reads: bool) -> None:
+def test_only_statements_without_side_effects_count_as_reads(statement: str, reads: bool) -> None:
     assert sql.outline(statement).only_reads is reads
 
 
-def test_hints_come_from_a_comment_of_ours_alone() -> None:
-    told = sql.hints("/* slipbay: class=report cpu_ms=7 x */ SELECT 1", "slipbay")
-    assert told == {"class": "report", "cpu_ms": "7"}
+def test_hints_come_only_from_comments_with_the_router_s_mark() -> None:
+    found = sql.hints("/* slipbay: class=report cpu_ms=7 x */ SELECT 1", "slipbay")
+    assert found == {"class": "report", "cpu_ms": "7"}
     assert sql.hints("SELECT '/* slipbay: class=report */' /* other: a=1 */", "slipbay") == {}
