--- a/slipbay/backends/http_exchange.py
+++ b/slipbay/backends/http_exchange.py
@@ -30,7 +30,7 @@
 RETRY_US = 250_000
 
 MAX_IMMEDIATE_RETRIES = 3  # polls sent immediately after a malformed answer; later ones wait for the timer
-# a result has at most 48,000 bytes
+# A result has at most 48,000 bytes
 MAX_RESULT_BYTES = 64 * 1024
 MAX_PAGES = 1000
 MAX_PAGE_DIGITS = 6
--- a/slipbay/backends/mysql_exchange.py
+++ b/slipbay/backends/mysql_exchange.py
@@ -13,9 +13,7 @@
 from slipbay.wire import mysql
 
 MAX_STATEMENTS = 64  # prepared on one connection
-PROOF_TIMEOUT_US = (
-    5_000_000  # after the deadline; then no other attempt can follow, and the proof is abandoned
-)
+PROOF_TIMEOUT_US = 5_000_000  # after the deadline; then no other attempt can follow, proven or not
 ENGINE_ERRORS = (mysql.ER_SERVER_SHUTDOWN, mysql.ER_QUERY_INTERRUPTED)  # not caused by the statement
 
 
--- a/slipbay/backends/pool.py
+++ b/slipbay/backends/pool.py
@@ -17,7 +17,7 @@
 SWEEP_US = 1_000_000
 MAX_EVICTED_PER_TURN = 8  # idle connections evicted per turn of the loop; they hold descriptors until its end
 CALL_TIMEOUT_US = 1_000_000  # timeout of calls that engines answer immediately
-MAX_CONNECT_ATTEMPTS = 3  # per acquire, where new connections are reset
+MAX_CONNECT_ATTEMPTS = 3  # per acquire, if new connections are reset
 UNPOLLED_QUERY_US = 2_000_000  # an engine drops a query that is not polled for this long
 LONG_POLL_US = 250_000  # an engine holds a poll for this long before it sends an empty answer
 UNREACHABLE_AFTER_US = LONG_POLL_US + 100_000  # an engine that sends nothing for this long may be unreachable
--- a/slipbay/stream.py
+++ b/slipbay/stream.py
@@ -225,9 +225,8 @@
     def hand_over(self, stream: Stream, sock: socket.socket) -> None:
         """Create the transport of a connected socket, in a separate task."""
         stream.sock = sock
-        self.loop.create_task(
-            self._create_transport(stream, sock)
-        )  # the loop references what the task awaits
+        # No reference to the task is needed, as the loop references what it awaits
+        self.loop.create_task(self._create_transport(stream, sock))
 
     async def _create_transport(self, stream: Stream, sock: socket.socket) -> None:
         try:
--- a/slipbay/wire/http1.py
+++ b/slipbay/wire/http1.py
@@ -7,7 +7,7 @@
 
 from slipbay.errors import SlipbayError
 
-# a page has at most 6,000 bytes
+# A page has at most 6,000 bytes
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024
 STATUS_DIGITS = 3
--- a/slipbay/wire/jsonrpc.py
+++ b/slipbay/wire/jsonrpc.py
@@ -156,10 +156,10 @@
 
 
 def gathered(
-    id: int, data: bytes, asked: Sequence[int], present: Sequence[int], missing: Sequence[int]
+    id: int, data: bytes, requested: Sequence[int], present: Sequence[int], missing: Sequence[int]
 ) -> bytes:
     """Encode the answer to a scattered query: rows of the table groups that are present, in this order."""
-    parts = json.dumps({"asked": asked, "present": present, "missing": missing}, separators=(",", ":"))
+    parts = json.dumps({"asked": requested, "present": present, "missing": missing}, separators=(",", ":"))
     return b'{"jsonrpc":"2.0","id":%d,"result":{"data":"%s","parts":%s}}\n' % (
         id,
         base64.b64encode(data),
--- a/slipbay/wire/lines.py
+++ b/slipbay/wire/lines.py
@@ -19,14 +19,16 @@
 
     def feed(self, data: bytes) -> list[bytes]:
         """The lines that are complete now, without their line ends."""
-        *whole, rest = data.split(b"\n")
-        if whole:
-            whole[0] = b"".join((*self._parts, whole[0]))
+        *complete_lines, rest = data.split(b"\n")
+        if complete_lines:
+            complete_lines[0] = b"".join((*self._parts, complete_lines[0]))
             self._parts = []
             self.held = 0
         if rest:
             self._parts.append(rest)
             self.held += len(rest)
-        if self.held > self._max_line_bytes or any(len(line) > self._max_line_bytes for line in whole):
+        if self.held > self._max_line_bytes or any(
+            len(line) > self._max_line_bytes for line in complete_lines
+        ):
             raise LineTooLongError
-        return [line.removesuffix(b"\r") for line in whole]
+        return [line.removesuffix(b"\r") for line in complete_lines]
--- a/slipbay/wire/mysql.py
+++ b/slipbay/wire/mysql.py
@@ -97,7 +97,7 @@
 PACKET_HEAD_BYTES = 4
 PROTOCOL_VERSION = 10
 MAX_EOF_BYTES = 8  # a row with the same first byte is longer
-NULL = 0xFB  # in place of a length; numbers below it are encoded as one byte
+NULL = 0xFB  # in place of a length; smaller numbers are encoded as one byte
 OK = 0x00
 EOF = 0xFE
 ERR = 0xFF
@@ -179,9 +179,9 @@
 class Reader:
     """Reads the fields of a payload in order."""
 
-    def __init__(self, payload: bytes, at: int = 0) -> None:
+    def __init__(self, payload: bytes, position: int = 0) -> None:
         self.payload = payload
-        self.at = at
+        self.position = position
 
     def take(self, size: int) -> bytes:
         """The next ``size`` bytes.
@@ -189,17 +189,17 @@
         Raises:
             MalformedPacketError: if fewer bytes are left.
         """
-        if size < 0 or self.at + size > len(self.payload):
+        if size < 0 or self.position + size > len(self.payload):
             raise MalformedPacketError("a packet ends inside a field")
-        self.at += size
-        return self.payload[self.at - size : self.at]
+        self.position += size
+        return self.payload[self.position - size : self.position]
 
     def number(self, size: int) -> int:
         """The next little-endian number of ``size`` bytes."""
         return int.from_bytes(self.take(size), "little")
 
     def lenenc(self) -> int:
-        """The next length-encoded number.
+        """The next length-encoded integer.
 
         Raises:
             MalformedPacketError: if a NULL or an error is in its place.
@@ -211,13 +211,13 @@
             raise MalformedPacketError("no length stands where one is wanted")
         return self.number({0xFC: 2, 0xFD: 3, 0xFE: 8}[first])
 
-    def null_ended(self) -> bytes:
+    def null_terminated(self) -> bytes:
         """The next NUL-terminated string, without the NUL."""
-        end = self.payload.find(b"\0", self.at)
+        end = self.payload.find(b"\0", self.position)
         if end < 0:
             raise MalformedPacketError("a string does not end")
-        text = self.payload[self.at : end]
-        self.at = end + 1
+        text = self.payload[self.position : end]
+        self.position = end + 1
         return text
 
     def lenenc_bytes(self) -> bytes:
@@ -226,16 +226,16 @@
 
     def rest(self) -> bytes:
         """All remaining bytes."""
-        return self.take(len(self.payload) - self.at)
+        return self.take(len(self.payload) - self.position)
 
     @property
     def left(self) -> int:
         """Number of remaining bytes."""
-        return len(self.payload) - self.at
+        return len(self.payload) - self.position
 
 
 def lenenc(value: int) -> bytes:
-    """Encode a number with its length."""
+    """Encode a length-encoded integer."""
     if value < NULL:
         return bytes([value])
     for prefix, size in ((0xFC, 2), (0xFD, 3)):
@@ -245,16 +245,16 @@
 
 
 def lenenc_bytes(value: bytes) -> bytes:
-    """Encode a string with its length."""
+    """Encode a length-encoded string."""
     return lenenc(len(value)) + value
 
 
 # Answers of a server
 
 
-def ok(affected: int = 0, status: int = STATUS_AUTOCOMMIT) -> bytes:
-    """Encode an OK packet; ``affected``: number of affected rows."""
-    return b"\0" + lenenc(affected) + b"\0" + _U16.pack(status) + b"\0\0"
+def ok(affected_rows: int = 0, status: int = STATUS_AUTOCOMMIT) -> bytes:
+    """Encode an OK packet; ``affected_rows``: their number."""
+    return b"\0" + lenenc(affected_rows) + b"\0" + _U16.pack(status) + b"\0\0"
 
 
 def eof(status: int = STATUS_AUTOCOMMIT) -> bytes:
@@ -339,7 +339,7 @@
     reader = Reader(payload)
     if reader.number(1) != PROTOCOL_VERSION:
         raise MalformedPacketError("the server's handshake is not of version 10")
-    version = reader.null_ended()
+    version = reader.null_terminated()
     connection = reader.number(4)
     challenge = reader.take(8)
     reader.take(1)
@@ -351,7 +351,7 @@
     if capabilities & REQUIRED_CAPABILITIES != REQUIRED_CAPABILITIES:
         raise MalformedPacketError("the server is too old")
     challenge += reader.take(max(13, size - 8))[:12]
-    plugin = reader.null_ended().decode("ascii", "replace") if capabilities & PLUGIN_AUTH else NATIVE
+    plugin = reader.null_terminated().decode("ascii", "replace") if capabilities & PLUGIN_AUTH else NATIVE
     return Greeting(connection, challenge, plugin, capabilities, version.decode("latin-1"))
 
 
@@ -402,12 +402,12 @@
     if len(payload) == _HANDSHAKE_HEAD.size and capabilities & SSL:
         return Login(capabilities, charset)
     reader = Reader(payload, _HANDSHAKE_HEAD.size)
-    user = reader.null_ended()
+    user = reader.null_terminated()
     proof = reader.lenenc_bytes() if capabilities & PLUGIN_AUTH_LENENC else reader.take(reader.number(1))
-    database = reader.null_ended() if capabilities & CONNECT_WITH_DB and reader.left else b""
+    database = reader.null_terminated() if capabilities & CONNECT_WITH_DB and reader.left else b""
     plugin = NATIVE
     if capabilities & PLUGIN_AUTH and reader.left:
-        plugin = reader.null_ended().decode("ascii", "replace")
+        plugin = reader.null_terminated().decode("ascii", "replace")
     return Login(
         capabilities,
         charset,
@@ -444,7 +444,7 @@
 def read_auth_switch(payload: bytes) -> tuple[str, bytes]:
     """Plugin and challenge of a server's request for another plugin."""
     reader = Reader(payload, 1)
-    return reader.null_ended().decode("ascii", "replace"), reader.rest()[:20]
+    return reader.null_terminated().decode("ascii", "replace"), reader.rest()[:20]
 
 
 # Prepared statements
--- a/slipbay/wire/spiffe.py
+++ b/slipbay/wire/spiffe.py
@@ -69,16 +69,16 @@
         self._incoming = ssl.MemoryBIO()
         self._outgoing = ssl.MemoryBIO()
         self._tls = context.wrap_bio(self._incoming, self._outgoing, server_side=True)
-        self.up = self.closed = False
+        self.is_handshake_done = self.closed = False
 
     def feed(self, data: bytes) -> bytes:
         """Decrypt received bytes. Raises ``ssl.SSLError`` if the handshake or a record fails."""
         self._incoming.write(data)
         plaintext = bytearray()
         try:
-            if not self.up:
+            if not self.is_handshake_done:
                 self._tls.do_handshake()
-                self.up = True
+                self.is_handshake_done = True
             while chunk := self._tls.read(64 * 1024):
                 plaintext += chunk
             self.closed = True
--- a/tests/test_http_exchange.py
+++ b/tests/test_http_exchange.py
@@ -21,10 +21,10 @@
 
 def test_an_unknown_query_has_ended_only_if_the_engine_was_reachable_just_before() -> None:
     """A host that was unreachable breaks its connections when it returns, and may read earlier data."""
-    for quiet, ends in ((0, [(Outcome.ERROR, None)]), (400_000, [])):
+    for silence_us, ends in ((0, [(Outcome.ERROR, None)]), (400_000, [])):
         model = HttpModel()
         model.connect()
-        model.loop.advance(quiet)
+        model.loop.advance(silence_us)
         model.cut(0)
         model.connect()
         model.arrive(0)
@@ -104,8 +104,8 @@
     model = ShortDeadlineModel()
     model.connect()
     model.loop.advance(70_000)
-    (post, _), ask = model.in_transit
-    model.in_transit = [ask]
+    (post, _), poll = model.in_transit
+    model.in_transit = [poll]
     model.arrive(0)
     model.answer(0, "page")
     assert not post.closing
