--- a/slipbay/backends/http_connection.py
+++ b/slipbay/backends/http_connection.py
@@ -32,7 +32,7 @@
     def opened(self) -> None:
         """Make the open connection usable, unless the engine has closed it already."""
         self.pool.record_activity()
-        if self.stale():  # closed as soon as it opened: no call is lost, as none was written
+        if self.is_stale():  # closed as soon as it opened: no call is lost, as none was written
             self.abort()
         else:
             self.on_usable()
--- a/slipbay/backends/http_exchange.py
+++ b/slipbay/backends/http_exchange.py
@@ -354,7 +354,7 @@
 
     def _poll_next(self, connection: HttpConnection, response: http1.Response) -> None:
         """Send the next poll, on the same connection if it stays open and no data followed the answer."""
-        if response.keep and not connection.stale():
+        if response.keep and not connection.is_stale():
             self._poll(connection)
         else:
             connection.close()
@@ -385,7 +385,9 @@
 
     def _interrupted(self) -> None:
         """Handle a connection that broke during a call, or a malformed answer: the query may still run."""
-        self._is_closed_by_engine = self._call_connection is not None and not self._call_connection.ours
+        self._is_closed_by_engine = (
+            self._call_connection is not None and not self._call_connection.closed_locally
+        )
         self._call_connection = None
         self._is_process_uncertain = True
         if self._stop_outcome is not None:
--- a/slipbay/backends/mysql_exchange.py
+++ b/slipbay/backends/mysql_exchange.py
@@ -100,7 +100,7 @@
         """Send the statement, unless the connection broke or the attempt ended meanwhile."""
         if self._is_ended:
             return
-        if connection.lost or connection.stale():
+        if connection.lost or connection.is_stale():
             self._finish(Outcome.CONNECT_FAILED)  # the statement was not sent
             return
         if not self.attempt.may_send():
@@ -141,7 +141,7 @@
         )
 
     def _interrupted(self) -> None:
-        self._is_closed_by_engine = self._connection is not None and not self._connection.ours
+        self._is_closed_by_engine = self._connection is not None and not self._connection.closed_locally
         self._connection = None
         if not self._is_statement_sent:
             self._finish(Outcome.CONNECT_FAILED)  # the statement did not arrive complete: it did not run
--- a/slipbay/backends/pool.py
+++ b/slipbay/backends/pool.py
@@ -71,7 +71,7 @@
 
     def ended(self) -> None:
         """Notify the pool and the pending acquire of the end of the connection."""
-        if not self.ours:
+        if not self.closed_locally:
             self.pool.record_activity()
         self.pool.remove_stream(self)
         self.on_broken()
@@ -175,7 +175,7 @@
         pending = PendingAcquire(done, failed, self.now())
         while self.idle and not fresh:
             stream = self._next_idle()
-            if stream.stale():
+            if stream.is_stale():
                 stream.abort()
                 continue
             done(stream)
--- a/slipbay/stream.py
+++ b/slipbay/stream.py
@@ -27,7 +27,7 @@
     transport: asyncio.Transport | None = None
     sock: socket.socket | None = None  # socket of the transport, to check for unread data
     lost = False
-    ours = False  # closed by this process
+    closed_locally = False  # closed by this process
     congested = False  # the write buffer is above the transport's high-water mark
     half_closed = False  # the write side is closed; received data is dropped
 
@@ -38,7 +38,7 @@
         self.transport = transport
         if self.half_closed:
             self.half_close()
-        elif self.ours:  # closed while its transport was created
+        elif self.closed_locally:  # closed while its transport was created
             transport.abort()
         else:
             self.opened()
@@ -83,7 +83,7 @@
         """Bytes that have not yet been passed to the kernel."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
-    def stale(self) -> bool:
+    def is_stale(self) -> bool:
         """Whether the connection has ended, or has unread data or an unread end from the other side."""
         if self.lost or self.transport is None or self.transport.is_closing() or self.sock is None:
             return True
@@ -104,7 +104,7 @@
 
     def close(self) -> None:
         """Close after all written data has been sent."""
-        self.ours = True
+        self.closed_locally = True
         if self.transport is not None:
             self.transport.close()
 
@@ -112,7 +112,7 @@
         """Close the write side after all written data has been sent, and drop received data until the other
         side closes too, which ends the connection. A full close with unread data would reset the connection,
         and data that the other side has not received yet would be lost."""
-        self.ours = self.half_closed = True
+        self.closed_locally = self.half_closed = True
         if self.transport is None:
             return  # not established yet; ``connection_made`` continues
         if not self.transport.can_write_eof():  # TLS has its own end-of-data message
@@ -127,7 +127,7 @@
 
     def abort(self) -> None:
         """Close immediately; unsent data is lost."""
-        self.ours = True
+        self.closed_locally = True
         if self.transport is not None:
             self.transport.abort()
 
@@ -230,7 +230,7 @@
 
     async def _create_transport(self, stream: Stream, sock: socket.socket) -> None:
         try:
-            if stream.ours:
+            if stream.closed_locally:
                 raise ConnectionAbortedError("closed before its transport was created")
             await self.loop.create_connection(lambda: stream, sock=sock)
         except OSError:
--- a/tests/test_dial.py
+++ b/tests/test_dial.py
@@ -30,7 +30,7 @@
 
     def opened(self) -> None:
         self.log.append("opened")
-        if self.ours:  # closed while its transport was created: the owner must abort it
+        if self.closed_locally:  # closed while its transport was created: the owner must abort it
             self.abort()
 
     def ended(self) -> None:
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -320,9 +320,9 @@
     stream = Stream()
     stream.sock = ours
     stream.transport = FakeTransport(FakeLoop(), stream, lambda transport, data: None)
-    assert not stream.stale()
+    assert not stream.is_stale()
     theirs.close()
-    assert stream.stale()
+    assert stream.is_stale()
     ours.close()
 
 
