--- a/slipbay/backends/http_exchange.py
+++ b/slipbay/backends/http_exchange.py
@@ -30,7 +30,7 @@
 RETRY_US = 250_000
 
 MAX_IMMEDIATE_RETRIES = 3  # polls sent immediately after a malformed answer; later ones wait for the timer
-# a result has at most 48,000 bytes
+# A result has at most 48,000 bytes
 MAX_RESULT_BYTES = 64 * 1024
 MAX_PAGES = 1000
 MAX_PAGE_DIGITS = 6
@@ -354,7 +354,7 @@
 
     def _poll_next(self, connection: HttpConnection, response: http1.Response) -> None:
         """Send the next poll, on the same connection if it stays open and no data followed the answer."""
-        if response.keep and not connection.stale():
+        if response.keep and not connection.is_stale():
             self._poll(connection)
         else:
             connection.close()
@@ -385,7 +385,9 @@
 
     def _interrupted(self) -> None:
         """Handle a connection that broke during a call, or a malformed answer: the query may still run."""
-        self._is_closed_by_engine = self._call_connection is not None and not self._call_connection.ours
+        self._is_closed_by_engine = (
+            self._call_connection is not None and not self._call_connection.closed_locally
+        )
         self._call_connection = None
         self._is_process_uncertain = True
         if self._stop_outcome is not None:
--- a/slipbay/backends/mysql_exchange.py
+++ b/slipbay/backends/mysql_exchange.py
@@ -13,9 +13,7 @@
 from slipbay.wire import mysql
 
 MAX_STATEMENTS = 64  # prepared on one connection
-PROOF_TIMEOUT_US = (
-    5_000_000  # after the deadline; then no other attempt can follow, and the proof is abandoned
-)
+PROOF_TIMEOUT_US = 5_000_000  # after the deadline; then no other attempt can follow, proven or not
 ENGINE_ERRORS = (mysql.ER_SERVER_SHUTDOWN, mysql.ER_QUERY_INTERRUPTED)  # not caused by the statement
 
 
@@ -102,7 +100,7 @@
         """Send the statement, unless the connection broke or the attempt ended meanwhile."""
         if self._is_ended:
             return
-        if connection.lost or connection.stale():
+        if connection.lost or connection.is_stale():
             self._finish(Outcome.CONNECT_FAILED)  # the statement was not sent
             return
         if not self.attempt.may_send():
@@ -143,7 +141,7 @@
         )
 
     def _interrupted(self) -> None:
-        self._is_closed_by_engine = self._connection is not None and not self._connection.ours
+        self._is_closed_by_engine = self._connection is not None and not self._connection.closed_locally
         self._connection = None
         if not self._is_statement_sent:
             self._finish(Outcome.CONNECT_FAILED)  # the statement did not arrive complete: it did not run
--- a/tests/compat/make_data.py
+++ b/tests/compat/make_data.py
@@ -135,7 +135,7 @@
 def fixed_records(folder: Path) -> None:
     """Write a retry budget and both snapshots with known contents, as a router does periodically."""
     store = stored.open_store(folder)
-    gossip_bodies = wire.gather_party(0, 4, 40 * wire.SECOND).bodies(41 * wire.SECOND)
+    gossip_bodies = wire.latency_endpoint(0, 4, 40 * wire.SECOND).bodies(41 * wire.SECOND)
     store.commit(
         [
             (RETRY_BUDGET, retry_budget.encode(stored.stored_retry_budget())),
@@ -170,7 +170,7 @@
         {
             "cases": {name: encode(value).hex() for name, (value, encode, _) in wire.CASES.items()},
             "others": {name: [data.hex() for data in rows] for name, rows in wire.other_bytes().items()},
-            "plays": {wire.VERSION: {name: wire.played(name) for name in wire.PLAYS}},
+            "plays": {wire.VERSION: {name: wire.simulated(name) for name in wire.SIMULATIONS}},
         },
     )
 
