--- a/slipbay/frontends/__init__.py
+++ b/slipbay/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Client connections: they accept, parse and answer, and hand requests to the core."""
+"""Client protocols: accept connections, parse requests, pass them to the dispatcher and write the answers."""
--- a/slipbay/frontends/identity.py
+++ b/slipbay/frontends/identity.py
@@ -1,4 +1,4 @@
-"""Who a client is by its X.509-SVID, with the files of our own identity read anew when they are rotated."""
+"""Maps a client's X.509-SVID to its tenant; reloads the router's own certificate files after a rotation."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class Identity:
-    """The router's own X.509-SVID, and the tenants of its clients' SVIDs.
+    """The TLS context with the router's own X.509-SVID, and the tenants of its clients' SVIDs.
 
     Raises:
-        ConfigError: if the files can't be used, or a package is missing.
+        ConfigError: if the files can't be used, or an optional package is not installed.
     """
 
     def __init__(self, config: SpiffeConfig) -> None:
         self._config = config
-        self._stamp = self._files_stamp()
+        self._loaded_versions = self._read_file_versions()
         try:
             import cryptography  # noqa: F401
 
@@ -38,37 +38,43 @@
         context.load_verify_locations(self._config.bundle)
         return context
 
-    def _files_stamp(self) -> list[tuple[int, int, int]]:
-        def stamp(path: Path) -> tuple[int, int, int]:
+    def _read_file_versions(self) -> list[tuple[int, int, int]]:
+        def read_version(path: Path) -> tuple[int, int, int]:
             try:
                 status = path.stat()
             except OSError:
                 return 0, 0, 0
             return status.st_mtime_ns, status.st_size, status.st_ino
 
-        return [stamp(path) for path in (self._config.certificate, self._config.key, self._config.bundle)]
+        return [
+            read_version(path) for path in (self._config.certificate, self._config.key, self._config.bundle)
+        ]
 
     def context(self) -> ssl.SSLContext:
-        """For the next client. Files that are rotated only in part are tried again with the next one."""
-        stamp = self._files_stamp()
-        if stamp != self._stamp:
+        """Returns the TLS context for the next client, after loading files that have changed.
+
+        If the load fails, as while only some of the files are replaced, the earlier context is returned and
+        the next call tries again.
+        """
+        versions = self._read_file_versions()
+        if versions != self._loaded_versions:
             try:
                 self._context = self._load()
-                self._stamp = stamp
-                log("identity", "the rotated identity is in use")
+                self._loaded_versions = versions
+                log("identity", "rotated certificate files loaded")
             except (OSError, ssl.SSLError) as problem:
-                log("identity", "rotated files cannot be used yet", reason=problem)
+                log("identity", "rotated certificate files cannot be loaded yet", reason=problem)
         return self._context
 
     def tenant(self, certificate: bytes | None) -> int | None:
-        """The tenant that a client's certificate stands for; None for unknown ones, who are turned away."""
+        """Returns the client's tenant number; None if the certificate is missing, invalid or unknown."""
         if certificate is None:
             return None
         try:
-            id = svid_id(certificate, self._config.trust_domain)
+            client_id = svid_id(certificate, self._config.trust_domain)
         except InvalidSpiffeIdError as problem:
-            log("identity", "a client's certificate is no SVID", reason=problem)
+            log("identity", "client certificate is not a valid SVID", reason=problem)
             return None
-        if id not in self._config.tenants:
-            log("identity", "a client's SPIFFE ID stands for no tenant", spiffe_id=id)
-        return self._config.tenants.get(id)
+        if client_id not in self._config.tenants:
+            log("identity", "no tenant is configured for the client's SPIFFE ID", spiffe_id=client_id)
+        return self._config.tenants.get(client_id)
--- a/slipbay/frontends/jsonrpc.py
+++ b/slipbay/frontends/jsonrpc.py
@@ -1,4 +1,4 @@
-"""The platform's front: JSON-RPC clients, many requests open on a connection."""
+"""The JSON-RPC frontend: clients with many concurrent requests on one connection."""
 
 from __future__ import annotations
 
@@ -8,114 +8,117 @@
 from slipbay.config.model import Config
 from slipbay.core.dispatcher import Dispatcher
 from slipbay.core.model import Answer, Backend, Failed, Rejected, Request, Served
-from slipbay.frontends.server import IDLE_US, ClientConnection, Server
+from slipbay.frontends.server import IDLE_TIMEOUT_US, ClientConnection, Server
 from slipbay.idempotency.digest import digest
 from slipbay.log import log
 from slipbay.wire import jsonrpc, sql
 from slipbay.wire.lines import Lines, LineTooLongError
 
-MOST_LINE_BYTES = 128 * 1024
-MOST_OPEN = 32  # requests on a connection
-MOST_TXNS = 8192  # that are remembered; some 15 s of the busiest router's, a minute of the others'
+MAX_LINE_BYTES = 128 * 1024
+MAX_OPEN_REQUESTS = 32  # on one connection
+MAX_RECENT_TXNS = 8192  # about 15 s of requests on the busiest router, 1 min on the others
 
 
-class Scatters(Protocol):
-    """What takes requests of classes that are sent as parts; their clients are answered as others."""
+class RequestScatterer(Protocol):
+    """Runs requests of scattered classes as several parts; the client gets one answer."""
 
     def takes(self, request: Request) -> bool:
-        """Whether a request is of a class that is scattered."""
+        """Whether the request's class is scattered."""
 
     def submit(self, request: Request) -> None:
-        """Take such a request."""
+        """Runs a request of a scattered class."""
 
     def gone(self, request: Request) -> bool:
-        """Its client left or called it off; False for one that is not open here."""
+        """Abandons a request whose client disconnected or cancelled it; False if it is not open here."""
 
     def owns(self, name: str) -> bool:
-        """Whether engines know an open part by a name in lower case."""
+        """Whether an open part uses this name, in lower case, as its query id at an engine."""
 
 
 class JsonRpcFrontend:
-    """What the connections of this front share."""
+    """State that all connections of this frontend share."""
 
-    scatterer: Scatters | None = None
+    scatterer: RequestScatterer | None = None
 
-    def __init__(self, config: Config, core: Dispatcher, back: Backend, well: Callable[[], bool]) -> None:
-        self.core = core
-        self.back = back
-        self.well = well
+    def __init__(
+        self, config: Config, dispatcher: Dispatcher, backend: Backend, is_healthy: Callable[[], bool]
+    ) -> None:
+        self.dispatcher = dispatcher
+        self.backend = backend
+        self.is_healthy = is_healthy
         self.classes = {name: number for number, name in enumerate(config.classes)}
         self.tenants = {name: number for number, name in enumerate(config.tenants)}
-        self._used: dict[str, bool] = {}  # the last txns, oldest first, and whether their requests have keys
+        self._recent_txns: dict[str, bool] = {}  # recent txns, oldest first; True if the request has a key
 
-    def use(self, txn: str, has_key: bool) -> bool:
-        """Whether a txn may be used. Engines know queries by it alone: under one in use a client would
-        be given the answer to another's statement, and giving its own request up would end the other's.
+    def claim_txn(self, txn: str, has_key: bool) -> bool:
+        """Records a txn as used; returns False if a new request must not have it.
 
-        One whose request has a key may be used again: the key tells what that gets.
+        Engines identify a query by its txn alone. If two requests had the same txn, a client could receive
+        the answer to another client's statement, and cancelling one request would cancel the other. The txn
+        of a request with an idempotency key may be used again: the key record determines the answer.
         """
         key = txn.lower()
-        guardian = self.core.idempotency_guard
+        guard = self.dispatcher.idempotency_guard
         if self.scatterer is not None and self.scatterer.owns(key):
             return False
-        if not has_key and guardian is not None and guardian.has_key(key_of(txn)):
+        if not has_key and guard is not None and guard.has_key(idempotency_key_of(txn)):
             return False
-        if key in self._used:
-            return has_key and self._used[key]
-        self._used[key] = has_key
-        if len(self._used) > MOST_TXNS:
-            del self._used[next(iter(self._used))]
+        if key in self._recent_txns:
+            return has_key and self._recent_txns[key]
+        self._recent_txns[key] = has_key
+        if len(self._recent_txns) > MAX_RECENT_TXNS:
+            del self._recent_txns[next(iter(self._recent_txns))]
         return True
 
     def knows(self, name: str) -> bool:
-        """Whether a client has used a txn, in lower case, of late."""
-        return name in self._used
+        """Whether a client has recently used the name, in lower case, as a txn."""
+        return name in self._recent_txns
 
     def submit(self, request: Request) -> None:
-        """Hand a request to the scatterer, where its class is scattered, else to the dispatcher."""
+        """Passes a request to the scatterer if its class is scattered, else to the dispatcher."""
         if self.scatterer is not None and self.scatterer.takes(request):
             self.scatterer.submit(request)
         else:
-            self.core.submit(request)
+            self.dispatcher.submit(request)
 
-    def gone(self, request: Request, cancelled: bool = False) -> None:
-        """Its client has left, or has called it off."""
+    def abandon(self, request: Request, cancelled: bool = False) -> None:
+        """Abandons a request whose client disconnected or, if ``cancelled``, cancelled it."""
         if self.scatterer is None or not self.scatterer.gone(request):
-            self.core.client_disconnected(request, cancelled)
+            self.dispatcher.client_disconnected(request, cancelled)
 
 
-def key_of(txn: str) -> bytes:
-    """Under which a request of this front is held."""
+def idempotency_key_of(txn: str) -> bytes:
+    """Returns the idempotency key of a JSON-RPC request."""
     return b"json:" + txn.lower().encode()
 
 
 class JsonRpcConnection(ClientConnection):
     """One client's connection."""
 
-    def __init__(self, server: Server, front: JsonRpcFrontend) -> None:
+    def __init__(self, server: Server, frontend: JsonRpcFrontend) -> None:
         super().__init__(server)
-        self._front = front
-        self._lines = Lines(MOST_LINE_BYTES)
+        self._frontend = frontend
+        self._lines = Lines(MAX_LINE_BYTES)
         self._open: dict[int, Request] = {}  # by the client's id
         self._last_id = 0
 
     @property
     def busy(self) -> bool:
-        """Whether requests are open on it."""
+        """Whether the connection has open requests."""
         return bool(self._open)
 
     @property
     def unparsed(self) -> int:
-        """Bytes that came and are no whole line yet."""
+        """Received bytes of an incomplete line."""
         return self._lines.held
 
     def received(self, data: bytes) -> None:
-        """Take bytes in; whole lines are served in order."""
+        """Handles received bytes: processes all complete lines in order."""
         try:
             lines = self._lines.feed(data)
         except LineTooLongError:
-            log("client", "a line is too long; the connection is closed")
-            self.departed()
+            log("client", "line too long; connection closed")
+            self.abandon_requests()
             self.close_gracefully()
             return
         for line in lines:
@@ -125,27 +128,27 @@
     def _take(self, line: bytes) -> None:
         try:
             call = jsonrpc.parse(line)
-            self.touch()
-            self.welcome(IDLE_US)
+            self.record_activity()
+            self.extend_idle_timeout(IDLE_TIMEOUT_US)
             self._serve(call)
         except jsonrpc.JsonRpcError as problem:
-            log("client", "a message is answered with an error", reason=problem.text)
+            log("client", "invalid message answered with an error", reason=problem.text)
             self.write(jsonrpc.error(problem.id, problem.code, problem.text))
 
     def _serve(self, call: jsonrpc.Call) -> None:
         if call.method == "cancelRequest":
             self._cancel(call)
-        elif call.id is None:  # all calls but cancelRequest are for their answers
+        elif call.id is None:  # cancelRequest is the only call without an answer
             raise jsonrpc.JsonRpcError(None, jsonrpc.INVALID_REQUEST, "id is missing")
         else:
             self._answer_call(call, call.id)
 
     def _cancel(self, call: jsonrpc.Call) -> None:
-        named = jsonrpc.cancelled(call)
+        cancelled_id = jsonrpc.cancelled(call)
         for id, request in self._open.items():
-            if named in (id, request.name):
+            if cancelled_id in (id, request.name):
                 del self._open[id]
-                self._front.gone(request, cancelled=True)
+                self._frontend.abandon(request, cancelled=True)
                 break
 
     def _answer_call(self, call: jsonrpc.Call, id: int) -> None:
@@ -155,25 +158,27 @@
             )
         self._last_id = id
         if call.method == "alive":
-            self.write(jsonrpc.health(id, self._front.well()))
+            self.write(jsonrpc.health(id, self._frontend.is_healthy()))
             return
-        if call.method not in self._front.classes:
+        if call.method not in self._frontend.classes:
             raise jsonrpc.JsonRpcError(id, jsonrpc.METHOD_NOT_FOUND, "no such method")
-        if len(self._open) >= MOST_OPEN:
+        if len(self._open) >= MAX_OPEN_REQUESTS:
             raise jsonrpc.JsonRpcError(id, jsonrpc.INVALID_REQUEST, "too many requests are open here")
-        if self.server.draining:  # what we took before is still answered; this one can go elsewhere
+        if (
+            self.server.draining
+        ):  # earlier requests are still answered; the client can send this one elsewhere
             self.write(jsonrpc.error(id, jsonrpc.REFUSED, "this router is about to end", 0))
             return
         params = jsonrpc.read_query(call)
         tenant = 0
-        if params.team is not None and self._front.tenants:
-            if params.team not in self._front.tenants:
+        if params.team is not None and self._frontend.tenants:
+            if params.team not in self._frontend.tenants:
                 raise jsonrpc.JsonRpcError(id, jsonrpc.INVALID_PARAMS, "team is not known here")
-            tenant = self._front.tenants[params.team]
-        service_class = self._front.classes[call.method]
-        guardian = self._front.core.idempotency_guard
-        has_key = guardian is not None and guardian.requires_key(service_class)
-        if not self._front.use(params.txn, has_key):
+            tenant = self._frontend.tenants[params.team]
+        service_class = self._frontend.classes[call.method]
+        guard = self._frontend.dispatcher.idempotency_guard
+        has_key = guard is not None and guard.requires_key(service_class)
+        if not self._frontend.claim_txn(params.txn, has_key):
             raise jsonrpc.JsonRpcError(id, jsonrpc.INVALID_PARAMS, "txn has been used")
         request = Request(
             params.txn,
@@ -181,7 +186,7 @@
             params.limit_us,
             params.statement,
             self,
-            self._front.back,
+            self._frontend.backend,
             params.cost_us,
             params.memory_mb,
             sql.table_group(params.statement.decode("utf-8", "replace")),
@@ -192,20 +197,20 @@
             replay_key=params.replay_key,
         )
         if has_key:
-            request.idempotency_key = key_of(params.txn)
+            request.idempotency_key = idempotency_key_of(params.txn)
             request.has_client_key = True
             request.is_resent = params.is_repeat
             request.statement_digest = digest(
                 call.method.encode(), (params.team or "").encode(), params.statement
             )
         self._open[id] = request
-        self._front.submit(request)
+        self._frontend.submit(request)
 
     def answered(self, request: Request, answer: Answer) -> None:
-        """The answer of a request that is still open here."""
+        """Writes the answer of a request to the client."""
         id = request.client_handle
         if self._open.pop(id, None) is None:
-            return  # cancelled, or its connection is gone
+            return  # the client has cancelled the request or disconnected
         match answer:
             case Served(result, parts):
                 assert isinstance(result, bytes)
@@ -220,11 +225,11 @@
                 self.write(jsonrpc.error(id, jsonrpc.INVALID_PARAMS, reason))
             case Failed(reason):
                 self.write(jsonrpc.error(id, jsonrpc.FAILED, reason))
-        self.touch()
+        self.record_activity()
         self.close_if_drained()
 
-    def departed(self) -> None:
-        """The client has gone: its open requests are abandoned."""
+    def abandon_requests(self) -> None:
+        """Abandons all open requests after the client has disconnected."""
         for request in self._open.values():
-            self._front.gone(request)
+            self._frontend.abandon(request)
         self._open.clear()
--- a/slipbay/frontends/mysql.py
+++ b/slipbay/frontends/mysql.py
@@ -1,7 +1,7 @@
-"""The MySQL front: clients that speak the MySQL protocol, with prepared statements, under the same rules.
+"""The MySQL frontend: accepts clients of the MySQL protocol, with prepared statements.
 
-A client sees a server without sessions: every statement goes where the decisions send it. So whatever lives
-in a session (transactions, variables, cursors, temporary tables, locks) is answered with an error.
+The policy chooses an engine for each statement, so a client has no session on an engine. Statements that
+need session state (transactions, variables, cursors, temporary tables, locks) are answered with an error.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from slipbay.wire import mysql, sql
 from slipbay.wire.spiffe import TlsServer
 
-LOGIN_US = 10_000_000  # for a client to log in
-MOST_STATEMENTS = 256  # prepared on one connection
-MOST_WAITING = 16  # commands that came while one is being answered; the protocol has no such clients
-MOST_LOGIN_BYTES = 16 * 1024
-MOST_KEY_BYTES = 200  # of a key that a client gives a statement
-MOST_FIGURE = 1e9  # below which a number in a hint is heeded
+LOGIN_TIMEOUT_US = 10_000_000  # for a client to log in
+MAX_STATEMENTS = 256  # prepared on one connection
+MAX_QUEUED_COMMANDS = 16  # received before the answer to the previous one, against the protocol
+MAX_LOGIN_BYTES = 16 * 1024
+MAX_KEY_BYTES = 200  # idempotency key in a hint
+HINT_NUMBER_LIMIT = 1e9  # numbers in hints from this value on are ignored
 UTF8_CHARSETS = frozenset((33, 45, 46, 76, 83, 192, *range(193, 216), *range(223, 248), *range(255, 324)))
 SESSION_VERBS = frozenset(
     (
@@ -60,7 +60,7 @@
         "declare",
     )
 )
-SESSION_WORDS = frozenset(
+SESSION_KEYWORDS = frozenset(
     (
         "temporary",
         "get_lock",
@@ -75,7 +75,7 @@
         "sql_calc_found_rows",
     )
 )
-HARMLESS_SETS = frozenset(
+IGNORED_SETS = frozenset(
     (
         "set names utf8",
         "set names utf8mb3",
@@ -90,7 +90,10 @@
 
 @dataclass(slots=True, eq=False)
 class Statement:
-    """A statement prepared for a client, under a number of ours: each engine connection has its own."""
+    """A statement prepared by a client, under a number given by this router.
+
+    Each engine connection has its own number for the same statement.
+    """
 
     sql: bytes
     parameters: int
@@ -99,43 +102,45 @@
 
 
 class MysqlFrontend:
-    """What the connections of this front share."""
+    """State that all connections of this frontend share."""
 
-    def __init__(self, config: Config, mysql_config: MysqlConfig, core: Dispatcher, back: Backend) -> None:
+    def __init__(
+        self, config: Config, mysql_config: MysqlConfig, dispatcher: Dispatcher, backend: Backend
+    ) -> None:
         self.config = config
         self.mysql = mysql_config
-        self.core = core
-        self.back = back
+        self.dispatcher = dispatcher
+        self.backend = backend
         self.identity = Identity(mysql_config.spiffe) if mysql_config.spiffe else None
-        self._connections = 0
+        self._last_connection_number = 0
 
-    def next_number(self) -> int:
-        """The number of a connection, as its greeting tells it."""
-        self._connections = self._connections % 0xFFFFFFFF + 1
-        return self._connections
+    def next_connection_number(self) -> int:
+        """Returns the connection number for the next greeting."""
+        self._last_connection_number = self._last_connection_number % 0xFFFFFFFF + 1
+        return self._last_connection_number
 
     def request(
         self, work: mysql.Work, outline: sql.Outline, tenant: int, client: MysqlConnection
     ) -> Request:
-        """A request with its class, deadline and estimates as the file and the statement's hints say."""
+        """Creates a request; mysql.toml and the hints in the statement set class, deadline and estimates."""
         settings = self.mysql
         text = work.sql.decode("utf-8", "replace")
-        told = sql.hints(text, settings.hint)
-        number = settings.prepare_class if work.prepare else self._class_of(text, outline, told)
+        hint_values = sql.hints(text, settings.hint)
+        number = settings.prepare_class if work.prepare else self._choose_class(text, outline, hint_values)
         deadline = settings.deadlines_us[number]
         estimate = settings.estimates[number]
         if not work.prepare:
-            deadline = min(deadline, int(_figure(told, "deadline_ms", deadline / 1000) * 1000))
-        cost = _figure(told, "cpu_ms", -1.0)
+            deadline = min(deadline, int(_hint_number(hint_values, "deadline_ms", deadline / 1000) * 1000))
+        cost = _hint_number(hint_values, "cpu_ms", -1.0)
         request = Request(
             secrets.token_hex(8),
             number,
             deadline,
             work,
             client,
-            self.back,
+            self.backend,
             int(cost * 1000) if cost >= 0 else estimate.cost_us,
-            _figure(told, "ram_mb", estimate.memory_mb),
+            _hint_number(hint_values, "ram_mb", estimate.memory_mb),
             sql.table_group(text),
             tenant,
             is_write=not (work.prepare or outline.only_reads),
@@ -143,23 +148,26 @@
         )
         if (
             not work.prepare
-            and self.core.idempotency_guard is not None
-            and self.core.idempotency_guard.requires_key(number)
+            and self.dispatcher.idempotency_guard is not None
+            and self.dispatcher.idempotency_guard.requires_key(number)
         ):
-            self._hold(request, work, told)
+            self._set_idempotency_key(request, work, hint_values)
         return request
 
-    def _hold(self, request: Request, work: mysql.Work, told: dict[str, str]) -> None:
-        """A key for a request that must not run twice: the client's, if its hint names one.
+    def _set_idempotency_key(self, request: Request, work: mysql.Work, hint_values: dict[str, str]) -> None:
+        """Sets the idempotency key of a keyed request: the one in the client's hint, else its own name.
 
-        A repeat that its hint marks is the same statement as the first, which bears no mark.
+        A client marks a repeated request with a hint. The mark is removed before the digest is computed, as
+        the digest of the repeat must equal that of the first request, which has no mark.
         """
-        named = told.get("key")
-        request.is_resent = told.get("second") == "1"
+        client_key = hint_values.get("key")
+        request.is_resent = hint_values.get("second") == "1"
         statement = work.sql.replace(b" second=1", b"", 1) if request.is_resent else work.sql
         tenant = self.config.tenants[request.tenant] if self.config.tenants else ""
-        request.has_client_key = named is not None
-        request.idempotency_key = f"mysql:{tenant}:{request.name if named is None else named}".encode()
+        request.has_client_key = client_key is not None
+        request.idempotency_key = (
+            f"mysql:{tenant}:{request.name if client_key is None else client_key}".encode()
+        )
         run = work.run
         parameters = (
             []
@@ -173,74 +181,80 @@
         )
         request.statement_digest = digest(statement, *parameters)
 
-    def _class_of(self, text: str, outline: sql.Outline, told: dict[str, str]) -> int:
-        """Hints and rules choose, but what is not plainly a read stays in a class that is never run twice."""
+    def _choose_class(self, text: str, outline: sql.Outline, hint_values: dict[str, str]) -> int:
+        """Returns the class chosen by the hint or the configured rules.
+
+        A statement that is not certainly a read does not get a class whose requests may run twice.
+        """
         settings = self.mysql
         classes = self.config.classes
         number = settings.read_class if outline.only_reads else settings.write_class
-        if told.get("class") in classes:
-            number = classes.index(told["class"])
+        if hint_values.get("class") in classes:
+            number = classes.index(hint_values["class"])
         else:
-            fitting = (rule.service_class for rule in settings.rules if rule.pattern.search(text))
-            number = next(fitting, number)
-        safe = self.config.settings.classes[number].effect is not Effect.UNSAFE
-        return settings.write_class if safe and not outline.only_reads else number
+            matches = (rule.service_class for rule in settings.rules if rule.pattern.search(text))
+            number = next(matches, number)
+        may_repeat = self.config.settings.classes[number].effect is not Effect.UNSAFE
+        return settings.write_class if may_repeat and not outline.only_reads else number
 
 
-def _figure(told: dict[str, str], name: str, default: float) -> float:
+def _hint_number(hint_values: dict[str, str], name: str, default: float) -> float:
     try:
-        value = float(told[name])
+        value = float(hint_values[name])
     except (KeyError, ValueError):
         return default
-    return value if 0 <= value < MOST_FIGURE else default
+    return value if 0 <= value < HINT_NUMBER_LIMIT else default
 
 
 class MysqlConnection(ClientConnection):
     """One client's connection: login, then one command at a time."""
 
-    def __init__(self, server: Server, front: MysqlFrontend) -> None:
+    def __init__(self, server: Server, frontend: MysqlFrontend) -> None:
         super().__init__(server)
-        self.idle_us = LOGIN_US
-        self._front = front
-        self._packets = mysql.Packets(MOST_LOGIN_BYTES)
-        self._take: Callable[[int, bytes], None] = self._login
-        self._challenge = bytes(secrets.choice(range(1, 128)) for _ in range(20))  # it holds no zero
+        self.idle_us = LOGIN_TIMEOUT_US
+        self._frontend = frontend
+        self._packets = mysql.Packets(MAX_LOGIN_BYTES)
+        self._handle_packet: Callable[[int, bytes], None] = self._handle_login
+        self._challenge = bytes(secrets.choice(range(1, 128)) for _ in range(20))  # without zero bytes
         self._tls: TlsServer | None = None
-        self._told: mysql.Login | None = None
+        self._credentials: mysql.Login | None = None
         self._tenant = 0
         self._request: Request | None = None
-        self._waiting: deque[tuple[int, bytes]] = deque()
+        self._queued_commands: deque[tuple[int, bytes]] = deque()
         self._statements: dict[int, Statement] = {}
         self._last_statement = 0
 
     @property
     def busy(self) -> bool:
-        """Whether a request is open on it, or commands wait for their turn."""
-        return self._request is not None or bool(self._waiting)
+        """Whether a request is open or commands are queued."""
+        return self._request is not None or bool(self._queued_commands)
 
     @property
     def unparsed(self) -> int:
-        """Bytes that came and were not served yet."""
+        """Received bytes that have not been processed: partial packets and long parameters."""
         return self._packets.held + sum(
             len(data) for statement in self._statements.values() for data in statement.long_data.values()
         )
 
     @property
     def mid_message(self) -> bool:
-        """Whether a packet has come in part."""
+        """Whether only a part of a packet has been received."""
         return bool(self._packets.held)
 
     # Bytes
 
     def opened(self) -> None:
-        """Greet the client."""
+        """Sends the greeting."""
         super().opened()
-        capabilities = mysql.CAPABILITIES | (mysql.SSL if self._front.identity else 0)
+        capabilities = mysql.CAPABILITIES | (mysql.SSL if self._frontend.identity else 0)
         self._send(
             [
                 mysql.greeting(
                     mysql.Greeting(
-                        self._front.next_number(), self._challenge, mysql.CACHING_SHA2, capabilities
+                        self._frontend.next_connection_number(),
+                        self._challenge,
+                        mysql.CACHING_SHA2,
+                        capabilities,
                     )
                 )
             ],
@@ -248,18 +262,20 @@
         )
 
     def received(self, data: bytes) -> None:
-        """Take bytes in; errors of the protocol are answered, and end the connection."""
-        self.touch()
+        """Handles received bytes; a protocol error is answered and closes the connection."""
+        self.record_activity()
         try:
             self._read(data)
         except mysql.PacketTooLargeError:
-            self._last_word(0, mysql.ER_PACKET_TOO_LARGE, "Got a packet bigger than max_packet_bytes")
+            self._close_with_error(0, mysql.ER_PACKET_TOO_LARGE, "Got a packet bigger than max_packet_bytes")
         except mysql.MalformedPacketError as problem:
-            self._last_word(
-                0, mysql.ER_HANDSHAKE if self._told is None else mysql.ER_MALFORMED_PACKET, str(problem)
+            self._close_with_error(
+                0,
+                mysql.ER_HANDSHAKE if self._credentials is None else mysql.ER_MALFORMED_PACKET,
+                str(problem),
             )
         except ssl.SSLError as problem:
-            log("client", "TLS has failed; the connection is closed", reason=problem.reason or problem)
+            log("client", "TLS error; connection aborted", reason=problem.reason or problem)
             self.abort()
 
     def _read(self, data: bytes) -> None:
@@ -271,8 +287,8 @@
             data = plain
         for sequence, payload in self._packets.feed(data):
             tls = self._tls
-            self._take(sequence, payload)
-            if self._tls is not tls:  # what follows on the connection is TLS
+            self._handle_packet(sequence, payload)
+            if self._tls is not tls:  # all further bytes of the connection are TLS records
                 self._read(self._packets.rest())
                 return
             if self.closing:
@@ -288,164 +304,175 @@
 
     def _flush(self) -> None:
         assert self._tls is not None
-        if out := self._tls.outgoing():
-            self.write(out)
+        if encrypted := self._tls.outgoing():
+            self.write(encrypted)
 
     def _error(self, sequence: int, code: int, text: str) -> None:
         self._send([mysql.err(code, text)], sequence + 1)
 
-    def _last_word(self, sequence: int, code: int, text: str) -> None:
-        log("client", "the connection is closed with an error", reason=text)
+    def _close_with_error(self, sequence: int, code: int, text: str) -> None:
+        log("client", "connection closed with an error", reason=text)
         self._error(sequence, code, text)
-        self.departed()
+        self.abandon_requests()
         self.close_gracefully()
 
     # Login
 
-    def _login(self, sequence: int, payload: bytes) -> None:
-        told = mysql.read_login(payload)
-        identity = self._front.identity
-        if told.user is None and identity is not None and self._tls is None:
+    def _handle_login(self, sequence: int, payload: bytes) -> None:
+        login = mysql.read_login(payload)
+        identity = self._frontend.identity
+        if login.user is None and identity is not None and self._tls is None:
             self._tls = TlsServer(identity.context())
             return
-        if told.user is None:
+        if login.user is None:
             raise mysql.MalformedPacketError("TLS is not to be had here")
-        self._told = told
+        self._credentials = login
         if identity is not None and self._tls is None:
-            self._last_word(sequence, mysql.ER_SECURE_TRANSPORT, "Connect with TLS and an X.509-SVID")
-        elif told.charset not in UTF8_CHARSETS:
-            self._last_word(sequence, mysql.ER_UNKNOWN_CHARSET, "Only utf8 and utf8mb4 are served here")
-        elif told.database not in ("", self._front.mysql.schema):
-            self._last_word(sequence, mysql.ER_BAD_DB, f"Unknown database '{told.database}'")
+            self._close_with_error(sequence, mysql.ER_SECURE_TRANSPORT, "Connect with TLS and an X.509-SVID")
+        elif login.charset not in UTF8_CHARSETS:
+            self._close_with_error(
+                sequence, mysql.ER_UNKNOWN_CHARSET, "Only utf8 and utf8mb4 are served here"
+            )
+        elif login.database not in ("", self._frontend.mysql.schema):
+            self._close_with_error(sequence, mysql.ER_BAD_DB, f"Unknown database '{login.database}'")
         elif identity is not None:
             assert self._tls is not None
-            self._admit(sequence, identity.tenant(self._tls.client_certificate))
-        elif told.plugin in (mysql.CACHING_SHA2, mysql.NATIVE) and (told.proof or not self._password()):
-            self._check(sequence, told.plugin, told.proof)
+            self._complete_login(sequence, identity.tenant(self._tls.client_certificate))
+        elif login.plugin in (mysql.CACHING_SHA2, mysql.NATIVE) and (
+            login.proof or not self._configured_password()
+        ):
+            self._check_password(sequence, login.plugin, login.proof)
         else:
-            self._take = lambda sequence, proof: self._check(sequence, mysql.CACHING_SHA2, proof)
+            self._handle_packet = lambda sequence, proof: self._check_password(
+                sequence, mysql.CACHING_SHA2, proof
+            )
             self._send([mysql.auth_switch(mysql.CACHING_SHA2, self._challenge)], sequence + 1)
 
-    def _password(self) -> bytes | None:
-        assert self._told is not None
-        user = self._front.mysql.users.get(self._told.user or "")
+    def _configured_password(self) -> bytes | None:
+        assert self._credentials is not None
+        user = self._frontend.mysql.users.get(self._credentials.user or "")
         return user.password if user is not None else None
 
-    def _check(self, sequence: int, plugin: str, proof: bytes) -> None:
-        """The password's proof. An unknown user costs the same work and gets the same answer."""
-        assert self._told is not None
-        password = self._password()
-        wanted = mysql.prove(plugin, password or b"?", self._challenge)
-        good = hmac.compare_digest(wanted or b"", proof) if password != b"" else proof in (b"", b"\0")
-        if password is None or not good:
-            self._admit(sequence, None)
+    def _check_password(self, sequence: int, plugin: str, proof: bytes) -> None:
+        """Checks the client's password proof and completes or rejects the login.
+
+        The work and the answer are the same for an unknown user, so that clients cannot find out user names.
+        """
+        assert self._credentials is not None
+        password = self._configured_password()
+        expected = mysql.prove(plugin, password or b"?", self._challenge)
+        is_valid = hmac.compare_digest(expected or b"", proof) if password != b"" else proof in (b"", b"\0")
+        if password is None or not is_valid:
+            self._complete_login(sequence, None)
             return
         if plugin == mysql.CACHING_SHA2 and proof not in (b"", b"\0"):
             self._send([bytes([mysql.MORE_DATA, mysql.FAST_AUTH_OK])], sequence + 1)
             sequence += 1
-        self._admit(sequence, self._front.mysql.users[self._told.user or ""].tenant)
+        self._complete_login(sequence, self._frontend.mysql.users[self._credentials.user or ""].tenant)
 
-    def _admit(self, sequence: int, tenant: int | None) -> None:
-        assert self._told is not None
+    def _complete_login(self, sequence: int, tenant: int | None) -> None:
+        assert self._credentials is not None
         if tenant is None:
-            self._last_word(sequence, mysql.ER_ACCESS_DENIED, f"Access denied for user '{self._told.user}'")
+            self._close_with_error(
+                sequence, mysql.ER_ACCESS_DENIED, f"Access denied for user '{self._credentials.user}'"
+            )
             return
         self._tenant = tenant
-        self._take = self._command
-        self.welcome(self._front.mysql.idle_us)
-        self._packets.most_bytes = self._front.mysql.most_packet_bytes
+        self._handle_packet = self._receive_command
+        self.extend_idle_timeout(self._frontend.mysql.idle_us)
+        self._packets.most_bytes = self._frontend.mysql.most_packet_bytes
         self._send([mysql.ok()], sequence + 1)
 
     # Commands
 
-    def _command(self, sequence: int, payload: bytes) -> None:
-        if self._request is not None or self._waiting:
-            self._waiting.append((sequence, payload))
-            if len(self._waiting) > MOST_WAITING:
-                self._last_word(sequence, mysql.ER_MALFORMED_PACKET, "Commands came before their turn")
+    def _receive_command(self, sequence: int, payload: bytes) -> None:
+        if self._request is not None or self._queued_commands:
+            self._queued_commands.append((sequence, payload))
+            if len(self._queued_commands) > MAX_QUEUED_COMMANDS:
+                self._close_with_error(sequence, mysql.ER_MALFORMED_PACKET, "Commands came before their turn")
             return
-        self._carry_out(sequence, payload)
+        self._execute_command(sequence, payload)
 
-    def _carry_out(self, sequence: int, payload: bytes) -> None:
+    def _execute_command(self, sequence: int, payload: bytes) -> None:
         match payload[0] if payload else None:
             case mysql.COM_QUIT:
                 self.close()
             case mysql.COM_PING:
                 self._send([mysql.ok()], sequence + 1)
             case mysql.COM_QUERY:
-                self._query(sequence, payload[1:])
+                self._handle_query(sequence, payload[1:])
             case mysql.COM_STMT_PREPARE:
-                self._prepare(sequence, payload[1:])
+                self._handle_prepare(sequence, payload[1:])
             case mysql.COM_STMT_EXECUTE:
-                self._execute(sequence, payload)
+                self._handle_execute(sequence, payload)
             case _:
-                self._carry_out_rare(sequence, payload)
+                self._execute_rare_command(sequence, payload)
 
-    def _carry_out_rare(self, sequence: int, payload: bytes) -> None:
-        """Commands on statements and sessions."""
+    def _execute_rare_command(self, sequence: int, payload: bytes) -> None:
+        """Executes commands on prepared statements and sessions."""
         match payload[0] if payload else None:
             case mysql.COM_STMT_SEND_LONG_DATA:
-                self._long_data(payload)
-            case mysql.COM_STMT_CLOSE:  # it has no answer
+                self._append_long_data(payload)
+            case mysql.COM_STMT_CLOSE:  # the protocol has no answer to it
                 self._statements.pop(mysql.statement_of(payload), None)
             case mysql.COM_STMT_RESET:
-                self._reset(sequence, payload)
-            case mysql.COM_RESET_CONNECTION:  # the statements are all that it has
+                self._reset_statement(sequence, payload)
+            case mysql.COM_RESET_CONNECTION:  # prepared statements are the only state of a connection
                 self._statements.clear()
                 self._send([mysql.ok()], sequence + 1)
             case mysql.COM_INIT_DB:
-                self._unsupported(sequence, "a change of schema")
+                self._reject_unsupported(sequence, "a change of schema")
             case mysql.COM_STMT_FETCH:
-                self._unsupported(sequence, "cursors")
+                self._reject_unsupported(sequence, "cursors")
             case _:
                 self._error(sequence, mysql.ER_UNKNOWN_COM, "Unknown command")
 
-    def _unsupported(self, sequence: int, what: str) -> None:
+    def _reject_unsupported(self, sequence: int, what: str) -> None:
         self._error(
             sequence, mysql.ER_NOT_SUPPORTED, f"This server keeps no sessions: {what} is not supported"
         )
 
-    def _statement_allowed(self, sequence: int, text: str, outline: sql.Outline) -> bool:
-        words = sorted(outline.words & SESSION_WORDS)
-        key = sql.hints(text, self._front.mysql.hint).get("key", "?")
-        if not 0 < len(key.encode()) <= MOST_KEY_BYTES:
-            self._error(sequence, mysql.ER_WRONG_ARGUMENTS, f"A key has 1 to {MOST_KEY_BYTES} bytes")
+    def _check_statement(self, sequence: int, text: str, outline: sql.Outline) -> bool:
+        words = sorted(outline.words & SESSION_KEYWORDS)
+        key = sql.hints(text, self._frontend.mysql.hint).get("key", "?")
+        if not 0 < len(key.encode()) <= MAX_KEY_BYTES:
+            self._error(sequence, mysql.ER_WRONG_ARGUMENTS, f"A key has 1 to {MAX_KEY_BYTES} bytes")
         elif outline.verb in SESSION_VERBS:
-            self._unsupported(sequence, outline.verb.upper())
-        elif outline.has_hidden_code:  # it could change the session of an engine connection unseen
-            self._unsupported(sequence, "a comment with code")
+            self._reject_unsupported(sequence, outline.verb.upper())
+        elif outline.has_hidden_code:  # could change session state of an engine connection unnoticed
+            self._reject_unsupported(sequence, "a comment with code")
         elif outline.has_variables:
-            self._unsupported(sequence, "a user variable")
+            self._reject_unsupported(sequence, "a user variable")
         elif words:
-            self._unsupported(sequence, words[0].upper())
+            self._reject_unsupported(sequence, words[0].upper())
         else:
             return True
         return False
 
-    def _query(self, sequence: int, statement: bytes) -> None:
+    def _handle_query(self, sequence: int, statement: bytes) -> None:
         text = statement.decode("utf-8", "replace")
         outline = sql.outline(text)
-        if text.strip().rstrip(";").lower() in HARMLESS_SETS:
+        if text.strip().rstrip(";").lower() in IGNORED_SETS:
             self._send([mysql.ok()], sequence + 1)
-        elif self._statement_allowed(sequence, text, outline):
+        elif self._check_statement(sequence, text, outline):
             self._submit(sequence, mysql.Work(statement), outline)
 
-    def _prepare(self, sequence: int, statement: bytes) -> None:
+    def _handle_prepare(self, sequence: int, statement: bytes) -> None:
         text = statement.decode("utf-8", "replace")
         outline = sql.outline(text)
-        if len(self._statements) >= MOST_STATEMENTS:
+        if len(self._statements) >= MAX_STATEMENTS:
             self._error(sequence, mysql.ER_MAX_PREPARED, "Too many prepared statements on this connection")
-        elif self._statement_allowed(sequence, text, outline):
+        elif self._check_statement(sequence, text, outline):
             self._submit(sequence, mysql.Work(statement, prepare=True), outline)
 
-    def _execute(self, sequence: int, payload: bytes) -> None:
+    def _handle_execute(self, sequence: int, payload: bytes) -> None:
         statement = self._statements.get(mysql.statement_of(payload))
         if statement is None:
             self._error(sequence, mysql.ER_UNKNOWN_STMT, "Unknown prepared statement handler")
             return
         long_data = statement.long_data
         statement.long_data = {}
-        if sum(map(len, long_data.values())) > self._front.mysql.most_packet_bytes:
+        if sum(map(len, long_data.values())) > self._frontend.mysql.most_packet_bytes:
             self._error(sequence, mysql.ER_PACKET_TOO_LARGE, "Parameters are longer than max_packet_bytes")
             return
         try:
@@ -453,22 +480,23 @@
         except mysql.MalformedPacketError as problem:
             self._error(sequence, mysql.ER_WRONG_ARGUMENTS, str(problem))
         except NotImplementedError:
-            self._unsupported(sequence, "a cursor")
+            self._reject_unsupported(sequence, "a cursor")
         else:
             statement.types = run.types
             outline = sql.outline(statement.sql.decode("utf-8", "replace"))
             self._submit(sequence, mysql.Work(statement.sql, run), outline)
 
-    def _long_data(self, payload: bytes) -> None:
-        """Part of a parameter. It has no answer: what is too long shows at the execution."""
+    def _append_long_data(self, payload: bytes) -> None:
+        """Buffers a piece of a parameter. The command has no answer, so excess length is an error of the
+        later execution."""
         number, parameter, data = mysql.read_long_data(payload)
         statement = self._statements.get(number)
         if statement is not None and parameter < statement.parameters:
             held = sum(map(len, statement.long_data.values()))
-            if held <= self._front.mysql.most_packet_bytes:
+            if held <= self._frontend.mysql.most_packet_bytes:
                 statement.long_data[parameter] = statement.long_data.get(parameter, b"") + data
 
-    def _reset(self, sequence: int, payload: bytes) -> None:
+    def _reset_statement(self, sequence: int, payload: bytes) -> None:
         statement = self._statements.get(mysql.statement_of(payload))
         if statement is None:
             self._error(sequence, mysql.ER_UNKNOWN_STMT, "Unknown prepared statement handler")
@@ -482,12 +510,12 @@
         if self.server.draining:
             self._error(sequence, mysql.ER_SERVER_SHUTDOWN, "Server shutdown in progress")
             return
-        self._request = self._front.request(work, outline, self._tenant, self)
+        self._request = self._frontend.request(work, outline, self._tenant, self)
         self._request.client_handle = sequence
-        self._front.core.submit(self._request)
+        self._frontend.dispatcher.submit(self._request)
 
     def answered(self, request: Request, answer: Answer) -> None:
-        """The answer of the request that is open here."""
+        """Writes the answer of the open request to the client, and starts the next queued command."""
         if request is not self._request:
             return
         self._request = None
@@ -495,10 +523,10 @@
         work = request.payload
         assert isinstance(work, mysql.Work)
         match answer:
-            case Served(mysql.Prepared() as told):
+            case Served(mysql.Prepared() as statement):
                 self._last_statement = self._last_statement % 0xFFFFFFFF + 1
-                self._statements[self._last_statement] = Statement(work.sql, told.parameters)
-                self._send(mysql.prepared(self._last_statement, told), sequence + 1)
+                self._statements[self._last_statement] = Statement(work.sql, statement.parameters)
+                self._send(mysql.prepared(self._last_statement, statement), sequence + 1)
             case Served(list() as payloads):
                 self._send(payloads, sequence + 1)
             case Rejected(retry_after_us, late=True):
@@ -521,21 +549,21 @@
                 self._error(sequence, mysql.ER_FAILED, f"The statement failed: {reason}")
             case _:
                 self._error(sequence, mysql.ER_FAILED, "The statement failed; it may have run")
-        self._next_command()
+        self._run_queued_commands()
 
-    def _next_command(self) -> None:
+    def _run_queued_commands(self) -> None:
         try:
-            while self._waiting and self._request is None and not self.lost:
-                self._carry_out(*self._waiting.popleft())
+            while self._queued_commands and self._request is None and not self.lost:
+                self._execute_command(*self._queued_commands.popleft())
         except mysql.MalformedPacketError as problem:
-            self._last_word(0, mysql.ER_MALFORMED_PACKET, str(problem))
-        self.touch()
+            self._close_with_error(0, mysql.ER_MALFORMED_PACKET, str(problem))
+        self.record_activity()
         self.close_if_drained()
 
-    def departed(self) -> None:
-        """The client has gone: its open request is abandoned."""
-        self._waiting.clear()
+    def abandon_requests(self) -> None:
+        """Abandons the open request and queued commands after the client has disconnected."""
+        self._queued_commands.clear()
         if self._request is not None:
             request = self._request
             self._request = None
-            self._front.core.client_disconnected(request)
+            self._frontend.dispatcher.client_disconnected(request)
--- a/slipbay/frontends/server.py
+++ b/slipbay/frontends/server.py
@@ -1,4 +1,4 @@
-"""What the fronts share: listening, the number of clients, idle ones, slow readers, and the way out."""
+"""What all frontends share: listening, limits on clients, idle and slow clients, and draining."""
 
 from __future__ import annotations
 
@@ -13,68 +13,76 @@
 from slipbay.log import log
 from slipbay.stream import Stream
 
-IDLE_US = 6_000_000  # clients close theirs after 4 s; this is for those that hold on to it for good
-FIRST_US = 2_000_000  # a client that says nothing whole for so long after it came is let go
+IDLE_TIMEOUT_US = 6_000_000  # clients close idle connections after 4 s; this closes the rest
+FIRST_MESSAGE_TIMEOUT_US = 2_000_000  # from connecting to the first complete message
 SWEEP_US = 500_000
-MOST_EVICTED_AT_ONCE = 8  # of those that lose nothing, where there is no room
-RETRY_US = 20_000  # until the next look for room
-BACKLOG = 512  # of clients that the system holds until we take them
-MOST_ACCEPTED_AT_ONCE = 32  # taken in one turn, so that those taken are read before many more are
-LINGER_US = 250_000  # that a client has to end its side of a connection that we ended
-MOST_LINGERING = 12  # of these that hold descriptors of the reserve, and take up no client's room
-MOST_UNSENT = 2 * 1024 * 1024  # bytes of answers on one connection: as many as can be open, at their longest
+MAX_CHEAP_EVICTIONS = 8  # at once, of connections whose clients lose no partial message and no recent use
+ROOM_CHECK_US = 20_000  # interval, while accepting is paused
+BACKLOG = 512  # connections that the kernel queues until they are accepted
+MAX_ACCEPTS_PER_TURN = 32  # of the event loop, so that earlier clients are read before more are accepted
+LINGER_US = 250_000  # for a client to close its side after the router has closed its own
+MAX_UNCOUNTED_LINGERING = 12  # lingering connections that use reserve descriptors and do not count as clients
+MAX_UNSENT_BYTES = 2 * 1024 * 1024  # on one connection: the maximum of open requests with the longest answers
 
 
 class EvictionCost(IntEnum):
-    """What a client without an open request loses with its connection. Where there is no room, those that
-    lose least go first, and of these the one that has said nothing for longest."""
+    """Cost to a client without open requests of losing its connection.
 
-    NOTHING = 0  # it has kept the connection for longer than clients do that want it
-    UNUSED = 1  # a connection on which it has not said anything: such must not push out those that ask
-    IDLE = 2  # a connection that it may use again soon
-    PART = 3  # a part of a message: the rest is on its way, and may be a request
+    When the connection limit is reached, connections with the lowest cost are closed first, and of these
+    the one that has been inactive for longest.
+    """
+
+    NOTHING = 0  # idle for longer than a client keeps a connection that it still uses
+    UNUSED = 1  # no message received yet; such connections must not displace those that send requests
+    IDLE = 2  # the client may soon use the connection again
+    PARTIAL_MESSAGE = 3  # part of a message received; the rest is on its way and may be a request
 
 
 class Server:
-    """All client connections of the process, whatever they speak."""
+    """All client connections of the process, of all frontends."""
 
     def __init__(self, timers: Timers, limits: Limits, now: Callable[[], int]) -> None:
         self._timers = timers
         self._limits = limits
         self.now = now
-        self.connections: set[ClientConnection] = set()  # from the moment they are taken from the system
+        self.connections: set[ClientConnection] = set()  # from when they are accepted
         self._listeners: dict[socket.socket, Callable[[], ClientConnection]] = {}
-        self._room_check: Timer | None = None  # there is no room: those who come wait with the system
-        self.lingering: set[ClientConnection] = set()  # those of which we have ended our side
-        self.draining = False  # the process is to end: connections close once nothing is open on them
+        self._room_check: Timer | None = None  # set while accepting is paused and clients wait in the backlog
+        self.lingering: set[ClientConnection] = set()  # half-closed: the router's side is closed
+        self.draining = False  # during shutdown: connections close once they have no open request
         self.on_empty: Callable[[], None] = lambda: None
         timers.after(SWEEP_US, self._sweep)
 
-    def listen(self, address: Address, make: Callable[[], ClientConnection]) -> None:
-        """Raises OSError where that cannot be done."""
+    def listen(self, address: Address, make_connection: Callable[[], ClientConnection]) -> None:
+        """Accepts connections at an address; ``make_connection`` creates the protocol object of each.
+
+        Raises:
+            OSError: if the address cannot be listened on.
+        """
         listener = socket.create_server(address, backlog=BACKLOG)
         listener.setblocking(False)
-        self._listeners[listener] = make
+        self._listeners[listener] = make_connection
         asyncio.get_running_loop().add_reader(listener, self._accept_ready, listener)
 
     @property
     def listening(self) -> bool:
-        """Whether clients are taken."""
+        """Whether the server has open listeners."""
         return bool(self._listeners)
 
     @property
     def ports(self) -> list[int]:
-        """Those that are listened on, in the order of their start."""
+        """Ports of the listeners, in the order in which they were opened."""
         return [listener.getsockname()[1] for listener in self._listeners]
 
-    def drain(self, at_most_us: int) -> None:
-        """Take no connections any more, and let go of those that are done, and in the end of all."""
+    def drain(self, timeout_us: int) -> None:
+        """Stops accepting, closes connections once their requests are answered, and aborts the rest after
+        ``timeout_us``."""
         self.draining = True
-        self._timers.after(at_most_us, self._abort_all)
+        self._timers.after(timeout_us, self._abort_all)
         for listener in self._listeners:
-            while self._accept_one(listener):  # what they sent would be lost with the listener
+            while self._accept_one(listener):  # closing the listener resets connections in its backlog
                 pass
-        self._pause_accepting(RETRY_US)
+        self._pause_accepting(ROOM_CHECK_US)
         for listener in self._listeners:
             listener.close()
         self._listeners.clear()
@@ -84,20 +92,23 @@
             self.on_empty()
 
     def _abort_all(self) -> None:
-        """Guards against readers so slow that their last answer would keep the process from its end."""
+        """Aborts all connections, so that clients that read slowly cannot delay the end of the process."""
         for connection in list(self.connections):
             connection.abort()
 
-    # Clients come
+    # Accepting clients
 
     def _accept_ready(self, listener: socket.socket) -> None:
-        for _ in range(MOST_ACCEPTED_AT_ONCE):
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             if not self._accept_one(listener):
                 break
 
     def _accept_one(self, listener: socket.socket) -> bool:
-        """Take one client from the system, if one waits and there is room. Never more than may be held: what
-        those beyond it send stays with the system until there is room."""
+        """Accepts one client; returns False if none waits, the limit is reached or accepting fails.
+
+        At the limit, further clients and the data that they send stay in the kernel until another client
+        has left.
+        """
         if not self.has_room:
             self._pause_accepting(0)
             return False
@@ -105,22 +116,23 @@
             sock, _ = listener.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return False
-        except OSError as problem:  # the system is short of descriptors or of memory
+        except OSError as problem:  # the process or the system has no descriptors or no memory left
             log("client", "no connection can be accepted", reason=problem.strerror)
             self.evict_idle()
-            self._pause_accepting(RETRY_US)
+            self._pause_accepting(ROOM_CHECK_US)
             return False
         sock.setblocking(False)
-        # asyncio does so itself only for sockets made with the protocol's number, which these are not
+        # asyncio sets TCP_NODELAY only on sockets that were created with an explicit protocol number
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = self._listeners[listener]()
         connection.sock = sock
         self.connections.add(connection)
-        asyncio.get_running_loop().create_task(self._begin(connection, sock))  # the loop holds what it awaits
+        # the loop holds a reference to what the task awaits, so no reference to the task is needed here
+        asyncio.get_running_loop().create_task(self._make_transport(connection, sock))
         return True
 
     @staticmethod
-    async def _begin(connection: ClientConnection, sock: socket.socket) -> None:
+    async def _make_transport(connection: ClientConnection, sock: socket.socket) -> None:
         try:
             await asyncio.get_running_loop().connect_accepted_socket(lambda: connection, sock)
         except OSError:
@@ -129,23 +141,29 @@
 
     @property
     def has_room(self) -> bool:
-        """Whether one more client may be taken."""
-        staying = len(self.connections) - min(len(self.lingering), MOST_LINGERING)
-        return staying < self._limits.client_sockets
+        """Whether one more client may be accepted."""
+        counted = len(self.connections) - min(len(self.lingering), MAX_UNCOUNTED_LINGERING)
+        return counted < self._limits.client_sockets
 
     def _pause_accepting(self, wait_us: int) -> None:
-        """Take none until one has left, or until the look for room that follows."""
+        """Stops accepting until a client has left or a check, the first after ``wait_us``, finds room."""
         if self._room_check is None:
             for listener in self._listeners:
                 asyncio.get_running_loop().remove_reader(listener)
             self._room_check = self._timers.after(wait_us, self._check_room)
 
     def _check_room(self) -> None:
-        """The ends of all clients that went before this turn have been read: none of them takes up room."""
-        self._room_check = self._timers.after(RETRY_US, self._check_room)
+        """Resumes accepting if there is room, else evicts idle clients.
+
+        It runs from a timer, so the event loop has already processed the end of every connection that closed
+        before this turn, and such a connection is not counted.
+        """
+        self._room_check = self._timers.after(ROOM_CHECK_US, self._check_room)
         if self.has_room:
             self._resume_accepting()
-        elif len(self.lingering) < MOST_LINGERING and not any(c.closes_next_turn for c in self.connections):
+        elif len(self.lingering) < MAX_UNCOUNTED_LINGERING and not any(
+            c.closes_next_turn for c in self.connections
+        ):
             self.evict_idle()
 
     def _resume_accepting(self) -> None:
@@ -156,43 +174,43 @@
                 asyncio.get_running_loop().add_reader(listener, self._accept_ready, listener)
 
     def evict_idle(self) -> None:
-        """Make room for others, if any client can be let go: none that has sent what we have not read."""
+        """Closes idle connections to make room for others, except those with unread data."""
         now = self.now()
-        room = 0
+        evicted = 0
         idle = sorted(
-            (connection.eviction_cost(now), connection.touched, id(connection), connection)
+            (connection.eviction_cost(now), connection.last_active_us, id(connection), connection)
             for connection in self.connections
             if not (connection.busy or connection.closing)
         )
-        for loss, _, _, connection in idle:
+        for cost, _, _, connection in idle:
             if connection.unread():
                 continue
-            if room >= (MOST_EVICTED_AT_ONCE if loss < EvictionCost.IDLE else 1):
+            if evicted >= (MAX_CHEAP_EVICTIONS if cost < EvictionCost.IDLE else 1):
                 break
-            log("client", "too many connections; one is closed")
+            log("client", "connection limit reached; an idle connection is closed")
             connection.close_gracefully()
-            room += 1
+            evicted += 1
 
     def add(self, connection: ClientConnection) -> None:
-        """A client's connection is up."""
+        """Registers an established connection."""
         self.connections.add(connection)
         if self.draining:
             connection.close_if_drained()
 
     def add_lingering(self, connection: ClientConnection) -> None:
-        """We have ended our side of a connection; the client has so long to end its own."""
+        """Registers a half-closed connection; it is closed if the client has not done so in ``LINGER_US``."""
         self.lingering.add(connection)
         self._timers.after(LINGER_US, lambda: self._close_lingering(connection))
 
     def _close_lingering(self, connection: ClientConnection) -> None:
         if connection.unsent and not connection.lost:
-            # the sweep cuts off slow readers
+            # _sweep aborts connections of clients that do not read
             self._timers.after(LINGER_US, lambda: self._close_lingering(connection))
         else:
             connection.close()
 
     def remove(self, connection: ClientConnection) -> None:
-        """A client's connection has ended."""
+        """Forgets a closed connection, and resumes accepting."""
         self.connections.discard(connection)
         self.lingering.discard(connection)
         self._resume_accepting()
@@ -200,10 +218,10 @@
             self.on_empty()
 
     def _sweep(self) -> None:
-        """Idle connections go; memory is looked at here too, as it grows in small steps."""
+        """Closes idle connections, and enforces the memory limit, as buffers may grow in small steps."""
         now = self.now()
         for connection in list(self.connections):
-            if connection.busy or now - connection.touched <= connection.idle_us:
+            if connection.busy or now - connection.last_active_us <= connection.idle_us:
                 continue
             if connection.unsent:
                 connection.abort()
@@ -213,16 +231,16 @@
         self._timers.after(SWEEP_US, self._sweep)
 
     def bound_memory(self) -> None:
-        """Where connections hold too much, those that hold most of it are cut off."""
-        held = sorted(((c.unsent + c.unparsed, id(c), c) for c in self.connections), reverse=True)
-        total = sum(size for size, _, _ in held)
-        for size, _, connection in held:
+        """Aborts the connections with the largest buffers until all together are within the limit."""
+        largest_first = sorted(((c.unsent + c.unparsed, id(c), c) for c in self.connections), reverse=True)
+        total = sum(size for size, _, _ in largest_first)
+        for size, _, connection in largest_first:
             if total <= self._limits.connection_bytes:
                 break
             total -= size
             log(
                 "client",
-                "memory is short; a connection is cut off",
+                "limit of buffered bytes exceeded; a connection is aborted",
                 unsent_bytes=connection.unsent,
                 unparsed_bytes=connection.unparsed,
             )
@@ -230,91 +248,99 @@
 
 
 class ClientConnection(Stream):
-    """A client's connection; fronts add their wire to it."""
+    """A client's connection; frontends implement their protocol in subclasses."""
 
-    idle_us = FIRST_US  # until it has said something whole
-    spoke = False
+    idle_us = FIRST_MESSAGE_TIMEOUT_US  # until the first complete message
+    has_sent_message = False
 
     def __init__(self, server: Server) -> None:
         self.server = server
-        self.touched = server.now()
+        self.last_active_us = server.now()
 
     @property
     def busy(self) -> bool:
-        """Whether a request is open on it."""
+        """Whether the connection has an open request."""
         raise NotImplementedError
 
     @property
     def unparsed(self) -> int:
-        """Bytes of a message that has not come whole."""
+        """Received bytes that have not been processed, as their message is incomplete."""
         raise NotImplementedError
 
     @property
     def mid_message(self) -> bool:
-        """Whether a message has come in part."""
+        """Whether only a part of a message has been received."""
         return bool(self.unparsed)
 
     def eviction_cost(self, now: int) -> EvictionCost:
-        """What letting it go would cost its client, if no request is open on it."""
+        """Cost to the client of closing the connection; valid only while it has no open request."""
         if self.unparsed:
-            return EvictionCost.PART
-        if 3 * (now - self.touched) >= 2 * self.idle_us:
+            return EvictionCost.PARTIAL_MESSAGE
+        if 3 * (now - self.last_active_us) >= 2 * self.idle_us:
             return EvictionCost.NOTHING
-        return EvictionCost.IDLE if self.spoke else EvictionCost.UNUSED
+        return EvictionCost.IDLE if self.has_sent_message else EvictionCost.UNUSED
 
     @property
     def closes_next_turn(self) -> bool:
-        """Whether its descriptor is free in the next turn."""
+        """Whether the descriptor is free in the next turn of the event loop."""
         return self.transport is not None and self.transport.is_closing() and not self.unsent
 
-    def touch(self) -> None:
-        """A whole message came, or a request was answered."""
-        self.touched = self.server.now()
+    def record_activity(self) -> None:
+        """Restarts the idle timeout after a complete message or an answer."""
+        self.last_active_us = self.server.now()
 
-    def welcome(self, idle_us: int) -> None:
-        """It has said something that makes it a client; from now on it may be idle for longer."""
-        self.spoke = True
+    def extend_idle_timeout(self, idle_us: int) -> None:
+        """Sets the longer idle timeout that a client has after its first valid message."""
+        self.has_sent_message = True
         self.idle_us = idle_us
 
     def opened(self) -> None:
-        """The connection is up; the server counts it."""
+        """Registers the established connection with the server."""
         if self.transport is not None:
-            self.transport.set_write_buffer_limits(high=MOST_UNSENT)
+            self.transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
         self.server.add(self)
 
     def ended(self) -> None:
-        """The connection has ended, and with it what its client wanted."""
+        """Handles the end of the connection: removes it from the server and abandons its requests."""
         self.server.remove(self)
-        self.departed()
+        self.abandon_requests()
 
     def eof_received(self) -> None:
-        """Told before the transport closes, which it does only once the client has read all."""
-        self.departed()
+        """Abandons open requests when the client closes its side.
 
-    def departed(self) -> None:
-        """Its client has gone: nobody wants what is open on it any more. May be told twice."""
+        The transport closes, and ``ended`` follows, only once the client has read all answers.
+        """
+        self.abandon_requests()
+
+    def abandon_requests(self) -> None:
+        """Abandons all open requests after the client has disconnected. May be called twice."""
         raise NotImplementedError
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Take bytes in; while the process drains, a connection closes once nothing is open on it."""
+        """Handles received bytes; while the server drains, closes the connection once it has no request."""
         super().buffer_updated(nbytes)
         if self.server.draining:
             self.close_if_drained()
 
     def close_if_drained(self) -> None:
-        """On the way out the connection closes with its last answer, but not in the middle of a message: the
-        rest of a slow writer's is on its way, and gets an answer too."""
+        """Closes the connection during a drain, if it has no open request and no unread or partial message.
+
+        A client that writes slowly may have sent only part of a message; that message is answered too.
+        """
         if self.server.draining and not (self.closing or self.busy or self.mid_message or self.unread()):
             self.close_gracefully()
 
     def close_gracefully(self) -> None:
-        """Close, without a reset of what the client has not read yet."""
+        """Closes the router's side first, as a full close could reset the connection before the client has
+        read all answers."""
         self.half_close()
         self.server.add_lingering(self)
 
     def flow_changed(self) -> None:
-        """A client that reads none of its answers gets to send no further requests meanwhile. Until then it
-        is read from, as it may cancel or leave."""
+        """Pauses reading while the client does not read its answers, so that it cannot send more requests.
+
+        Otherwise the connection is always read, as the client may cancel a request or disconnect.
+        """
         if self.transport is not None and not self.transport.is_closing():
             if self.congested:
                 self.transport.pause_reading()
--- a/tests/contracts/test_front_contract.py
+++ b/tests/contracts/test_front_contract.py
@@ -17,7 +17,7 @@
 
 from slipbay.config.model import Limits
 from slipbay.core.model import Answer, Failed, Rejected, Request, Served
-from slipbay.frontends.jsonrpc import MOST_OPEN, JsonRpcConnection, JsonRpcFrontend
+from slipbay.frontends.jsonrpc import MAX_OPEN_REQUESTS, JsonRpcConnection, JsonRpcFrontend
 from slipbay.frontends.mysql import MysqlConnection
 from slipbay.frontends.server import Server
 from slipbay.wire import mysql, sql
@@ -131,7 +131,7 @@
         if self.transport.closing:
             return
         self.receive(json.dumps(message).encode() + b"\n", cut)
-        if id <= self.last_id or bad or open_before >= MOST_OPEN:
+        if id <= self.last_id or bad or open_before >= MAX_OPEN_REQUESTS:
             told = json.loads(self.sent[before:] or b"{}")
             codes = (-32600, -32602, -32002)[: 2 + self.server.draining]
             held(told.get("id") == id and told["error"]["code"] in codes, "F3", str(told))
@@ -180,12 +180,12 @@
             idle_us=1,
             users={"office": SimpleNamespace(password=b"", tenant=0)},
         )
-        self.core = self
+        self.dispatcher = self
         front: Any = self
         connection: Connection = self.kind(self.server, front)
         return connection
 
-    def next_number(self) -> int:
+    def next_connection_number(self) -> int:
         return 1
 
     def request(
@@ -297,7 +297,7 @@
     """F6: it does not close with its last answer."""
 
     def close_if_drained(self) -> None:
-        self.touch()
+        self.record_activity()
 
 
 BROKEN = (Twice, Late, TakesAll, Forgets, ReadsOn, Stays)
--- a/tests/test_close_races.py
+++ b/tests/test_close_races.py
@@ -100,7 +100,7 @@
         async with Loopback(engine) as net:
             client = await connect(net)
             client.sendall(line(1, "alive"))
-            await until(lambda: all(c.spoke for c in net.router.server.connections))
+            await until(lambda: all(c.has_sent_message for c in net.router.server.connections))
             at_the_close(monkeypatch, lambda: client.sendall(line(2)))
             net.router.server.evict_idle()
             assert json.loads(await read_to_end(client))["result"] == {"well": True}
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -112,7 +112,7 @@
             await known.answer()
             with socket.create_connection((HOST, net.port())) as new:
                 for connection in net.router.server.connections:
-                    connection.touched = 0
+                    connection.last_active_us = 0
                 assert (raw := known.writer.get_extra_info("socket")) is not None
                 for number, fileno in enumerate((raw.fileno(), new.fileno())):
                     with socket.socket(fileno=os.dup(fileno)) as client:
