--- a/slipbay/__main__.py
+++ b/slipbay/__main__.py
@@ -1,17 +1,17 @@
-"""Starts a router: ``python -m slipbay``; with arguments it is the command line."""
+"""Entry point: ``python -m slipbay`` runs a router, or with arguments the command line."""
 
 from __future__ import annotations
 
 import signal
 import sys
 
-HELD = (signal.SIGHUP, signal.SIGTERM)  # until a router has started, which must not die of them
+BLOCKED_SIGNALS = (signal.SIGHUP, signal.SIGTERM)  # until a router handles them, as they would kill it
 
 
 def main() -> int:
-    """Without arguments a router is run, and the command line, which a router has no use for, not loaded."""
+    """Runs a router if there are no arguments, else the command line, which a router does not import."""
     if len(sys.argv) == 1:
-        signal.pthread_sigmask(signal.SIG_BLOCK, HELD)
+        signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
         from slipbay.process import serve_until_end
 
         return serve_until_end()
--- a/slipbay/address.py
+++ b/slipbay/address.py
@@ -1,6 +1,6 @@
-"""Where something listens."""
+"""The type of network addresses."""
 
 from __future__ import annotations
 
 Address = tuple[str, int]
-"""An IPv4 address in dotted form, and a port."""
+"""An IPv4 address in dotted decimal form, and a port."""
--- a/slipbay/clock.py
+++ b/slipbay/clock.py
@@ -1,4 +1,4 @@
-"""The router's one clock: whole microseconds of the monotonic clock, read once a turn of the loop."""
+"""The clock of the router: monotonic time in whole microseconds, read once per turn of the event loop."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 
 class Clock:
-    """Set by the Unix clock at the start, once.
+    """A monotonic clock that is set to Unix time once, when it is created.
 
-    The decisions of several routers agree on periods by dividing the time: with bare monotonic clocks, which
-    begin at the boot of each machine, none of them would understand another's messages.
+    The policies of several routers number time slots by dividing the time. Plain monotonic clocks start at
+    the boot of each machine, so routers on different machines would give one slot different numbers and
+    could not use each other's messages.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -19,25 +20,27 @@
         self._offset = time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
     def now(self) -> int:
-        """The time of this turn of the loop; the first caller in a turn reads the system's clock."""
+        """Returns the time of this turn of the event loop; the first call of a turn reads the clock."""
         if self._now is None:
             self._now = time.monotonic_ns() // 1000 + self._offset
-            self._loop.call_soon(self._forget)
+            self._loop.call_soon(self._clear_turn_time)
         return self._now
 
     def fresh(self) -> int:
-        """The time right now, for what a term allows: the process may have stood still since this turn
-        began."""
+        """Reads the system clock again and returns the time, which becomes the time of this turn.
+
+        Checks of leases need it, as the process may have been stopped since the turn began.
+        """
         self._now = None
         return self.now()
 
     def exact(self) -> int:
-        """The time as it is, while this turn's stays what it was."""
+        """Returns the current time without changing the time of this turn."""
         return time.monotonic_ns() // 1000 + self._offset
 
-    def _forget(self) -> None:
+    def _clear_turn_time(self) -> None:
         self._now = None
 
-    def to_loop_time(self, when: int) -> float:
-        """A moment as the loop counts, whose clock is the monotonic one in seconds."""
-        return (when - self._offset) / 1e6
+    def to_loop_time(self, time_us: int) -> float:
+        """Converts a time of this clock to the event loop's clock: monotonic seconds."""
+        return (time_us - self._offset) / 1e6
--- a/slipbay/errors.py
+++ b/slipbay/errors.py
@@ -1,7 +1,7 @@
-"""The base of all errors that slipbay raises by itself."""
+"""The base class of slipbay's exceptions."""
 
 from __future__ import annotations
 
 
 class SlipbayError(Exception):
-    """Base of all errors of this program, so that callers can tell them from those of libraries."""
+    """Base class of all exceptions of slipbay; callers can distinguish them from those of libraries."""
--- a/slipbay/log.py
+++ b/slipbay/log.py
@@ -1,8 +1,8 @@
-"""Structured log lines to standard error, rate limited by kind, so that a storm of trouble stays readable.
+"""Writes structured log lines to standard error, with a rate limit for each kind of line.
 
-``SLIPBAY_LOG=json`` writes a JSON object a line, with ``at`` (RFC 3339, UTC), ``kind``, ``text`` and fields
-such as ``request``, ``engine`` and ``class``; anything else
-the console form ``slipbay: kind: text field=value``.
+If the environment has ``SLIPBAY_LOG=json``, each line is a JSON object with ``at`` (RFC 3339, UTC), ``kind``,
+``text`` and fields such as ``request``, ``engine`` and ``class``. Otherwise a line has the console form
+``slipbay: kind: text field=value``.
 """
 
 from __future__ import annotations
@@ -16,41 +16,41 @@
 
 import structlog
 
-BURST = 5  # lines of a kind in a period
+BURST = 5  # lines of one kind in a period
 PERIOD_S = 1.0
 
 _kinds: dict[str, tuple[float, int]] = {}
 
 
 class _StandardError:
-    """Standard error, looked up anew for each line, as it may be replaced."""
+    """Writes to ``sys.stderr``, which is looked up for each line, as it may be replaced."""
 
     def info(self, line: str) -> None:
-        with suppress(OSError):  # nobody reads our log any more: no reason to stop serving
+        with suppress(OSError):  # a closed log reader must not stop the router
             print(line, file=sys.stderr, flush=True)
 
 
-def _console(_logger: object, _name: str, event: MutableMapping[str, Any]) -> str:
-    """One line as an operator reads it on a terminal."""
+def _format_console(_logger: object, _name: str, event: MutableMapping[str, Any]) -> str:
+    """Formats a line for a terminal."""
     kind = event.pop("kind")
     text = event.pop("event")
     fields = "".join(f" {key}={value}" for key, value in event.items())
     return f"slipbay: {kind}: {text}{fields}"
 
 
-def _named(_logger: object, _name: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """Field names for machines: ``class_`` is ``class``, and bytes are text."""
+def _clean_fields(_logger: object, _name: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+    """Removes the trailing underscore of field names such as ``class_``, and decodes bytes."""
     return {
         key.rstrip("_"): value.decode(errors="replace") if isinstance(value, bytes) else value
         for key, value in event.items()
     }
 
 
-def _make(form: str) -> structlog.BoundLogger:
-    processors: list[Any] = [_named, _console]
-    if form == "json":
+def _make(log_format: str) -> structlog.BoundLogger:
+    processors: list[Any] = [_clean_fields, _format_console]
+    if log_format == "json":
         processors = [
-            _named,
+            _clean_fields,
             structlog.processors.EventRenamer("text"),
             structlog.processors.TimeStamper(fmt="iso", utc=True, key="at"),
             structlog.processors.JSONRenderer(),
@@ -65,21 +65,23 @@
 
 
 def log(kind: str, text: str, **fields: object) -> None:
-    """Write one line.
+    """Writes a line.
+
+    At most ``BURST`` lines of a kind are written in a period of ``PERIOD_S``. The number of lines left out
+    is logged with the next line of that kind after the period.
 
     Args:
-        kind: the part that the line is about; docs/on-call.md has them all. Of each kind at most ``BURST``
-            lines are written in a period; the rest are counted, and the count is logged later.
-        text: what happened, as a fixed text.
-        fields: what it happened to.
+        kind: the component or topic of the line; docs/on-call.md lists all kinds.
+        text: a fixed text that describes the event.
+        fields: the objects and values of the event.
     """
     now = time.monotonic()
-    began, count = _kinds.get(kind, (now, 0))
-    if now - began >= PERIOD_S:
+    started_at, count = _kinds.get(kind, (now, 0))
+    if now - started_at >= PERIOD_S:
         if count > BURST:
             _logger.info(f"{count - BURST} more lines were left out", kind=kind)
-        began = now
+        started_at = now
         count = 0
-    _kinds[kind] = began, count + 1
+    _kinds[kind] = started_at, count + 1
     if count < BURST:
         _logger.info(text, kind=kind, **fields)
--- a/slipbay/process.py
+++ b/slipbay/process.py
@@ -1,4 +1,4 @@
-"""Runs one router as the platform's process: signals, the collector of garbage, and exit codes."""
+"""Runs one router in this process: signals, garbage collection and exit codes."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 def make_router(config: Config, loop: asyncio.AbstractEventLoop) -> Router:
-    """A router with the parts that operator files switch on.
+    """Creates a router with the optional components that operator files enable.
 
     Raises:
-        ConfigError: with file, key and reason of a mistake in one of them.
+        ConfigError: if one of the files is invalid; the error names file, key and reason.
     """
     membership = load_fleet(config, os.environ)
     channel = load_channel(config, os.environ, membership)
@@ -46,7 +46,7 @@
 
 
 async def serve(config: Config) -> None:
-    """Run a router until it was asked to end and has answered all that it took."""
+    """Runs a router until it has received a shutdown signal and answered all accepted requests."""
     loop = asyncio.get_running_loop()
     router = make_router(config, loop)
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -55,15 +55,16 @@
     await router.start()
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)  # blocked by __main__ until now
     gc.collect()
-    gc.freeze()  # what lives from start to end is not looked through again
+    gc.freeze()  # later collections skip the objects created at the start, which live until the end
     await router.shutdown.done.wait()
-    # the loop gives its signal handlers back: one that came then would kill the process
+    # closing the loop restores the default handlers, with which a further signal would kill the process
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     router.close()
 
 
 def serve_until_end() -> int:
-    """Run a router; the exit code is 0 after SIGTERM, 2 for a bad configuration, 1 where it can't start."""
+    """Runs a router and returns the exit code: 0 after a graceful shutdown, 2 if the configuration is bad,
+    1 if the router cannot start."""
     try:
         config = load(os.environ)
         asyncio.run(serve(config))
