--- a/slipbay/frontends/jsonrpc.py
+++ b/slipbay/frontends/jsonrpc.py
@@ -70,7 +70,7 @@
             del self._recent_txns[next(iter(self._recent_txns))]
         return True
 
-    def knows(self, name: str) -> bool:
+    def is_recent_txn(self, name: str) -> bool:
         """Whether a client has recently used the name, in lower case, as a txn."""
         return name in self._recent_txns
 
--- a/slipbay/lifecycle.py
+++ b/slipbay/lifecycle.py
@@ -1,5 +1,4 @@
-"""What changes a running router from outside: a new configuration (SIGHUP) and a graceful shutdown
-(SIGTERM)."""
+"""Configuration reload (SIGHUP) and graceful shutdown (SIGTERM) of a running router."""
 
 from __future__ import annotations
 
@@ -27,20 +26,21 @@
     from slipbay.quota.plan import QuotaPlan
     from slipbay.scatter_gather.config_schema import ScatterGatherPlan
 
-LINGER_US = 700_000  # after SIGTERM, how long requests are still taken
-KILL_US = 3_000_000  # beyond that, at the earliest, SIGKILL follows; sooner where all deadlines are shorter
-LAST_ANSWERS_US = 200_000  # before the earliest SIGKILL, for the last answers on their way to clients
-UNCOMPARED = ("journal", "known", "store")
-"""Fields of the configuration that a reload follows at once, or that mean nothing to a running router."""
+LINGER_US = 700_000  # after SIGTERM, while requests are still accepted
+KILL_US = 3_000_000  # after LINGER_US, the earliest SIGKILL; earlier if all deadlines are shorter
+LAST_ANSWERS_US = 200_000  # before the earliest SIGKILL, to send the last answers to clients
+NOT_COMPARED = ("journal", "known", "store")
+"""Fields of the configuration that a reload applies at once, or that have no effect on a running router."""
 
 
 class GracefulShutdown:
-    """Takes requests a little longer, answers all that were taken, then lets the process end.
+    """Accepts requests for ``LINGER_US`` longer, answers all accepted requests, then sets ``done``.
 
     Attributes:
-        begun: whether the router was asked to end.
-        done: set once no connection and no request is left.
-        notified: called as it begins, with the time in us for which requests are still taken.
+        begun: whether the shutdown has started.
+        done: set once no client connection and no request is open.
+        notified: called at the start of the shutdown with the time in us for which requests are still
+            accepted.
     """
 
     def __init__(
@@ -50,21 +50,21 @@
         self._dispatcher = dispatcher
         self._server = server
         self._longest_deadline_us = max(service_class.deadline_us for service_class in classes)
-        self.begun = False
+        self.has_begun = False
         self.done = asyncio.Event()
-        self.notified: list[Callable[[int], None]] = []
+        self.start_callbacks: list[Callable[[int], None]] = []
 
     def begin(self) -> None:
-        """React to SIGTERM, or to a store that can't be written; a second call changes nothing."""
-        if self.begun:
+        """Starts the shutdown, after SIGTERM or when the store cannot be written; later calls do nothing."""
+        if self.has_begun:
             return
-        self.begun = True
+        self.has_begun = True
         log("end", "asked to end")
-        for notify in self.notified:
+        for notify in self.start_callbacks:
             notify(LINGER_US)
         self._timers.after(LINGER_US, self._drain)
-        patience_us = max(0, min(self._longest_deadline_us, KILL_US) - LAST_ANSWERS_US)
-        self._dispatcher.notify(ShutdownDeadline(self._dispatcher.clock.now() + LINGER_US + patience_us))
+        answer_time_us = max(0, min(self._longest_deadline_us, KILL_US) - LAST_ANSWERS_US)
+        self._dispatcher.notify(ShutdownDeadline(self._dispatcher.clock.now() + LINGER_US + answer_time_us))
 
     def _drain(self) -> None:
         self._server.on_empty = self._finish_if_idle
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True)
 class RunningConfig:
-    """What a router was started with, to compare a new configuration with."""
+    """The configuration at the start of the router, for comparison with a new one."""
 
     config: Config
     membership: MembershipConfig | None
@@ -89,28 +89,28 @@
 
 @dataclass(frozen=True)
 class NewConfig:
-    """What the files say now, checked."""
+    """A new configuration, read from the files and validated."""
 
     config: Config
     quotas: QuotaPlan | None
-    waiting: tuple[str, ...]
-    """Fields and parts that differ and take effect at the next start only."""
+    pending: tuple[str, ...]
+    """Fields and components whose changes take effect only at the next start."""
 
     @property
     def store(self) -> StoreConfig | None:
-        """What the store may take over at once."""
+        """The store's settings, of which it applies some at once."""
         return self.config.store
 
 
-def read_again(
+def read_new_config(
     running: RunningConfig, quotas: QuotaPlan | None, environment: Mapping[str, str]
 ) -> NewConfig | None:
-    """Read and check the whole configuration; None, with a log line, where it is faulty.
+    """Reads and validates the whole configuration; logs an error and returns None if it is invalid.
 
     Args:
-        running: what the router was started with.
-        quotas: the plan in use, which a new one must follow.
-        environment: of this process, which names the files.
+        running: the configuration at the start of the router.
+        quotas: the current plan; a new plan must be a valid successor.
+        environment: the environment of this process, which has the names of the files.
     """
     try:
         config = load(environment)
@@ -120,23 +120,23 @@
     except ConfigError as problem:
         log("reload", f"bad configuration, the old one stays: {problem}")
         return None
-    waiting = _changed_fields(running.config, config)
-    waiting += store_changes(running.config.store, config.store)
+    pending = _changed_fields(running.config, config)
+    pending += store_changes(running.config.store, config.store)
     if channel != running.channel:
-        waiting.append("channel")
+        pending.append("channel")
     if (new_quotas is not None) != running.has_quotas:
-        waiting.append("quota")
+        pending.append("quota")
     if scatter_gather != running.scatter_gather:
-        waiting.append("gather")
-    later = f"; takes effect at the next start: {', '.join(waiting)}" if waiting else ""
-    log("reload", f"the configuration was read again{later}")
-    return NewConfig(config, new_quotas, tuple(waiting))
+        pending.append("gather")
+    suffix = f"; takes effect at the next start: {', '.join(pending)}" if pending else ""
+    log("reload", f"the configuration was read again{suffix}")
+    return NewConfig(config, new_quotas, tuple(pending))
 
 
 def _changed_fields(old: Config, new: Config) -> list[str]:
-    """Compared as they were read."""
+    """Returns the names of the fields that differ, except those in ``NOT_COMPARED``."""
     return [
-        item.name
-        for item in fields(new)
-        if item.name not in UNCOMPARED and getattr(new, item.name) != getattr(old, item.name)
+        field.name
+        for field in fields(new)
+        if field.name not in NOT_COMPARED and getattr(new, field.name) != getattr(old, field.name)
     ]
--- a/slipbay/router.py
+++ b/slipbay/router.py
@@ -1,6 +1,6 @@
-"""The wiring of a router: which parts there are, what each is given, and who tells whom.
+"""Creates and connects the components of a router.
 
-Optional parts are imported where they are made, as most routers run without them.
+Optional components are imported in the functions that create them, as most routers run without them.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from slipbay.frontends.jsonrpc import JsonRpcConnection, JsonRpcFrontend
 from slipbay.frontends.mysql import MysqlConnection, MysqlFrontend
 from slipbay.frontends.server import Server
-from slipbay.lifecycle import GracefulShutdown, RunningConfig, read_again
+from slipbay.lifecycle import GracefulShutdown, RunningConfig, read_new_config
 from slipbay.log import log
 from slipbay.membership.settings import MembershipConfig
 from slipbay.peer_channel.settings import ChannelConfig
@@ -45,18 +45,19 @@
     from slipbay.warmup.plan import WarmupPlan
     from slipbay.warmup.service import WarmupService
 
-CHANNEL_TOPIC = 0  # of the channel's own status pages
+CHANNEL_TOPIC = 0  # status requests about the channel itself
 WARMUP_SNAPSHOT = b""
-"""Name of the store's snapshot of what the policy learned."""
+"""Name of the stored snapshot of the policy's estimates."""
 SCATTER_GATHER_SNAPSHOT = b"g"
-"""Name of the store's snapshot of latencies of scattered queries."""
+"""Name of the stored snapshot of the latencies of scattered queries."""
 
 
 class Router:
-    """All parts of one query router. Optional ones are None where their operator file leaves them off.
+    """All components of one query router; optional ones are None unless their operator file enables them.
 
     Raises:
-        ConfigError: if a part lacks an extra package, or another part that it needs.
+        ConfigError: if an enabled component needs an optional package that is not installed, or another
+            component that is not enabled.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
         scatter_gather: ScatterGatherPlan | None = None,
     ) -> None:
         self.config = config
-        self._running = RunningConfig(config, membership, channel, scatter_gather, quotas is not None)
+        self._start_config = RunningConfig(config, membership, channel, scatter_gather, quotas is not None)
         self._has_endpoints = False
         self.clock = Clock(loop)
         self.timers = Timers(loop, self.clock)
@@ -105,10 +106,10 @@
             self._make_scatter_gather(scatter_gather)
 
     def healthy(self) -> bool:
-        """Whether clients may be sent here: there are endpoints, and no end is under way."""
-        return self.server.listening and self._has_endpoints and not self.shutdown.begun
+        """Whether the router can serve clients: it has an endpoint list, listens and is not shutting down."""
+        return self.server.listening and self._has_endpoints and not self.shutdown.has_begun
 
-    # Parts that every router has
+    # Components of every router
 
     def _make_http_backend(self, sockets: SocketBudget) -> HttpBackend:
         backend = HttpBackend(self.config, self.timers, self.dialer, sockets, self.clock.now)
@@ -124,7 +125,7 @@
         self.dispatcher.backends.append(backend)
         return backend
 
-    # Optional parts
+    # Optional components
 
     def _make_membership(
         self, membership: MembershipConfig, channel: ChannelConfig | None
@@ -134,21 +135,21 @@
         if channel is not None:
             membership = channel.within(membership)
         service = MembershipService(
-            self.config, membership, self.timers, self.clock.now, self.peers, self._fleet_resized
+            self.config, membership, self.timers, self.clock.now, self.peers, self._fleet_size_changed
         )
-        self.shutdown.notified.append(lambda _linger_us: service.leave())
+        self.shutdown.start_callbacks.append(lambda _linger_us: service.leave())
         return service
 
     def _open_channel(self, channel: ChannelConfig) -> UdpLink:
-        """The channel between routers; parts add themselves to its multiplexer before ``start``."""
+        """Creates the peer channel; components register with its multiplexer before ``start``."""
         from slipbay.peer_channel.interfaces import FrameKind
         from slipbay.peer_channel.multiplexer import Multiplexer
         from slipbay.peer_channel.udp_link import UdpLink
 
         config = self.config
-        parts: dict[int, float] = {FrameKind[name.upper()]: part for name, part in channel.parts.items()}
+        shares: dict[int, float] = {FrameKind[name.upper()]: share for name, share in channel.parts.items()}
         if self.membership is None:
-            del parts[FrameKind.VIEW]
+            del shares[FrameKind.VIEW]
         multiplexer = Multiplexer(
             config.settings.router_number,
             len(config.peers),
@@ -157,9 +158,10 @@
             key=channel.key,
             old_key=channel.old_key,
             rate=channel.rate,
-            parts=parts,
+            parts=shares,
         )
-        link = UdpLink(multiplexer, self.peers, self.timers, self.clock.fresh)  # leases stand on its time
+        # leases need the time at which a message is handled, not that of the turn of the event loop
+        link = UdpLink(multiplexer, self.peers, self.timers, self.clock.fresh)
         if channel.status:
             link.topics[CHANNEL_TOPIC] = lambda: {"name": config.name, **multiplexer.status()}
         self.dispatcher.send_gossip = link.send_gossip
@@ -173,7 +175,7 @@
         from slipbay.quota.service import QuotaService
 
         service = QuotaService(self.config, plan, self.dispatcher, self.clock, self.timers, self.channel)
-        self.shutdown.notified.append(service.end)
+        self.shutdown.start_callbacks.append(service.end)
         return service
 
     def _make_warmup(self, plan: WarmupPlan) -> WarmupService:
@@ -194,18 +196,18 @@
             service.machine.survey.running_routers = lambda: len(membership.machine.living)
         if (channel := self.channel) is not None:
             channel.mux.add(FrameKind.COMEBACK, service.machine)
-            if CHANNEL_TOPIC in channel.topics:  # the channel answers commands on this machine
+            if CHANNEL_TOPIC in channel.topics:  # status requests from this machine are enabled
                 name = self.config.name
                 channel.topics[FrameKind.COMEBACK] = lambda: {"name": name, **service.status()}
         return service
 
     def _estimates(self) -> tuple[EstimatesRestored, int]:
-        """What a router that warms up may begin with, and the retries that still count."""
+        """Returns estimates for a router in warm-up, and the number of retries in the retry window."""
         from slipbay.warmup.service import GROUPS
 
         now = self.clock.now()
-        since = now - self.config.settings.retry_window_us
-        recent_retries = sum(at > since for at, _ in self.policy.retry_budget().retries)
+        window_start_us = now - self.config.settings.retry_window_us
+        recent_retries = sum(at > window_start_us for at, _ in self.policy.retry_budget().retries)
         return self.policy.estimates(now, GROUPS), recent_retries
 
     def _make_idempotency(
@@ -237,13 +239,13 @@
     def _make_witnesses(
         self, store: StoreConfig
     ) -> tuple[StoreWitnesses, Callable[[list[Send]], None]] | tuple[()]:
-        """What routers remember of each other's stores, where store.toml asks for it, and how it is sent."""
+        """Creates the store witnesses and the function that sends their messages, if they are enabled."""
         if store.loss is None or not store.loss.fleet:
             return ()
         size = len(self.config.peers)
         if self.channel is None or size <= 1:
             raise ConfigError(
-                "want other routers in the configuration, and the channel on (channel.toml)",
+                "want other routers in the configuration, and the channel enabled (channel.toml)",
                 "loss.fleet",
                 "store.toml",
             )
@@ -267,7 +269,7 @@
             self.timers,
             self.clock.now,
             self.policy.engine_condition,
-            self.jsonrpc_frontend.knows,
+            self.jsonrpc_frontend.is_recent_txn,
             self.channel,
         )
         self.jsonrpc_frontend.scatterer = service.scatterer
@@ -275,12 +277,12 @@
             coordinator.snapshot_receivers[SCATTER_GATHER_SNAPSHOT] = service.recall
             service.keep(lambda value: coordinator.store_snapshot(value, SCATTER_GATHER_SNAPSHOT))
 
-    # What parts tell the router
+    # Callbacks of components
 
-    def _fleet_resized(self, living: int) -> None:
-        self.dispatcher.notify(FleetSize(living))
+    def _fleet_size_changed(self, live_routers: int) -> None:
+        self.dispatcher.notify(FleetSize(live_routers))
         if self.quotas is not None:
-            self.quotas.resized(living)
+            self.quotas.resized(live_routers)
 
     def _endpoints_changed(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
         self._has_endpoints = self._has_endpoints or bool(endpoints)
@@ -292,14 +294,13 @@
             backend.endpoints_changed(kind, endpoints)
         self.dispatcher.notify(EngineList(kind, tuple(endpoint.entry for endpoint in endpoints)))
 
-    # From start to end
+    # Start, reload and end
 
     async def start(self) -> None:
-        """Open the peers' socket and the listeners, and start the parts in the order in which they need
-        each other.
+        """Opens the peer socket, starts the components in the order of their dependencies, then listens.
 
         Raises:
-            OSError: if an address can't be listened at.
+            OSError: if an address cannot be listened on.
         """
         await self.peers.start()
         if self.membership is not None:
@@ -321,7 +322,7 @@
         log("start", f"{self.config.name} listens at {listening}")
 
     def _listen(self) -> list[Address]:
-        """Open the listeners; returns their addresses as configured, in order."""
+        """Opens the listeners and returns their configured addresses in order."""
         frontend = self.jsonrpc_frontend
         self.server.listen(self.config.listen, lambda: JsonRpcConnection(self.server, frontend))
         addresses = [self.config.listen]
@@ -334,9 +335,9 @@
         return addresses
 
     def reload(self, environment: Mapping[str, str]) -> None:
-        """SIGHUP: read the whole configuration again, and follow what a running router can change."""
+        """Handles SIGHUP: reads the whole configuration, and applies what can change in a running router."""
         plan = self.quotas.machine.plan if self.quotas is not None else None
-        new = read_again(self._running, plan, environment)
+        new = read_new_config(self._start_config, plan, environment)
         if new is None:
             return
         if self.idempotency is not None and new.store is not None:
@@ -346,7 +347,7 @@
         self.endpoint_watch.follow(new.config.journal)
 
     def close(self) -> None:
-        """Give back what a running router holds, once it has ended."""
+        """Closes the store and the peer socket after the shutdown."""
         if self.idempotency is not None:
             self.idempotency.close()
         self.peers.close()
