--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A loop, a clock and connections without sockets: time passes only when a test says so."""
+"""A fake event loop, clock and connections without sockets. Time advances only when a test advances it."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
         self.when = when
         self.order = order
         self.action = action
-        self.off = False
+        self.is_cancelled = False
 
     def cancel(self) -> None:
-        self.off = True
+        self.is_cancelled = True
 
     def __lt__(self, other: Handle) -> bool:
         return (self.when, self.order) < (other.when, other.order)
 
 
 class FakeLoop:
-    """Stands in for the loop and for the clock."""
+    """Fake of both the event loop and the clock."""
 
     def __init__(self) -> None:
         self.us = 1_000_000_000
@@ -58,30 +58,32 @@
 
     def advance(self, us: int) -> None:
         self.settle()
-        end = self.us + us
-        while self._heap and self._heap[0].when * 1e6 <= end + 0.5:
+        end_us = self.us + us
+        while self._heap and self._heap[0].when * 1e6 <= end_us + 0.5:
             handle = heapq.heappop(self._heap)
             self.us = max(self.us, round(handle.when * 1e6))
-            if not handle.off:
+            if not handle.is_cancelled:
                 handle.action()
             self.settle()
-        self.us = end
+        self.us = end_us
 
 
 class FakeTransport(asyncio.Transport):
-    """Keeps what is written; ``take`` gets it, as the other side would."""
+    """Passes all written bytes to ``on_write``, which acts as the other side of the connection."""
 
-    def __init__(self, loop: FakeLoop, stream: Stream, take: Callable[[FakeTransport, bytes], None]) -> None:
+    def __init__(
+        self, loop: FakeLoop, stream: Stream, on_write: Callable[[FakeTransport, bytes], None]
+    ) -> None:
         super().__init__()
         self.loop = loop
         self.stream = stream
-        self._take = take
+        self._on_write = on_write
         self.closing = False
         self.reads = True
 
     def write(self, data: Any) -> None:
         assert not self.closing
-        self._take(self, bytes(data))
+        self._on_write(self, bytes(data))
 
     def is_closing(self) -> bool:
         return self.closing
@@ -101,7 +103,7 @@
         return True
 
     def write_eof(self) -> None:
-        """The other side ends as well, as soon as it hears of it."""
+        """Closes the connection in the next turn, as the other side closes when it receives the end."""
         self.loop.call_soon(self.close)
 
     def close(self) -> None:
@@ -113,7 +115,7 @@
 
 
 class QuietSocket:
-    """Nothing has come that was not read."""
+    """A socket without unread data."""
 
     def recv(self, size: int, flags: int) -> bytes:
         raise BlockingIOError
@@ -122,28 +124,28 @@
 
 
 class EndedSocket(QuietSocket):
-    """The other side has closed."""
+    """A socket whose other side has closed."""
 
     def recv(self, size: int, flags: int) -> bytes:
         return b""
 
 
 class FakeDialer:
-    """Connections come up, are refused or stay silent as the test says."""
+    """Holds connection attempts until the test accepts or refuses them."""
 
-    def __init__(self, loop: FakeLoop, take: Callable[[FakeTransport, bytes], None]) -> None:
+    def __init__(self, loop: FakeLoop, on_write: Callable[[FakeTransport, bytes], None]) -> None:
         self.loop = loop
-        self._take = take
+        self._on_write = on_write
         self.waiting: list[tuple[Stream, Callable[[int], None]]] = []
         self.transports: list[FakeTransport] = []
 
     def dial(
         self, address: object, stream: Stream, timeout_us: int, failed: Callable[[int], None]
-    ) -> FakeDialer.One:
+    ) -> FakeDialer.Attempt:
         self.waiting.append((stream, failed))
-        return FakeDialer.One(self, stream)
+        return FakeDialer.Attempt(self, stream)
 
-    class One:
+    class Attempt:
         def __init__(self, dialer: FakeDialer, stream: Stream) -> None:
             self._dialer = dialer
             self._stream = stream
@@ -154,7 +156,7 @@
     def accept(self, index: int, sock: QuietSocket | None = None) -> FakeTransport:
         stream, _ = self.waiting.pop(index)
         stream.sock = sock or QuietSocket()  # type: ignore[assignment]
-        transport = FakeTransport(self.loop, stream, self._take)
+        transport = FakeTransport(self.loop, stream, self._on_write)
         self.transports.append(transport)
         stream.connection_made(transport)
         return transport
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,6 +1,6 @@
-"""A router in this process, and stand-ins for all that it talks to, on free loopback ports.
+"""A router in this process, with stand-ins for its engines and clients, on free loopback ports.
 
-Everything runs in one event loop, and tests wait for what happens, never for time to pass.
+Everything runs in one event loop. Tests wait for conditions, never for a fixed time.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 ]
 
 TXN = "9b1f03aa5c7e2d41"
-_txns = 0  # of requests so far: each has its own
+_last_txn = 0  # each query gets the next number as its txn
 SETTINGS: dict[str, Any] = {
     "balancers": 1,
     "me": 0,
@@ -109,7 +109,7 @@
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]], seconds: float = 60.0) -> None:
-    """Run a test to its end; one that hangs fails."""
+    """Runs a test to its end; fails it after a time limit."""
 
     async def limited() -> None:
         await asyncio.wait_for(test(), seconds)
@@ -118,13 +118,13 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for something to become true; the limit on the whole test ends a wait in vain."""
+    """Waits until the condition is true; the time limit of ``run`` ends a wait that never does."""
     while not condition():
         await asyncio.sleep(0.001)
 
 
 class JsonClient:
-    """A client of the platform."""
+    """A JSON-RPC client."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -140,9 +140,9 @@
         self.writer.write(line + b"\n")
 
     def query(self, method: str = "lookup", sql: str = "SELECT 1", limit: int = 2000, **params: Any) -> int:
-        global _txns
-        _txns += 1
-        self.txn = f"{_txns:016x}"
+        global _last_txn
+        _last_txn += 1
+        self.txn = f"{_last_txn:016x}"
         return self.send(
             method,
             **{
@@ -157,16 +157,16 @@
     async def answer(self) -> dict[str, Any]:
         line = await self.reader.readline()
         assert line, "the connection ended"
-        found: dict[str, Any] = json.loads(line)
-        return found
+        message: dict[str, Any] = json.loads(line)
+        return message
 
-    def cancel(self, named: int | str) -> None:
-        params = {"id" if isinstance(named, int) else "txn": named}
+    def cancel(self, id_or_txn: int | str) -> None:
+        params = {"id" if isinstance(id_or_txn, int) else "txn": id_or_txn}
         self.raw(json.dumps({"jsonrpc": "2.0", "method": "cancelRequest", "params": params}).encode())
 
 
 class Loopback:
-    """A router with its engines."""
+    """A router in this process with stand-in engines and a stand-in endpoint list service."""
 
     def __init__(
         self, *engines: StandInEngine, mysql_file: Path | None = None, store_file: Path | None = None
@@ -226,7 +226,7 @@
         return controller
 
     def port(self, number: int = 0) -> int:
-        """Where the router listens: JSON-RPC first, then MySQL."""
+        """Returns a port of the router: number 0 is JSON-RPC, number 1 is MySQL."""
         return self.router.server.ports[number]
 
     async def client(self) -> JsonClient:
--- a/tests/routers.py
+++ b/tests/routers.py
@@ -1,4 +1,4 @@
-"""A router as a process of its own, to be killed, with what it needs on free loopback ports."""
+"""A router in its own process, which tests can kill and restart, on free loopback ports."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 def store_file(folder: Path, **more: str) -> Path:
-    """An operator file that switches the store on; its data lie beside it."""
+    """Writes a store.toml that enables the store, with its data in a folder beside the file."""
     file = folder / "store.toml"
-    parts = {key: value for key, value in more.items() if value.startswith("{")}
-    plain = {key: value for key, value in more.items() if key not in parts}
+    tables = {key: value for key, value in more.items() if value.startswith("{")}
+    plain = {key: value for key, value in more.items() if key not in tables}
     file.write_text(
         "\n".join(
             (
                 "enabled = true",
                 'folder = "data"',
                 *(f"{key} = {value}" for key, value in plain.items()),
-                *(f"{key} = {value}" for key, value in parts.items()),
+                *(f"{key} = {value}" for key, value in tables.items()),
             )
         )
         + "\n"
@@ -35,7 +35,7 @@
 
 
 class RouterProcess:
-    """Starts, kills and starts again the same router: the same name, store and engines."""
+    """Starts, kills and restarts a router with the same name, store and engines."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         settings: dict[str, Any] | None = None,
         **more: Any,
     ) -> None:
-        """``more``: of the configuration. A channel.toml beside the others is heeded."""
+        """``more`` are further keys of the configuration. A channel.toml in the folder is read if present."""
         self._folder = folder
         self._mysql = mysql
         self._more = more
@@ -55,10 +55,10 @@
         self.process: asyncio.subprocess.Process | None = None
         self.lines: list[str] = []
         self.ports: list[int] = []
-        self.up = asyncio.Event()  # it listens
-        self.read = asyncio.Event()  # its store has been read
-        self._told = asyncio.Event()  # a line came
-        self._reading: asyncio.Task[None] | None = None
+        self.up = asyncio.Event()  # the router listens
+        self.read = asyncio.Event()  # the router has read its store, or cannot open it
+        self._line_read = asyncio.Event()  # a line was read from standard error
+        self._reading_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         if not hasattr(self.journal, "server"):
@@ -87,14 +87,14 @@
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "slipbay", cwd=ROOT, env=environment, stderr=asyncio.subprocess.PIPE
         )
-        self._reading = asyncio.get_running_loop().create_task(self._read(self.process))
+        self._reading_task = asyncio.get_running_loop().create_task(self._read(self.process))
         await self.up.wait()
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
         while line := (await process.stderr.readline()).decode():
             self.lines.append(line)
-            self._told.set()
+            self._line_read.set()
             if "listens at" in line:
                 ports = line.partition("listens at ")[2].replace(",", " ").split()
                 self.ports = [int(word.rpartition(":")[2]) for word in ports if word.startswith(HOST)]
@@ -103,35 +103,38 @@
                 self.read.set()
 
     async def tells(self, *texts: str) -> None:
-        """Wait until each text stands in a line. Lines come one by one: where one is there, the next that the
-        router writes may not be."""
+        """Waits until each text is in a line of the log.
+
+        The router writes its lines one by one, so a later line may still be missing when an earlier one is
+        there.
+        """
         missing = list(texts)
         try:
             async with asyncio.timeout(45):
                 while missing := [text for text in texts if not any(text in line for line in self.lines)]:
-                    self._told.clear()
-                    await self._told.wait()
+                    self._line_read.clear()
+                    await self._line_read.wait()
         except TimeoutError:
             raise AssertionError(f"want {missing} in {self.lines}") from None
 
-    async def _ended(self) -> int:
+    async def _wait_for_end(self) -> int:
         assert self.process is not None
-        assert self._reading is not None
+        assert self._reading_task is not None
         self.up.clear()
         self.read.clear()
         code = await self.process.wait()
-        await self._reading
+        await self._reading_task
         return code
 
     async def kill(self) -> None:
-        """SIGKILL: nothing of it is heard or done after this."""
+        """Kills the process with SIGKILL and waits for its end."""
         assert self.process is not None
         self.process.kill()
-        await self._ended()
+        await self._wait_for_end()
 
     async def end(self) -> int:
         assert self.process is not None
         self.process.send_signal(signal.SIGTERM)
-        code = await self._ended()
+        code = await self._wait_for_end()
         self.journal.server.close()
         return code
--- a/tests/test_close_races.py
+++ b/tests/test_close_races.py
@@ -1,5 +1,8 @@
-"""Crossings on clients' connections, forced on real sockets: what comes in the instant of a close, requests
-in pieces on the way out, clients that read nothing and cancel or leave."""
+"""Races on client connections, forced on real sockets.
+
+Data arrives while the router closes a connection, requests arrive in pieces during a drain, and clients that
+read no answers cancel or disconnect.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +19,11 @@
 from slipbay.frontends import server as front_server
 from slipbay.stream import Stream
 
-BIG_PAGE = b"1\t2\t3\n" * 990  # of 5,940 bytes; a page holds 6,000
+BIG_PAGE = b"1\t2\t3\n" * 990  # 5,940 bytes; a page has at most 6,000
 
 
 def line(id: int, method: str = "lookup", **params: object) -> bytes:
-    """A message as a client writes it."""
+    """Returns an encoded JSON-RPC message."""
     statement = base64.b64encode(b"SELECT 1").decode()
     if method in ("lookup", "ticket-load"):
         params = {"txn": f"{id:016x}", "limit": 2000, "cpu": 80.0, "data": statement, **params}
@@ -28,11 +31,11 @@
 
 
 async def connect(net: Loopback) -> socket.socket:
-    """A client's bare socket, and the router's connection for it is up."""
+    """Connects a client socket and waits until the router has accepted it."""
     loop = asyncio.get_running_loop()
     before = set(net.router.server.connections)
     client = socket.socket()
-    client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # so that one who reads nothing is noticed
+    client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # so that unread answers stay in the router
     client.setblocking(False)
     await loop.sock_connect(client, (HOST, net.port()))
     await until(lambda: any(c.transport for c in net.router.server.connections - before))
@@ -40,15 +43,15 @@
 
 
 async def read_to_end(client: socket.socket) -> bytes:
-    """All that comes until the router ends its side; a reset raises."""
+    """Returns all bytes until the router closes its side; raises if the connection is reset."""
     received = b""
     while data := await asyncio.get_running_loop().sock_recv(client, 65536):
         received += data
     return received
 
 
-def at_the_close(monkeypatch: pytest.MonkeyPatch, action: Callable[[], None]) -> None:
-    """Call ``action`` once, when the router has looked for unread bytes and is about to close."""
+def before_the_close(monkeypatch: pytest.MonkeyPatch, action: Callable[[], None]) -> None:
+    """Calls ``action`` once, after the router has checked for unread bytes and before it closes."""
     original = Stream.half_close
 
     def half_close(self: Stream) -> None:
@@ -59,30 +62,32 @@
     monkeypatch.setattr(Stream, "half_close", half_close)
 
 
-def test_a_request_in_the_instant_of_the_last_close_does_not_reset_the_answer_before_it(
+def test_a_request_that_arrives_during_the_close_does_not_reset_the_answer_before_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a close over unread bytes: it resets the connection, and what the system has not sent
-    yet is lost with it. The request that crossed is not sent on, as its client sends it once more."""
+    """Guards against closing a socket with unread bytes, which resets the connection and drops unsent data.
+
+    The request that arrives during the close is not forwarded; its client sends it again.
+    """
 
     answer = asyncio.Event()
 
     async def script(call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
         await answer.wait()
-        return await big_then_hanging(call, writer)
+        return await answer_big_pages(call, writer)
 
     async def test() -> None:
         engine = StandInEngine(script)
         async with Loopback(engine) as net:
             client = await connect(net)
-            at_the_close(monkeypatch, lambda: client.sendall(line(2)))
+            before_the_close(monkeypatch, lambda: client.sendall(line(2)))
             client.sendall(line(1))
             await until(lambda: bool(engine.calls))
             net.router.server.drain(20_000_000)
             (connection,) = net.router.server.connections
             answer.set()
             await until(lambda: connection.half_closed and not connection.unsent)
-            await asyncio.sleep(0)  # the turn in which a transport that is to close does so
+            await asyncio.sleep(0)  # a closing transport closes in this turn of the event loop
             result = json.loads(await read_to_end(client))["result"]
             assert base64.b64decode(result["data"]) == BIG_PAGE * 8
             assert len(engine.named("POST")) == 1
@@ -92,7 +97,7 @@
     run(test)
 
 
-def test_a_request_in_the_instant_in_which_an_idle_connection_is_closed_gets_an_end_and_no_reset(
+def test_a_request_that_arrives_while_an_idle_connection_is_closed_causes_no_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
@@ -101,7 +106,7 @@
             client = await connect(net)
             client.sendall(line(1, "alive"))
             await until(lambda: all(c.has_sent_message for c in net.router.server.connections))
-            at_the_close(monkeypatch, lambda: client.sendall(line(2)))
+            before_the_close(monkeypatch, lambda: client.sendall(line(2)))
             net.router.server.evict_idle()
             assert json.loads(await read_to_end(client))["result"] == {"well": True}
             client.close()
@@ -111,44 +116,46 @@
     run(test)
 
 
-def test_a_client_that_never_ends_its_side_holds_up_neither_the_end_nor_others(
+def test_a_client_that_never_closes_its_side_does_not_delay_the_shutdown(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(front_server, "LINGER_US", 1000)
 
     async def test() -> None:
         async with Loopback(StandInEngine()) as net:
-            stubborn = await connect(net)
+            lingering = await connect(net)
             net.router.shutdown.begin()
             await net.router.shutdown.done.wait()
-            assert await read_to_end(stubborn) == b""
-            stubborn.close()
+            assert await read_to_end(lingering) == b""
+            lingering.close()
 
     run(test)
 
 
-def test_connections_that_linger_take_up_no_room_for_clients() -> None:
+def test_lingering_connections_do_not_count_towards_the_limit_of_clients() -> None:
     async def test() -> None:
         async with Loopback(StandInEngine()) as net:
-            stubborn = await connect(net)
+            lingering_client = await connect(net)
             (connection,) = net.router.server.connections
             connection.close_gracefully()
             assert net.router.server.connections
             assert net.router.server.lingering
-            most = net.router.config.limits.client_sockets
-            others: list[Any] = [object() for _ in range(most - 1)]
+            max_clients = net.router.config.limits.client_sockets
+            others: list[Any] = [object() for _ in range(max_clients - 1)]
             net.router.server.connections.update(others)
             assert net.router.server.has_room
             net.router.server.connections.difference_update(others)
-            stubborn.close()
+            lingering_client.close()
             await until(lambda: not net.router.server.lingering)
 
     run(test)
 
 
-def test_a_request_in_pieces_is_answered_though_the_router_ends_between_them() -> None:
-    """Guards against a close in the middle of a slow writer's request: it has been sent to a connection that
-    the router took, so an answer is owed."""
+def test_a_request_in_pieces_is_answered_although_the_router_starts_to_drain_between_them() -> None:
+    """Guards against closing a connection in the middle of a request that a client sends slowly.
+
+    The router has accepted the connection, so it must answer the request.
+    """
 
     async def test() -> None:
         engine = StandInEngine()
@@ -168,12 +175,12 @@
     run(test)
 
 
-def test_a_connection_that_comes_up_after_the_router_began_to_leave_is_ended_too() -> None:
-    """It was taken from the system in the listener's last turn, and its transport is made a turn later."""
+def test_a_connection_whose_transport_is_made_after_the_start_of_a_drain_is_closed_too() -> None:
+    """Such a connection is accepted in the listener's last turn, and its transport is made one turn later."""
 
     async def test() -> None:
         async with Loopback(StandInEngine()) as net:
-            client = socket.create_connection((HOST, net.port()))  # it waits with the system
+            client = socket.create_connection((HOST, net.port()))  # waits in the listener's backlog
             client.setblocking(False)
             net.router.server.drain(20_000_000)
             (connection,) = net.router.server.connections
@@ -188,7 +195,8 @@
 
 
 async def fill(net: Loopback, client: socket.socket) -> None:
-    """Have a client that reads nothing be owed more than the system and the transport's usual bound take."""
+    """Makes the router buffer more for a client that reads nothing than the kernel's buffers and the
+    transport's default limit hold."""
     (connection,) = net.router.server.connections
     assert connection.sock is not None
     connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -199,8 +207,8 @@
     assert connection.unsent > 2 * 65536
 
 
-async def big_then_hanging(call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
-    """Answers with pages of 48,000 bytes, but for a query that runs on."""
+async def answer_big_pages(call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
+    """Answers queries with pages of 48,000 bytes in total, except the query TXN, which continues to run."""
     if call.method == "DELETE":
         return http_answer(204)
     if call.path.endswith(f"/{TXN}/0") or call.headers.get("x-hop-id") == TXN:
@@ -209,19 +217,22 @@
     return http_answer(200, BIG_PAGE, **({"X_Sheet": str(number)} if number else {"X_Sheets": "8"}))
 
 
-@pytest.mark.parametrize("leaves", [False, True])
-def test_a_client_that_reads_nothing_may_still_cancel_or_leave(leaves: bool) -> None:
-    """Guards against a request that is sent on, or runs on, for a client that has gone: its connection was
-    not read while it owed the client more than the system takes, nor ended before all of that was sent."""
+@pytest.mark.parametrize("disconnects", [False, True])
+def test_a_client_that_reads_nothing_can_cancel_or_disconnect(disconnects: bool) -> None:
+    """Guards against a request that continues to run, or is retried, for a client that has disconnected.
+
+    This happens if the router does not read a connection, and so does not detect its end, while it still
+    has answers to send on it.
+    """
 
     async def test() -> None:
-        engine = StandInEngine(big_then_hanging)
+        engine = StandInEngine(answer_big_pages)
         async with Loopback(engine) as net:
             client = await connect(net)
             await fill(net, client)
             client.sendall(line(17, "ticket-load", txn=TXN, limit=20_000))
             await until(lambda: any(call.headers.get("x-hop-id") == TXN for call in engine.calls))
-            if leaves:
+            if disconnects:
                 client.shutdown(socket.SHUT_WR)
             else:
                 client.sendall(line(18, "cancelRequest", txn=TXN))
@@ -233,8 +244,8 @@
     run(test)
 
 
-def test_small_writes_are_not_held_back() -> None:
-    """The system must not keep a short answer until the one before it is acknowledged."""
+def test_small_writes_are_not_delayed() -> None:
+    """The kernel must not delay a short answer until the previous one is acknowledged (Nagle's algorithm)."""
 
     async def test() -> None:
         engine = StandInEngine(one_page)
@@ -256,29 +267,29 @@
     run(test)
 
 
-class Busy:
-    """Stands in for a connection with an open request."""
+class BusyConnection:
+    """A stand-in for a connection with an open request."""
 
     busy = True
     closes_next_turn = False
 
 
-def test_a_client_that_lingers_does_not_keep_others_from_being_evicted() -> None:
-    """Guards against a crowd of idle clients that gives way slowly, as each takes time to end its side."""
+def test_a_lingering_connection_does_not_prevent_further_evictions() -> None:
+    """Guards against evicting idle clients one after another, as each takes time to close its side."""
 
     async def test() -> None:
         async with Loopback(StandInEngine()) as net:
-            stubborn = await connect(net)
+            lingering_client = await connect(net)
             (first,) = net.router.server.connections
             first.close_gracefully()
             idle = await connect(net)
-            most = net.router.config.limits.client_sockets
-            others: list[Any] = [Busy() for _ in range(most)]
+            max_clients = net.router.config.limits.client_sockets
+            others: list[Any] = [BusyConnection() for _ in range(max_clients)]
             net.router.server.connections.update(others)
             net.router.server._check_room()
             net.router.server.connections.difference_update(others)
             assert len(net.router.server.lingering) == 2
-            stubborn.close()
+            lingering_client.close()
             idle.close()
             await until(lambda: not net.router.server.connections)
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A router with few descriptors, that idle clients fill while discovery is down."""
+"""A router with few descriptors: idle clients use up their share while discovery is unavailable."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from slipbay.config.model import Limits
 
-LIMITED = (
+LIMITED_START = (
     "import os, resource, sys\n"
     "resource.setrlimit(resource.RLIMIT_NOFILE, (int(sys.argv[1]), int(sys.argv[1])))\n"
     "os.execv(sys.executable, [sys.executable, '-m', 'slipbay'])\n"
@@ -22,35 +22,35 @@
 
 
 @pytest.mark.parametrize("sockets", [64, 65, 100, 256, 1024, 4096])
-def test_journal_and_engines_have_descriptors_that_clients_never_take(sockets: int) -> None:
+def test_descriptors_are_reserved_for_the_journal_and_engines(sockets: int) -> None:
     limits = Limits(1.0, 64, sockets)
-    assert limits.client_sockets >= sockets // 3  # as promised
+    assert limits.client_sockets >= sockets // 3  # guaranteed
     assert limits.engine_sockets >= 8
-    assert sockets - limits.client_sockets - limits.engine_sockets >= 31  # the process's own: some 12
+    assert sockets - limits.client_sockets - limits.engine_sockets >= 31  # the process itself needs about 12
 
 
 @pytest.mark.parametrize("sockets", [64, 256])
-def test_idle_clients_that_fill_the_descriptors_keep_neither_discovery_nor_clients_out(
+def test_idle_clients_at_the_limit_block_neither_discovery_nor_new_clients(
     tmp_path: Path, sockets: int
 ) -> None:
-    """Guards against a router that has no descriptor left for the journal once discovery is back."""
+    """Guards against a router without a descriptor for the journal when discovery is available again."""
 
     async def test() -> None:
         engine = StandInEngine()
         journal = StandInEndpointList()
         await engine.start()
-        bound = socket.socket()  # refuses all that come until it listens
+        bound = socket.socket()  # refuses connections until it listens
         bound.bind((HOST, 0))
         config = configure(
             tmp_path,
             journal=f"{HOST}:{bound.getsockname()[1]}",
             limits={"cores": 1, "memory_mb": 64, "sockets": sockets},
-            known={"pos": 1, "entries": [event(1, host("s-0", 1), whole=True)]},  # nobody is there
+            known={"pos": 1, "entries": [event(1, host("s-0", 1), whole=True)]},  # nothing listens there
         )
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-c",
-            LIMITED,
+            LIMITED_START,
             str(sockets),
             cwd=ROOT,
             stderr=asyncio.subprocess.PIPE,
@@ -64,15 +64,15 @@
         async def client() -> JsonClient:
             return JsonClient(*await asyncio.open_connection(HOST, port))
 
-        most = Limits(1.0, 64, sockets).client_sockets
+        max_clients = Limits(1.0, 64, sockets).client_sockets
         first = await client()
         first.send("alive")
-        assert (await first.answer())["result"] == {"well": True}  # though discovery is down
-        idle = [await client() for _ in range(most + 8)]  # the last ones wait with the system
+        assert (await first.answer())["result"] == {"well": True}  # although discovery is unavailable
+        idle = [await client() for _ in range(max_clients + 8)]  # the last 8 wait in the backlog
         for number, one in enumerate(idle):
             if number % 2:
                 one.send("alive")
-        await until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) > most)
+        await until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) > max_clients)
         journal.server = await asyncio.start_server(journal._serve, sock=bound)
         await until(lambda: bool(journal.asked))
         assert journal.asked[-1] == b"tail 1\n"
@@ -92,10 +92,10 @@
     run(test)
 
 
-def test_a_restart_while_discovery_is_down_is_ready_at_once_and_a_signal_right_then_ends_it(
+def test_a_router_restarted_without_discovery_is_ready_at_once_and_ends_on_signals(
     tmp_path: Path,
 ) -> None:
-    """Its list is the one that it was started with; an engine of it serves."""
+    """It uses the endpoint list of its configuration, and an engine of that list serves its requests."""
 
     async def test() -> None:
         engine = StandInEngine()
@@ -107,7 +107,7 @@
                 journal=f"{HOST}:{closed.getsockname()[1]}",
                 known={"pos": 1, "entries": [event(1, host("s-0", engine.port), whole=True)]},
             )
-            for life in range(2):
+            for incarnation in range(2):
                 process = await asyncio.create_subprocess_exec(
                     sys.executable,
                     "-m",
@@ -120,7 +120,7 @@
                 while "listens at" not in (line := (await process.stderr.readline()).decode()):
                     assert line, "the router did not start"
                 port = int(line.rpartition(":")[2])
-                if life:
+                if incarnation:
                     client = JsonClient(*await asyncio.open_connection(HOST, port))
                     client.send("alive")
                     assert (await client.answer())["result"] == {"well": True}
--- a/tests/test_mysql_front.py
+++ b/tests/test_mysql_front.py
@@ -1,4 +1,4 @@
-"""The MySQL path from end to end: a stand-in client, the router, stand-in engines."""
+"""End-to-end tests of the MySQL path: a stand-in client, the router and stand-in engines."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         engine.server.close()
 
 
-async def office(net: Loopback) -> MysqlClient:
+async def connect_client(net: Loopback) -> MysqlClient:
     return await MysqlClient.connect(net.port(1))
 
 
@@ -38,25 +38,27 @@
     async def test() -> None:
         engine = MysqlEngine()
         async with network(tmp_path, engine) as net:
-            client = await office(net)
+            client = await connect_client(net)
             client.command(0x0E)
             assert (await client.answer())[0] == 0
             assert await client.query("SELECT a FROM sales_1.orders") == [ROW]
             statement = await client.prepare("SELECT a FROM sales_1.orders WHERE b = ?")
             assert await client.execute(statement, "1") == [ROW]
-            assert await client.execute(statement, "2", bind=False) == [ROW]  # types as before
+            assert await client.execute(statement, "2", bind=False) == [
+                ROW
+            ]  # with the parameter types of the first execution
             assert len(engine.prepared) == 1
             assert sum(engine.executed.values()) == 3
-            assert all(b"\1\xfd\0" in what for what in engine.executed if b"|" in what)
+            assert all(b"\1\xfd\0" in run_command for run_command in engine.executed if b"|" in run_command)
 
     run(test)
 
 
-def test_long_data_goes_with_the_execution(tmp_path: Path) -> None:
+def test_long_data_is_sent_with_the_execution(tmp_path: Path) -> None:
     async def test() -> None:
         engine = MysqlEngine()
         async with network(tmp_path, engine) as net:
-            client = await office(net)
+            client = await connect_client(net)
             statement = await client.prepare("INSERT INTO sales_1.tickets VALUES (?)")
             for part in (b"half ", b"and half"):
                 client.command(0x18, statement.to_bytes(4, "little") + b"\0\0" + part)
@@ -86,12 +88,12 @@
         ("SELECT broken FROM sales_1.orders", 1064),
     ],
 )
-def test_what_cannot_be_served_gets_an_error_and_the_connection_goes_on(
+def test_unsupported_statements_get_an_error_and_the_connection_stays_open(
     tmp_path: Path, statement: str, code: int
 ) -> None:
     async def test() -> None:
         async with network(tmp_path, MysqlEngine()) as net:
-            client = await office(net)
+            client = await connect_client(net)
             with pytest.raises(MysqlError) as raised:
                 await client.query(statement)
             assert (raised.value.code, raised.value.state) == (code, "42000")
@@ -104,8 +106,8 @@
 def test_unsupported_commands_and_unknown_statements_get_errors(tmp_path: Path) -> None:
     async def test() -> None:
         async with network(tmp_path, MysqlEngine()) as net:
-            client = await office(net)
-            for code, rest, wanted in (
+            client = await connect_client(net)
+            for code, rest, expected in (
                 (0x1C, b"\1\0\0\0\1\0\0\0", 1235),
                 (0x02, b"x", 1235),
                 (0x11, b"", 1047),
@@ -116,7 +118,7 @@
                 client.command(code, rest)
                 with pytest.raises(MysqlError) as raised:
                     await client.answer()
-                assert raised.value.code == wanted
+                assert raised.value.code == expected
             statement = await client.prepare("SELECT a FROM sales_1.orders WHERE b = ?")
             with pytest.raises(MysqlError) as raised:
                 await client.execute(statement, "1", cursor=1)
@@ -128,10 +130,10 @@
     run(test)
 
 
-def test_an_oversized_packet_is_told_and_ends_the_connection(tmp_path: Path) -> None:
+def test_an_oversized_packet_is_answered_with_an_error_and_closes_the_connection(tmp_path: Path) -> None:
     async def test() -> None:
         async with network(tmp_path, MysqlEngine()) as net:
-            client = await office(net)
+            client = await connect_client(net)
             client.command(0x03, b"SELECT '" + b"x" * 70_000)
             with pytest.raises(MysqlError) as raised:
                 await client.answer()
@@ -149,7 +151,7 @@
         ({"charset": 8}, 1115),
     ],
 )
-def test_logins_that_are_turned_away(tmp_path: Path, how: dict[str, object], code: int) -> None:
+def test_invalid_logins_are_rejected(tmp_path: Path, how: dict[str, object], code: int) -> None:
     async def test() -> None:
         async with network(tmp_path, MysqlEngine()) as net:
             with pytest.raises(MysqlError) as raised:
@@ -159,18 +161,18 @@
     run(test)
 
 
-def test_refusal_deadline_and_failure_can_be_told_apart(tmp_path: Path) -> None:
+def test_rejection_deadline_and_failure_have_different_error_codes(tmp_path: Path) -> None:
     async def test() -> None:
-        async with network(tmp_path) as net:  # no engines: it can only be refused
+        async with network(tmp_path) as net:  # without engines, every request is rejected
             with pytest.raises(MysqlError) as raised:
-                await (await office(net)).query("/* slipbay: cpu_ms=480 */ SELECT 1")
+                await (await connect_client(net)).query("/* slipbay: cpu_ms=480 */ SELECT 1")
             assert (raised.value.code, raised.value.state) == (9503, "53000")
             assert "retry after 250 ms" in raised.value.text
         engine = MysqlEngine()
         engine.hold = asyncio.Event()
         async with network(tmp_path, engine) as net:
             with pytest.raises(MysqlError) as raised:
-                client = await office(net)
+                client = await connect_client(net)
                 await client.query("/* slipbay: deadline_ms=200 */ INSERT INTO sales_1.t VALUES (1)")
             assert (raised.value.code, raised.value.state) == (3024, "HY000")
             await until(lambda: bool(engine.killed))
@@ -185,18 +187,18 @@
 
         async with network(tmp_path, MysqlEngine(cut)) as net:
             with pytest.raises(MysqlError) as raised:
-                await (await office(net)).query("INSERT INTO sales_1.t VALUES (1)")
+                await (await connect_client(net)).query("INSERT INTO sales_1.t VALUES (1)")
             assert (raised.value.code, raised.value.state) == (9500, "58000")
 
     run(test)
 
 
-def test_a_client_that_leaves_has_its_statement_killed(tmp_path: Path) -> None:
+def test_the_statement_of_a_client_that_disconnects_is_killed(tmp_path: Path) -> None:
     async def test() -> None:
         engine = MysqlEngine()
         engine.hold = asyncio.Event()
         async with network(tmp_path, engine) as net:
-            client = await office(net)
+            client = await connect_client(net)
             client.command(0x03, b"SELECT 1")
             await until(lambda: bool(engine.running))
             client.writer.transport.abort()
@@ -208,24 +210,24 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_no_load_runs_twice_and_no_query_twice_at_once(tmp_path: Path, seed: int) -> None:
-    """Engines break connections off at random points of a command's life, mid-answer too."""
+def test_no_load_runs_twice_and_no_query_runs_twice_concurrently(tmp_path: Path, seed: int) -> None:
+    """Engines cut connections at random points of a command's execution, also in the middle of an answer."""
 
     async def test() -> None:
-        draw = random.Random(seed)
+        random_source = random.Random(seed)
 
         async def fault(point: str) -> None:
-            if draw.random() < 0.12:
+            if random_source.random() < 0.12:
                 raise Cut
-            together = [what for engine in engines for what in engine.running.values()]
-            assert len(together) == len(set(together))  # one attempt of a request at a time
+            active = [command for engine in engines for command in engine.running.values()]
+            assert len(active) == len(set(active))  # one attempt of a request at a time
 
         engines = [MysqlEngine(fault, 1 + 1000 * n) for n in range(3)]
         served: list[str] = []
         failed: list[str] = []
 
-        async def client_runs(net: Loopback, name: int) -> None:
-            client = await office(net)
+        async def run_client(net: Loopback, name: int) -> None:
+            client = await connect_client(net)
             for verb in ("INSERT INTO sales_{}.t VALUES (?)", "SELECT a FROM sales_{}.t WHERE b = ?"):
                 try:
                     statement = await client.prepare(verb.format(name))
@@ -237,17 +239,21 @@
                         assert await client.execute(statement, value) == [ROW]
                         served.append(value)
                     except MysqlError as problem:
-                        assert problem.code in (9500, 9503, 3024)  # proof may take until the deadline
+                        assert problem.code in (
+                            9500,
+                            9503,
+                            3024,
+                        )  # 3024 if the outcome is unknown at the deadline
                         failed.append(value)
 
         async with network(tmp_path, *engines, deadlines="lookup = 400\nticket-load = 400") as net:
-            await asyncio.gather(*(client_runs(net, name) for name in range(8)))
+            await asyncio.gather(*(run_client(net, name) for name in range(8)))
         counts = {
             value: sum(
                 count
                 for engine in engines
-                for what, count in engine.executed.items()
-                if what.endswith(value.encode())
+                for command, count in engine.executed.items()
+                if command.endswith(value.encode())
             )
             for value in served + failed
         }
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts and ends it."""
+"""The router process: start, signals and exit codes."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def start(folder: Path, text: str | bytes | None = None, **changes: object) -> subprocess.Popen[str]:
-    """``text``: of the configuration file, in place of a good one with changes."""
+    """Starts a router; ``text`` replaces the configuration file with ``changes``."""
     config = configure(folder, **changes)
     if text is not None:
         config.write_bytes(text.encode() if isinstance(text, str) else text)
@@ -47,7 +47,7 @@
     )
 
 
-def test_it_serves_until_sigterm_and_exits_with_0(tmp_path: Path) -> None:
+def test_the_router_serves_until_sigterm_and_exits_with_0(tmp_path: Path) -> None:
     process = start(tmp_path)
     assert process.stderr is not None
     port = int(next(line for line in process.stderr if "listens at" in line).rpartition(":")[2])
@@ -55,13 +55,13 @@
         client.sendall(b'{"jsonrpc":"2.0","id":1,"method":"alive"}\n')
         assert client.makefile().readline() == '{"jsonrpc":"2.0","id":1,"result":{"well":true}}\n'
         process.send_signal(signal.SIGTERM)
-        assert client.recv(1) == b""  # nothing was open on it
+        assert client.recv(1) == b""  # without open requests it closes at once
     assert process.wait(60) == 0
     process.stderr.close()
 
 
-def test_sighup_moves_to_the_new_journal_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    """Guards against an end on SIGHUP, and against one in which connections or the journal are lost."""
+def test_sighup_switches_to_the_new_journal_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+    """Guards against exiting on SIGHUP, and against losing client connections or the endpoint list."""
     with socket.create_server((HOST, 0)) as old, socket.create_server((HOST, 0)) as new:
         process = start(tmp_path, journal=f"{HOST}:{old.getsockname()[1]}")
         assert process.stderr is not None
@@ -88,8 +88,8 @@
         process.stderr.close()
 
 
-def test_signals_that_come_while_it_starts_are_heard_once_it_has(tmp_path: Path) -> None:
-    """Guards against an end by SIGHUP, seen with routers that started slowly on a busy machine."""
+def test_signals_during_the_start_are_handled_after_it(tmp_path: Path) -> None:
+    """Guards against a SIGHUP that kills a router during its start, as happened on a busy machine."""
     text = configure(tmp_path).read_text()
     (tmp_path / "config.json").unlink()
     os.mkfifo(tmp_path / "config.json")
@@ -101,27 +101,27 @@
         env={**os.environ, "GW_CONFIG": str(tmp_path / "config.json")},
     )
     assert process.stderr is not None
-    with open(tmp_path / "config.json", "w") as first:  # opens when the router begins to read
+    with open(tmp_path / "config.json", "w") as first:  # blocks until the router opens the file to read it
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
         first.write(text)
     assert any("listens at" in line for line in process.stderr)
     with open(tmp_path / "config.json", "w") as again:
         again.write(text)
-    _, told = process.communicate(timeout=60)
+    _, log = process.communicate(timeout=60)
     assert process.returncode == 0
-    assert "the configuration was read again" in told
-    assert "asked to end" in told
+    assert "the configuration was read again" in log
+    assert "asked to end" in log
 
 
-def test_a_faulty_configuration_ends_the_start_with_its_key(tmp_path: Path) -> None:
+def test_with_an_invalid_configuration_the_router_exits_and_names_the_key(tmp_path: Path) -> None:
     process = start(tmp_path, listen="nowhere")
-    _, told = process.communicate(timeout=60)
+    _, log = process.communicate(timeout=60)
     assert process.returncode == 2
-    assert "bad configuration: config.json: listen:" in told
+    assert "bad configuration: config.json: listen:" in log
 
 
-def test_the_deploy_file_names_what_exists() -> None:
+def test_the_files_and_modules_in_the_deploy_file_exist() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert all((ROOT / path).exists() for path in deploy["policy"] + deploy["node"])
     for command in (deploy["run"], deploy["sim"]):
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -1,4 +1,4 @@
-"""Limits of the policy package, and the README's example run as printed."""
+"""Code rules of the policy package, and the README's example, run as printed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 ROOT = Path(__file__).parent.parent
 POLICY = ROOT / "slipbay" / "policy"
-LONGEST_FUNCTION = 40  # lines
+MAX_FUNCTION_LINES = 40
 FORBIDDEN = {
     "asyncio",
     "datetime",
@@ -30,23 +30,23 @@
 
 
 def policy_trees() -> list[tuple[Path, ast.Module]]:
-    """Each file of the policy package with its syntax tree."""
+    """Returns each file of the policy package with its syntax tree."""
     return [(file, ast.parse(file.read_text())) for file in sorted(POLICY.rglob("*.py"))]
 
 
-def test_functions_of_the_policy_fit_on_a_screen() -> None:
+def test_functions_of_the_policy_are_not_too_long() -> None:
     too_long = {
         f"{file.name}:{node.name}": node.end_lineno - node.lineno + 1
         for file, tree in policy_trees()
         for node in ast.walk(tree)
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)
         and node.end_lineno is not None
-        and node.end_lineno - node.lineno + 1 > LONGEST_FUNCTION
+        and node.end_lineno - node.lineno + 1 > MAX_FUNCTION_LINES
     }
     assert not too_long
 
 
-def test_policy_uses_only_the_standard_library_and_neither_io_nor_clock() -> None:
+def test_the_policy_imports_only_the_standard_library_without_io_and_clocks() -> None:
     imported = {
         name
         for _, tree in policy_trees()
@@ -59,14 +59,14 @@
             else []
         )
     }
-    ours = {name for name in imported if name.startswith("slipbay")}
-    assert all(name.startswith("slipbay.policy") for name in ours)
-    roots = {name.split(".")[0] for name in imported - ours}
+    own_modules = {name for name in imported if name.startswith("slipbay")}
+    assert all(name.startswith("slipbay.policy") for name in own_modules)
+    roots = {name.split(".")[0] for name in imported - own_modules}
     assert roots <= set(sys.stdlib_module_names)
     assert not roots & FORBIDDEN
 
 
-RECORDS = (
+RECORD_MODULES = (
     "records.py",
     "settings.py",
     "events.py",
@@ -75,9 +75,9 @@
     "outbox.py",
     "gossip_codec.py",
 )
-"""Modules of the policy that record, describe or encode; no number in them decides."""
+"""Modules of the policy with records, settings and codecs; they have no numbers that affect decisions."""
 
-FORMS = {
+ALLOWED_ASSIGNMENTS = {
     "WAITS_FOR_LOAD = 2.0",
     "TOKEN_RANGE = 2 ** 32",
     "HEAD = Struct('<IB')",
@@ -87,14 +87,14 @@
     "PERIOD_RANGE = 2 ** 32",
     "DIGEST_RANGE = 2 ** 16",
 }
-"""What such modules may assign: forms of messages, notes and tokens."""
+"""Assignments that these modules may have: formats of messages, outbox entries and tokens."""
 
-PLAIN = {0, 1, 2}
-"""Numbers that need no name: none, one, and two sides or halves."""
+UNNAMED_NUMBERS = {0, 1, 2}
+"""Numbers that need no named constant."""
 
 
-def numbers(tree: ast.AST) -> list[ast.Constant]:
-    """Each number that is written in a piece of code."""
+def number_literals(tree: ast.AST) -> list[ast.Constant]:
+    """Returns all number literals of a syntax tree."""
     return [
         node
         for node in ast.walk(tree)
@@ -102,45 +102,48 @@
     ]
 
 
-def test_numbers_that_decide_stand_in_no_module_of_records() -> None:
+def test_modules_of_records_have_no_numbers_that_affect_decisions() -> None:
     for file, tree in policy_trees():
-        if file.name in RECORDS:
+        if file.name in RECORD_MODULES:
             for node in tree.body:
                 if isinstance(node, ast.Assign):
-                    assert ast.unparse(node) in FORMS
+                    assert ast.unparse(node) in ALLOWED_ASSIGNMENTS
     assert Settings.__slots__
 
 
-def test_numbers_that_decide_are_constants_of_their_module_with_unit_and_reason() -> None:
+def test_numbers_that_affect_decisions_are_constants_with_a_comment() -> None:
     for file, tree in policy_trees():
         lines = file.read_text().splitlines()
         for node in tree.body:
-            if isinstance(node, ast.Assign) and numbers(node.value):
+            if isinstance(node, ast.Assign) and number_literals(node.value):
                 assert len(node.targets) == 1
                 assert node.lineno == node.end_lineno
-                beside = lines[node.lineno - 1][node.end_col_offset :]
-                above = lines[node.lineno - 2]
-                is_explained = beside.startswith("  # ") or above.startswith("# ")
-                assert is_explained or ast.unparse(node) in FORMS, ast.unparse(node)
+                rest_of_line = lines[node.lineno - 1][node.end_col_offset :]
+                line_above = lines[node.lineno - 2]
+                is_explained = rest_of_line.startswith("  # ") or line_above.startswith("# ")
+                assert is_explained or ast.unparse(node) in ALLOWED_ASSIGNMENTS, ast.unparse(node)
 
 
-def test_functions_and_fields_of_the_policy_contain_no_number_without_a_name() -> None:
+def test_functions_and_fields_of_the_policy_have_no_unnamed_numbers() -> None:
     unnamed = {
         f"{file.name}:{found.lineno}: {found.value!r}"
         for file, tree in policy_trees()
         for node in ast.walk(tree)
         if isinstance(node, ast.FunctionDef | ast.AnnAssign)
-        if file.name != "settings.py" or isinstance(node, ast.FunctionDef)  # defaults of the pages
-        for found in numbers(node)
-        if found.value not in PLAIN
+        if file.name != "settings.py"
+        or isinstance(node, ast.FunctionDef)  # fields there have documented defaults
+        for found in number_literals(node)
+        if found.value not in UNNAMED_NUMBERS
     }
     assert not unnamed
 
 
-def test_the_deploy_file_lists_every_module_that_decides() -> None:
+def test_the_deploy_file_lists_every_decision_module() -> None:
     listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    deciding = [file for file, _ in policy_trees() if file.name not in (*RECORDS, "__init__.py")]
-    assert listed == [str(file.relative_to(ROOT)) for file in deciding]
+    decision_modules = [
+        file for file, _ in policy_trees() if file.name not in (*RECORD_MODULES, "__init__.py")
+    ]
+    assert listed == [str(file.relative_to(ROOT)) for file in decision_modules]
 
 
 def test_readme_example_runs_as_printed() -> None:
@@ -148,24 +151,24 @@
         r"```python\n(.*?)```\n\nIt prints:\n\n```text\n(.*?)```", (ROOT / "README.md").read_text(), re.S
     )
     assert example
-    ran = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", example[1]], cwd=ROOT, capture_output=True, text=True, timeout=60, check=True
     )
-    assert ran.stdout == example[2]
+    assert result.stdout == example[2]
 
 
-def test_no_module_imports_another_that_needs_it() -> None:
-    """The packages form one staircase; imports within functions count too."""
-    needs = {}
+def test_imports_between_modules_have_no_cycles() -> None:
+    """Imports within functions count too."""
+    dependencies = {}
     for file in (ROOT / "slipbay").rglob("*.py"):
         name = ".".join(file.relative_to(ROOT).with_suffix("").parts)
-        needs[name] = {
+        dependencies[name] = {
             found
             for node in ast.walk(ast.parse(file.read_text()))
             if isinstance(node, ast.ImportFrom) and node.module
             for found in [node.module, *(f"{node.module}.{alias.name}" for alias in node.names)]
         }
-    left = set(needs)
-    while steps := {name for name in left if not (needs[name] & left) - {name}}:
-        left -= steps
-    assert not left, f"these import each other, or stand on those that do: {sorted(left)}"
+    unresolved = set(dependencies)
+    while resolved := {name for name in unresolved if not (dependencies[name] & unresolved) - {name}}:
+        unresolved -= resolved
+    assert not unresolved, f"modules in an import cycle, or that depend on one: {sorted(unresolved)}"
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""The router from its sockets: one process, stand-in engines, clients of the platform."""
+"""A router in this process, tested through its sockets with stand-in engines and JSON-RPC clients."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 SQL = "SELECT * FROM sales_17.orders"
 
 
-def test_a_query_is_passed_on_unchanged_and_its_pages_come_back_whole() -> None:
+def test_a_query_is_forwarded_unchanged_and_all_its_pages_are_returned() -> None:
     pages = [b"1\t2\t3\n" * 800, b"4\t5\t6\n" * 800, b"7\t8\t9\n"]
 
     async def script(call: HttpCall, writer: asyncio.StreamWriter) -> bytes:
@@ -47,8 +47,8 @@
     run(test)
 
 
-def test_the_key_by_which_engines_drop_repeats_is_passed_on_unchanged() -> None:
-    """Seen with a variant of our own whose class is of that kind: engines got requests without it."""
+def test_the_client_key_for_deduplication_by_engines_is_forwarded_unchanged() -> None:
+    """Guards against requests that reach an engine without the key by which the engine drops repeats."""
 
     async def test() -> None:
         engine = StandInEngine()
@@ -68,7 +68,10 @@
 
 
 def test_a_cut_connection_does_not_end_a_query() -> None:
-    """Guards against taking a reset for the end: the query runs on, and is asked for on a new connection."""
+    """Guards against treating a reset connection as the end of the query.
+
+    The query continues to run, and the router requests its result on a new connection.
+    """
 
     async def script(call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
         return None if call.method == "POST" else await one_page(call, writer)
@@ -85,7 +88,7 @@
 
 
 @pytest.mark.parametrize("service_class, posts", [("lookup", 2), ("ticket-load", 1)])
-def test_only_what_may_run_twice_is_sent_again_after_an_error(service_class: str, posts: int) -> None:
+def test_only_requests_that_may_run_twice_are_retried_after_an_error(service_class: str, posts: int) -> None:
     async def script(call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
         return http_answer(500)
 
@@ -113,7 +116,7 @@
         engine = StandInEngine(script)
         async with Loopback(engine) as net:
             client = await net.client()
-            client.cancel(client.query())  # at once: it may not have been sent yet
+            client.cancel(client.query())  # the router may not have sent the query to the engine yet
             client.query()
             client.cancel(client.txn)
             id = client.query()
@@ -127,9 +130,9 @@
     run(test)
 
 
-def test_a_rejection_says_when_to_return_and_comes_at_once() -> None:
+def test_a_rejection_has_a_retry_time_and_is_sent_at_once() -> None:
     async def test() -> None:
-        async with Loopback() as net:  # no engines at all
+        async with Loopback() as net:  # without engines
             client = await net.client()
             client.query(limit=120)
             error = (await client.answer())["error"]
@@ -177,7 +180,9 @@
         (b"\xff\xfe", -32700, None),
     ],
 )
-def test_bad_input_gets_an_error_and_the_connection_goes_on(line: bytes, code: int, id: int | None) -> None:
+def test_bad_input_gets_an_error_and_the_connection_stays_open(
+    line: bytes, code: int, id: int | None
+) -> None:
     async def test() -> None:
         async with Loopback() as net:
             client = await net.client()
@@ -190,7 +195,7 @@
     run(test)
 
 
-def test_a_reused_id_is_an_error_and_an_overlong_line_ends_the_connection() -> None:
+def test_a_reused_id_is_an_error_and_a_line_over_the_limit_closes_the_connection() -> None:
     async def test() -> None:
         async with Loopback(StandInEngine()) as net:
             client = await net.client()
@@ -199,15 +204,17 @@
             client.send("alive", id=1)
             assert (await client.answer())["error"]["code"] == -32600
             client.raw(b"x" * 400_000)
-            with contextlib.suppress(ConnectionResetError):  # it has not read all that we sent
+            with contextlib.suppress(ConnectionResetError):  # the router closes with unread data
                 assert await client.reader.read() == b""
 
     run(test)
 
 
-def test_the_txn_of_another_request_is_not_taken() -> None:
-    """Guards against 'served' with the answer to another's statement: where the POST's own answer is lost,
-    the question for its news names the query by its txn alone."""
+def test_the_txn_of_another_request_is_rejected() -> None:
+    """Guards against serving the answer to another client's statement.
+
+    If the answer to a POST is lost, the router requests the result by the txn alone.
+    """
 
     async def test() -> None:
         engine = StandInEngine()
@@ -222,7 +229,7 @@
     run(test)
 
 
-def test_the_endpoint_list_is_followed_across_a_cut_of_its_connection() -> None:
+def test_the_endpoint_list_is_followed_after_its_connection_is_cut() -> None:
     async def test() -> None:
         old = StandInEngine()
         new = StandInEngine()
@@ -236,7 +243,7 @@
             await until(lambda: len(net.journal.asked) == 2)
             assert net.journal.asked == [b"tail 1\n", b"tail 2\n"]
             net.journal.tell(event(3, host("s-0", old.port, "DELETED")))
-            net.journal.tell(event(2, host("s-0", old.port)))  # told again: it changes nothing
+            net.journal.tell(event(2, host("s-0", old.port)))  # a repeated event, without effect
             net.journal.tell(event(4))
             await until(lambda: net.router.endpoint_watch.pos == 4)
             client = await net.client()
@@ -250,7 +257,7 @@
     run(test)
 
 
-def test_an_address_that_passes_to_a_new_engine_serves_it() -> None:
+def test_requests_go_to_the_new_engine_at_an_address_that_another_engine_had() -> None:
     async def test() -> None:
         engine = StandInEngine()
         async with Loopback(engine) as net:
@@ -267,11 +274,11 @@
     run(test)
 
 
-def test_after_sigterm_requests_are_taken_for_a_while_and_all_are_answered() -> None:
-    go_on = asyncio.Event()
+def test_after_sigterm_requests_are_accepted_for_a_time_and_all_are_answered() -> None:
+    may_answer = asyncio.Event()
 
     async def script(call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
-        await go_on.wait()
+        await may_answer.wait()
         return await one_page(call, writer)
 
     async def test() -> None:
@@ -285,7 +292,7 @@
             late.query()
             await until(lambda: net.router.server.draining)
             assert not net.router.shutdown.done.is_set()
-            go_on.set()
+            may_answer.set()
             assert "result" in await client.answer()
             assert "result" in await late.answer()
             await net.router.shutdown.done.wait()
@@ -293,17 +300,17 @@
     run(test)
 
 
-class Stuck:
-    """Decisions that never come."""
+class FailingPolicy:
+    """A policy that never returns a decision."""
 
     def handle(self, now_us: int, events: object) -> list[Action]:
         raise RuntimeError("stuck")
 
 
-def test_a_client_is_answered_in_time_though_the_policy_is_stuck() -> None:
+def test_a_client_is_answered_by_the_deadline_although_the_policy_fails() -> None:
     async def test() -> None:
         async with Loopback(StandInEngine()) as net:
-            net.router.dispatcher.policy = Stuck()
+            net.router.dispatcher.policy = FailingPolicy()
             client = await net.client()
             client.query(limit=60)
             started = time.monotonic()
@@ -314,84 +321,85 @@
     run(test)
 
 
-def test_an_idle_connection_that_the_engine_closed_is_seen_before_it_is_used() -> None:
-    """Guards against a POST on a connection whose end has come and was not read: it would be lost."""
-    ours, theirs = socket.socketpair()
+def test_an_idle_connection_that_the_engine_closed_is_detected_before_it_is_used() -> None:
+    """Guards against a POST on a connection whose end has been received but not read: it would be lost."""
+    router_end, engine_end = socket.socketpair()
     stream = Stream()
-    stream.sock = ours
+    stream.sock = router_end
     stream.transport = FakeTransport(FakeLoop(), stream, lambda transport, data: None)
     assert not stream.stale()
-    theirs.close()
+    engine_end.close()
     assert stream.stale()
-    ours.close()
+    router_end.close()
 
 
-def test_silent_clients_are_disconnected_and_do_not_push_out_others() -> None:
-    """Guards against silent connections by the hundred that take the descriptors of those that ask."""
+def test_silent_clients_are_disconnected_and_do_not_displace_active_ones() -> None:
+    """Guards against hundreds of silent connections that leave no descriptors for active clients."""
     loop = FakeLoop()
     server = Server(loop.timers, Limits(1.0, 192, 64), loop.now)  # 25 connections of clients
-    front = JsonRpcFrontend(SimpleNamespace(classes=(), tenants=()), None, None, lambda: True)  # type: ignore[arg-type]
+    frontend = JsonRpcFrontend(SimpleNamespace(classes=(), tenants=()), None, None, lambda: True)  # type: ignore[arg-type]
 
     def connect() -> tuple[JsonRpcConnection, FakeTransport]:
         while not server.has_room:
             server.evict_idle()
             loop.advance(10_000)
-        connection = JsonRpcConnection(server, front)
+        connection = JsonRpcConnection(server, frontend)
         transport = FakeTransport(loop, connection, lambda transport, data: None)
         connection.connection_made(transport)
         return connection, transport
 
-    asked, asking = connect()
-    asked.received(b'{"jsonrpc":"2.0","id":1,"method":"alive"}\n')
+    active_connection, active = connect()
+    active_connection.received(b'{"jsonrpc":"2.0","id":1,"method":"alive"}\n')
     silent = []
     for _ in range(100):
         loop.advance(10_000)
         silent.append(connect()[1])
-    dripping, transport = connect()
-    assert not asking.closing
+    slow_sender, transport = connect()
+    assert not active.closing
     assert len(server.connections) <= 25
     assert all(one.closing for one in silent[:76])
     for _ in range(5):
         loop.advance(500_000)
         if not transport.closing:
-            dripping.received(b"x")
+            slow_sender.received(b"x")
     assert transport.closing
     assert all(one.closing for one in silent)
-    assert not asking.closing
+    assert not active.closing
     loop.advance(5_000_000)
-    assert asking.closing  # it holds on to its connection for good
+    assert active.closing  # by the idle timeout, as the client does not close its connection
 
 
-def test_without_room_clients_are_disconnected_first_that_lose_least() -> None:
-    """Guards against a crowd that asks once and stays, and pushes out one whose request is half there."""
+def test_at_the_connection_limit_connections_with_the_lowest_cost_are_closed_first() -> None:
+    """Guards against closing a connection with half a request to make room for clients that send one request
+    and stay connected."""
     loop = FakeLoop()
     server = Server(loop.timers, Limits(1.0, 192, 64), loop.now)
-    front = JsonRpcFrontend(SimpleNamespace(classes=(), tenants=()), None, None, lambda: True)  # type: ignore[arg-type]
+    frontend = JsonRpcFrontend(SimpleNamespace(classes=(), tenants=()), None, None, lambda: True)  # type: ignore[arg-type]
     alive = b'{"jsonrpc":"2.0","id":1,"method":"alive"}\n'
 
-    def connect(said: bytes) -> FakeTransport:
+    def connect(sent: bytes) -> FakeTransport:
         loop.advance(1)
-        connection = JsonRpcConnection(server, front)
+        connection = JsonRpcConnection(server, frontend)
         transport = FakeTransport(loop, connection, lambda transport, data: None)
         connection.connection_made(transport)
-        connection.received(said)
+        connection.received(sent)
         return transport
 
     overdue = connect(alive)
     loop.advance(4_000_000)
-    half = connect(alive[:20])
+    partial = connect(alive[:20])
     idle = connect(alive)
     silent = connect(b"")
     second = connect(alive + alive[:20])
-    for gone in range(1, 6):
+    for evictions in range(1, 6):
         server.evict_idle()
         loop.settle()
-        going = [one.closing for one in (overdue, silent, idle, half, second)]
-        assert going == [gone > 0, gone > 0, gone > 1, gone > 2, gone > 3]
+        are_closed = [one.closing for one in (overdue, silent, idle, partial, second)]
+        assert are_closed == [evictions > 0, evictions > 0, evictions > 1, evictions > 2, evictions > 3]
 
 
-def test_memory_that_clients_hold_is_bounded() -> None:
-    """The one that holds most goes first, be it a slow reader or a sender of half a line."""
+def test_memory_buffered_for_clients_is_limited() -> None:
+    """The connection with the largest buffers is closed first: unsent answers or a partial line."""
 
     async def test() -> None:
         async with Loopback(StandInEngine()) as net:
--- a/tests/test_spiffe.py
+++ b/tests/test_spiffe.py
@@ -1,4 +1,4 @@
-"""Clients known by their X.509-SVID: certificates are made here, by a library."""
+"""Clients that log in with an X.509-SVID; the tests create the certificates with a library."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Authority:
-    """A trust domain's signer."""
+    """The certificate authority of a trust domain."""
 
     def __init__(self) -> None:
         self.key = ec.generate_private_key(ec.SECP256R1())
@@ -76,14 +76,14 @@
             .sign(self.key, hashes.SHA256())
         )
 
-    def write(self, folder: Path, name: str, uris: list[str], **how: bool) -> tuple[Path, Path]:
-        """A workload's certificate and key, replaced in one step each, as an agent does."""
+    def write(self, folder: Path, name: str, uris: list[str], **options: bool) -> tuple[Path, Path]:
+        """Writes a workload's certificate and key, each replaced atomically, as a SPIFFE agent does."""
         key = ec.generate_private_key(ec.SECP256R1())
         paths = folder / f"{name}.pem", folder / f"{name}.key"
         for path, data in zip(
             paths,
             (
-                self.sign(key, uris, **how).public_bytes(serialization.Encoding.PEM),
+                self.sign(key, uris, **options).public_bytes(serialization.Encoding.PEM),
                 key.private_bytes(
                     serialization.Encoding.PEM,
                     serialization.PrivateFormat.PKCS8,
@@ -100,7 +100,7 @@
         (folder / "bundle.pem").write_bytes(self.certificate.public_bytes(serialization.Encoding.PEM))
 
 
-def spiffe_part(folder: Path, authority: Authority) -> str:
+def spiffe_table(folder: Path, authority: Authority) -> str:
     authority.write(folder, "router", [f"spiffe://{DOMAIN}/router"])
     authority.write_bundle(folder)
     return f"""
@@ -115,18 +115,18 @@
 
 
 def context(folder: Path, certificate: tuple[Path, Path] | None) -> ssl.SSLContext:
-    made = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-    made.check_hostname = False
-    made.load_verify_locations(folder / "bundle.pem")
+    tls_context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
+    tls_context.check_hostname = False
+    tls_context.load_verify_locations(folder / "bundle.pem")
     if certificate is not None:
-        made.load_cert_chain(*certificate)
-    return made
+        tls_context.load_cert_chain(*certificate)
+    return tls_context
 
 
-def test_an_svid_stands_for_its_tenant_and_needs_no_password(tmp_path: Path) -> None:
+def test_a_client_with_an_svid_gets_its_tenant_without_a_password(tmp_path: Path) -> None:
     async def test() -> None:
         authority = Authority()
-        async with network(tmp_path, MysqlEngine(), extra=spiffe_part(tmp_path, authority)) as net:
+        async with network(tmp_path, MysqlEngine(), extra=spiffe_table(tmp_path, authority)) as net:
             svid = authority.write(tmp_path, "office", [OFFICE])
             client = await MysqlClient.connect(net.port(1), password=b"none", tls=context(tmp_path, svid))
             statement = await client.prepare("SELECT a FROM sales_1.orders WHERE b = ?")
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize(
-    "uris, how",
+    "uris, options",
     [
         ([f"spiffe://{DOMAIN}/office/unknown"], {}),
         (["spiffe://elsewhere.example/office/ishikari"], {}),
@@ -149,11 +149,11 @@
         ([OFFICE], {"signs_certificates": True}),
     ],
 )
-def test_other_certificates_are_turned_away(tmp_path: Path, uris: list[str], how: dict[str, bool]) -> None:
+def test_other_certificates_are_rejected(tmp_path: Path, uris: list[str], options: dict[str, bool]) -> None:
     async def test() -> None:
         authority = Authority()
-        async with network(tmp_path, MysqlEngine(), extra=spiffe_part(tmp_path, authority)) as net:
-            svid = authority.write(tmp_path, "office", uris, **how)
+        async with network(tmp_path, MysqlEngine(), extra=spiffe_table(tmp_path, authority)) as net:
+            svid = authority.write(tmp_path, "office", uris, **options)
             with pytest.raises(MysqlError) as raised:
                 await MysqlClient.connect(net.port(1), tls=context(tmp_path, svid))
             assert (raised.value.code, raised.value.state) == (1045, "28000")
@@ -161,12 +161,12 @@
     run(test)
 
 
-def test_strangers_and_clients_without_tls_do_not_get_in(tmp_path: Path) -> None:
+def test_clients_of_another_authority_and_clients_without_tls_are_rejected(tmp_path: Path) -> None:
     async def test() -> None:
         authority = Authority()
-        stranger = Authority()
-        async with network(tmp_path, MysqlEngine(), extra=spiffe_part(tmp_path, authority)) as net:
-            for certificate in (stranger.write(tmp_path, "stranger", [OFFICE]), None):
+        other_authority = Authority()
+        async with network(tmp_path, MysqlEngine(), extra=spiffe_table(tmp_path, authority)) as net:
+            for certificate in (other_authority.write(tmp_path, "stranger", [OFFICE]), None):
                 with pytest.raises((ssl.SSLError, OSError, EOFError)):
                     await MysqlClient.connect(net.port(1), tls=context(tmp_path, certificate))
             with pytest.raises(MysqlError) as raised:
@@ -176,14 +176,14 @@
     run(test)
 
 
-def test_rotated_files_are_used_for_the_next_client(tmp_path: Path) -> None:
+def test_rotated_files_are_loaded_for_the_next_client(tmp_path: Path) -> None:
     async def test() -> None:
         old = Authority()
         new = Authority()
-        async with network(tmp_path, MysqlEngine(), extra=spiffe_part(tmp_path, old)) as net:
+        async with network(tmp_path, MysqlEngine(), extra=spiffe_table(tmp_path, old)) as net:
             first = old.write(tmp_path, "office", [OFFICE])
             await MysqlClient.connect(net.port(1), tls=context(tmp_path, first))
-            (tmp_path / "router.pem").write_text("half a certificate")  # caught in the middle of a rotation
+            (tmp_path / "router.pem").write_text("half a certificate")  # as in the middle of a rotation
             await MysqlClient.connect(net.port(1), tls=context(tmp_path, first))
             new.write(tmp_path, "router", [f"spiffe://{DOMAIN}/router"])
             new.write_bundle(tmp_path)
