--- a/tests/contracts/test_front_contract.py
+++ b/tests/contracts/test_front_contract.py
@@ -1,5 +1,7 @@
-"""What fronts must keep towards clients (docs/contracts.md, F1 to F6), and such that break one obligation
-each."""
+"""Contract tests of frontends towards their clients (docs/contracts.md, F1 to F6).
+
+Faulty frontends, each of which breaks one obligation, show that the tests detect it.
+"""
 
 from __future__ import annotations
 
@@ -25,25 +27,25 @@
 Connection: TypeAlias = JsonRpcConnection | MysqlConnection
 
 
-class Front(RuleBasedStateMachine):
-    """What both fronts have in common: a core that the test plays, and a client that reads or does not."""
+class FrontendContract(RuleBasedStateMachine):
+    """Rules for both frontends: the test acts as the dispatcher and as a client that may stop reading."""
 
     idempotency_guard = None
-    kind: type[Any]  # of connection
+    kind: type[Any]  # of the connection
 
     def __init__(self) -> None:
         super().__init__()
         self.loop = FakeLoop()
         self.server = Server(self.loop.timers, Limits(1.0, 192, 1024), self.loop.now)
-        self.open: list[Request] = []  # with the core
-        self.gone_before: list[Request] = []
-        self.connection = self.make()
+        self.open: list[Request] = []  # submitted to the dispatcher and not answered
+        self.abandoned: list[Request] = []
+        self.connection = self.make_connection()
         self.connection.sock = QuietSocket()  # type: ignore[assignment]
         self.sent = bytearray()
         self.transport = FakeTransport(self.loop, self.connection, lambda _, data: self.sent.extend(data))
         self.connection.connection_made(self.transport)
 
-    def make(self) -> Connection:
+    def make_connection(self) -> Connection:
         raise NotImplementedError
 
     def submit(self, request: Request) -> None:
@@ -51,11 +53,11 @@
 
     def client_disconnected(self, request: Request, cancelled: bool = False) -> None:
         self.open.remove(request)
-        self.gone_before.append(request)
+        self.abandoned.append(request)
 
-    def receive(self, data: bytes, cut: int) -> None:
-        """Bytes come in two pieces."""
-        for piece in (data[:cut], data[cut:]):
+    def receive(self, data: bytes, split_at: int) -> None:
+        """Passes bytes to the connection in two pieces."""
+        for piece in (data[:split_at], data[split_at:]):
             if piece and not self.transport.closing:
                 self.connection.get_buffer(-1)[: len(piece)] = piece
                 self.connection.buffer_updated(len(piece))
@@ -68,25 +70,27 @@
         return request
 
     @rule()
-    @precondition(lambda self: self.gone_before)
+    @precondition(lambda self: self.abandoned)
     def late_answer(self) -> None:
-        """An answer for a request whose client has given it up: it is not to be seen."""
+        """Answers a request that the client has abandoned; nothing may be sent."""
         before = len(self.sent)
-        self.connection.answered(self.gone_before[-1], Served(b"late"))
-        held(len(self.sent) == before, "F2", "an answer after the request was given up")
+        self.connection.answered(self.abandoned[-1], Served(b"late"))
+        held(len(self.sent) == before, "F2", "an answer was sent for an abandoned request")
 
     @rule()
     def close(self) -> None:
         self.transport.close()
         self.loop.settle()
-        held(not self.open and self.connection not in self.server.connections, "F4", f"{self.open} stay open")
+        held(
+            not self.open and self.connection not in self.server.connections, "F4", f"{self.open} remain open"
+        )
 
     @rule(reads=st.booleans())
     @precondition(lambda self: not self.transport.closing)
     def client_reads(self, reads: bool) -> None:
-        """Or does not, and more waits to be written than the transport likes."""
+        """Lets the client read, or stop reading until the transport's write limit is exceeded."""
         (self.connection.resume_writing if reads else self.connection.pause_writing)()
-        held(self.transport.reads == reads, "F5", "one that does not read may send on")
+        held(self.transport.reads == reads, "F5", "a client that does not read can send more")
 
     @rule(chance=st.integers(0, 9))
     @precondition(lambda self: not self.server.draining)
@@ -98,23 +102,23 @@
     @invariant()
     def busy_while_requests_are_open(self) -> None:
         held(self.connection.busy == bool(self.open), "F6", "busy without a request, or idle with one")
-        held(not self.server.draining or self.open or self.transport.closing, "F6", "it stays after a drain")
-        held(not (self.open and self.transport.closing), "F6", "it closes with requests open")
+        held(not self.server.draining or self.open or self.transport.closing, "F6", "open after a drain")
+        held(not (self.open and self.transport.closing), "F6", "closed with open requests")
 
 
-class JsonRpc(Front):
+class JsonRpc(FrontendContract):
     kind = JsonRpcConnection
 
-    def make(self) -> Connection:
-        self.owed: dict[int, str] = {}  # by id, what is to be seen
+    def make_connection(self) -> Connection:
+        self.expected: dict[int, str] = {}  # expected answers by id
         self.last_id = 0
         config = SimpleNamespace(classes=("lookup",), tenants=())
-        front = JsonRpcFrontend(config, self, SimpleNamespace(), lambda: True)  # type: ignore[arg-type]
-        connection: Connection = self.kind(self.server, front)
+        frontend = JsonRpcFrontend(config, self, SimpleNamespace(), lambda: True)  # type: ignore[arg-type]
+        connection: Connection = self.kind(self.server, frontend)
         return connection
 
-    @rule(ahead=st.integers(-2, 3), cut=st.integers(0, 60), bad=st.booleans())
-    def send(self, ahead: int, cut: int, bad: bool) -> None:
+    @rule(ahead=st.integers(-2, 3), split_at=st.integers(0, 60), bad=st.booleans())
+    def send(self, ahead: int, split_at: int, bad: bool) -> None:
         id = max(1, self.last_id + ahead)
         message = {
             "jsonrpc": "2.0",
@@ -130,29 +134,34 @@
         open_before = len(self.open)
         if self.transport.closing:
             return
-        self.receive(json.dumps(message).encode() + b"\n", cut)
+        self.receive(json.dumps(message).encode() + b"\n", split_at)
         if id <= self.last_id or bad or open_before >= MAX_OPEN_REQUESTS:
-            told = json.loads(self.sent[before:] or b"{}")
+            answer = json.loads(self.sent[before:] or b"{}")
             codes = (-32600, -32602, -32002)[: 2 + self.server.draining]
-            held(told.get("id") == id and told["error"]["code"] in codes, "F3", str(told))
+            held(answer.get("id") == id and answer["error"]["code"] in codes, "F3", str(answer))
         elif self.server.draining:
-            held(json.loads(self.sent[before:])["error"]["code"] == -32002, "F3", "taken on the way out")
+            held(json.loads(self.sent[before:])["error"]["code"] == -32002, "F3", "accepted during a drain")
         else:
-            held(len(self.open) == open_before + 1 and len(self.sent) == before, "F1", "it is not open")
+            held(
+                len(self.open) == open_before + 1 and len(self.sent) == before,
+                "F1",
+                "the request is not open",
+            )
         self.last_id = max(self.last_id, id)
 
     @rule(
-        index=st.integers(0, 40), how=st.sampled_from((Served(b"a\tb\tc\n"), Rejected(250_000), Failed("x")))
+        index=st.integers(0, 40),
+        result=st.sampled_from((Served(b"a\tb\tc\n"), Rejected(250_000), Failed("x"))),
     )
     @precondition(lambda self: self.open)
-    def one_answer(self, index: int, how: Answer) -> None:
+    def one_answer(self, index: int, result: Answer) -> None:
         before = len(self.sent)
-        request = self.answer(index, how)
+        request = self.answer(index, result)
         lines = self.sent[before:].splitlines(keepends=True)
         held(len(lines) == 1 and lines[0][-1:] == b"\n", "F1", f"{len(lines)} lines")
-        told = json.loads(lines[0])
-        held(told["id"] == request.client_handle, "F1", "another's answer")
-        held(("result" in told) == isinstance(how, Served), "F1", f"{told} for {how}")
+        message = json.loads(lines[0])
+        held(message["id"] == request.client_handle, "F1", "answer to another request")
+        held(("result" in message) == isinstance(result, Served), "F1", f"{message} for {result}")
 
     @rule(index=st.integers(0, 40))
     @precondition(lambda self: self.open)
@@ -162,16 +171,16 @@
         self.receive(
             b'{"jsonrpc":"2.0","method":"cancelRequest","params":{"id":%d}}\n' % request.client_handle, 9
         )
-        held(request in self.gone_before and len(self.sent) == before, "F2", "a cancel is not passed on")
+        held(request in self.abandoned and len(self.sent) == before, "F2", "a cancel is not forwarded")
 
 
-class Mysql(Front):
-    """One command at a time: what comes early waits."""
+class Mysql(FrontendContract):
+    """One command at a time: a command that arrives early is queued."""
 
     kind = MysqlConnection
 
-    def make(self) -> Connection:
-        self.waiting = 0
+    def make_connection(self) -> Connection:
+        self.queued_commands = 0
         self.identity = None
         self.mysql = SimpleNamespace(
             schema="",
@@ -181,8 +190,8 @@
             users={"office": SimpleNamespace(password=b"", tenant=0)},
         )
         self.dispatcher = self
-        front: Any = self
-        connection: Connection = self.kind(self.server, front)
+        frontend: Any = self
+        connection: Connection = self.kind(self.server, frontend)
         return connection
 
     def next_connection_number(self) -> int:
@@ -206,15 +215,15 @@
             ),
             20,
         )
-        held(self.sent.endswith(packet(2, mysql.ok())), "F1", "no welcome")
+        held(self.sent.endswith(packet(2, mysql.ok())), "F1", "login not accepted")
 
-    @rule(cut=st.integers(0, 12))
-    @precondition(lambda self: not self.transport.closing and self.waiting < 5)
-    def query(self, cut: int) -> None:
-        self.waiting += bool(self.open)
+    @rule(split_at=st.integers(0, 12))
+    @precondition(lambda self: not self.transport.closing and self.queued_commands < 5)
+    def query(self, split_at: int) -> None:
+        self.queued_commands += bool(self.open)
         before = len(self.open)
-        self.receive(packet(0, b"\x03SELECT 1"), cut)
-        held(len(self.open) == max(1, before), "F1", "it is not with the core, or before its turn")
+        self.receive(packet(0, b"\x03SELECT 1"), split_at)
+        held(len(self.open) == max(1, before), "F1", "not submitted to the dispatcher, or before its turn")
 
     @rule()
     @precondition(lambda self: not self.transport.closing and not self.open)
@@ -224,7 +233,7 @@
         held(self.sent[before:] == packet(1, mysql.ok()), "F1", "no answer to a ping")
 
     @rule(
-        how=st.sampled_from(
+        result=st.sampled_from(
             (
                 Rejected(250_000),
                 Failed("x"),
@@ -234,27 +243,27 @@
         )
     )
     @precondition(lambda self: self.open)
-    def one_answer(self, how: Answer) -> None:
+    def one_answer(self, result: Answer) -> None:
         before = len(self.sent)
-        self.answer(0, how)
+        self.answer(0, result)
         numbers = [number for number, _ in mysql.Packets(1000).feed(bytes(self.sent[before:]))]
-        owed = [1, 2, 3, 4, 5] if isinstance(how, Served) else [1]
-        if self.server.draining:  # those that wait are refused
-            owed = owed + [1] * self.waiting
-            self.waiting = 0
-        held(numbers == owed, "F1", f"packets {numbers}")
-        held(len(self.open) == min(1, self.waiting), "F1", "the next that waited has not its turn")
-        self.waiting = max(0, self.waiting - 1)
+        expected = [1, 2, 3, 4, 5] if isinstance(result, Served) else [1]
+        if self.server.draining:  # queued commands are rejected
+            expected = expected + [1] * self.queued_commands
+            self.queued_commands = 0
+        held(numbers == expected, "F1", f"packets {numbers}")
+        held(len(self.open) == min(1, self.queued_commands), "F1", "the next queued command did not run")
+        self.queued_commands = max(0, self.queued_commands - 1)
 
 
-FRONTS = {"JSON-RPC": (JsonRpc, 100), "MySQL": (Mysql, 100)}  # and how many histories
+FRONTENDS = {"JSON-RPC": (JsonRpc, 100), "MySQL": (Mysql, 100)}  # with the number of examples
 
 
-# Broken fronts
+# Faulty frontends
 
 
-class Twice(JsonRpcConnection):
-    """F1: it answers twice."""
+class AnswersTwice(JsonRpcConnection):
+    """F1: it answers a request twice."""
 
     def answered(self, request: Request, answer: Answer) -> None:
         for _ in range(1 + (request.client_handle in self._open)):
@@ -262,47 +271,54 @@
             super().answered(request, answer)
 
 
-class Late(JsonRpcConnection):
-    """F2: it answers what was given up."""
+class AnswersAbandoned(JsonRpcConnection):
+    """F2: it answers abandoned requests."""
 
     def answered(self, request: Request, answer: Answer) -> None:
         self._open.setdefault(request.client_handle, request)
         super().answered(request, answer)
 
 
-class TakesAll(JsonRpcConnection):
-    """F3: it takes an id again."""
+class AcceptsUsedIds(JsonRpcConnection):
+    """F3: it accepts an id that has been used."""
 
     def _answer_call(self, call: Any, id: int) -> None:
         self._last_id = 0
         super()._answer_call(call, id)
 
 
-class Forgets(MysqlConnection):
-    """F4: the core does not hear that its client has left."""
+class HidesDisconnects(MysqlConnection):
+    """F4: it does not notify the dispatcher that its client has disconnected."""
 
     def ended(self) -> None:
         self._request = None
         super().ended()
 
 
-class ReadsOn(MysqlConnection):
-    """F5: it reads on from those that do not read."""
+class NeverPausesReading(MysqlConnection):
+    """F5: it continues to read from a client that does not read."""
 
     def flow_changed(self) -> None:
         pass
 
 
-class Stays(JsonRpcConnection):
-    """F6: it does not close with its last answer."""
+class StaysOpen(JsonRpcConnection):
+    """F6: it does not close after its last answer during a drain."""
 
     def close_if_drained(self) -> None:
         self.record_activity()
 
 
-BROKEN = (Twice, Late, TakesAll, Forgets, ReadsOn, Stays)
-PLACES = ((JsonRpc, JsonRpcConnection, "kind"), (Mysql, MysqlConnection, "kind"))
+FAULTY_FRONTENDS = (
+    AnswersTwice,
+    AnswersAbandoned,
+    AcceptsUsedIds,
+    HidesDisconnects,
+    NeverPausesReading,
+    StaysOpen,
+)
+REPLACEABLE_CLASSES = ((JsonRpc, JsonRpcConnection, "kind"), (Mysql, MysqlConnection, "kind"))
 
-test_a_front_keeps_the_contract, test_the_contract_finds_the_broken_obligation = suite(
-    None, FRONTS, BROKEN, 40, lambda part: with_part(part, PLACES)
+test_a_frontend_keeps_the_contract, test_the_contract_finds_the_broken_obligation = suite(
+    None, FRONTENDS, FAULTY_FRONTENDS, 40, lambda part: with_part(part, REPLACEABLE_CLASSES)
 )
--- a/tests/contracts/test_time_contract.py
+++ b/tests/contracts/test_time_contract.py
@@ -1,5 +1,7 @@
-"""What clocks with their timers must keep (docs/contracts.md, T1 to T7), and such that break one obligation
-each."""
+"""Contract tests of clocks and their timers (docs/contracts.md, T1 to T7).
+
+Faulty clocks and timers, each of which breaks one obligation, show that the tests detect it.
+"""
 
 from __future__ import annotations
 
@@ -21,33 +23,33 @@
 Action = Callable[[], None]
 
 
-class Boom(Exception):
-    """An action failed."""
+class ActionError(Exception):
+    """Raised by actions that fail on purpose."""
 
 
-def _through(end: int, run: Callable[[int], None]) -> None:
-    """Run up to a moment whatever actions fail on the way."""
+def _run_until(end: int, run: Callable[[int], None]) -> None:
+    """Runs until a time, and goes on after actions that fail."""
     while True:
         try:
             return run(end)
-        except Boom:
+        except ActionError:
             continue
 
 
 class Time:
-    """A clock with timers, and a way to let time pass."""
+    """A clock with timers, whose time tests can advance."""
 
-    exact = True  # simulated: what is due comes at its very time
+    exact = True  # simulated time: actions run exactly when they are due
 
     def now(self) -> int:
-        """Of this turn."""
+        """Returns the time of this turn."""
         raise NotImplementedError
 
     def fresh(self) -> int:
         return self.now()
 
     def at(self, when: int, action: Action) -> Any:
-        """Something with ``cancel``, or None where there is no such thing."""
+        """Schedules an action; returns a handle with ``cancel``, or None if it cannot be cancelled."""
         raise NotImplementedError
 
     def run(self, us: int) -> None:
@@ -57,7 +59,7 @@
 
 
 class RealLoop(Time):
-    """The router's own, on a loop of asyncio."""
+    """The router's clock and timers on an asyncio event loop."""
 
     exact = False
     clock: type[Clock] = Clock
@@ -79,16 +81,16 @@
         return self._timers.at(when, action)
 
     def run(self, us: int) -> None:
-        """Until the clock shows it, and what is due by then has had its turns."""
+        """Waits until the clock has advanced by ``us`` and all actions due by then have run."""
         end = self.fresh() + us
 
         async def wait() -> None:
             while self.fresh() < end:
                 await asyncio.sleep(max(0, end - self.now()) / 1e6)
-            over = asyncio.Event()
+            due_actions_ran = asyncio.Event()
             mark = self._clock.now()
-            self._timers.at(mark, over.set)
-            await over.wait()
+            self._timers.at(mark, due_actions_ran.set)
+            await due_actions_ran.wait()
 
         self.loop.run_until_complete(wait())
 
@@ -97,7 +99,7 @@
 
 
 class SimulatedLoop(Time):
-    """The router's timers on the tests' loop."""
+    """The router's timers on the fake event loop."""
 
     timers: type[Timers] = Timers
 
@@ -112,24 +114,24 @@
         return self.loop.timers.at(when, action)
 
     def run(self, us: int) -> None:
-        _through(self.now() + us, lambda end: self.loop.advance(end - self.now()))
+        _run_until(self.now() + us, lambda end: self.loop.advance(end - self.now()))
 
 
-class EmulatorAgenda(Time):
-    agenda: type[EventQueue] = EventQueue
+class EmulatorEventQueue(Time):
+    queue_type: type[EventQueue] = EventQueue
 
     def __init__(self) -> None:
-        self._agenda = self.agenda(1_000_000)
+        self._queue = self.queue_type(1_000_000)
 
     def now(self) -> int:
-        return self._agenda.now
+        return self._queue.now
 
     def at(self, when: int, action: Action) -> Any:
-        self._agenda.at(when, action)
+        self._queue.at(when, action)
         return None
 
     def run(self, us: int) -> None:
-        _through(self.now() + us, self._agenda.until)
+        _run_until(self.now() + us, self._queue.until)
 
 
 class TimeContract(RuleBasedStateMachine):
@@ -138,69 +140,73 @@
     def __init__(self) -> None:
         super().__init__()
         self.time = type(self).make()
-        self.noted: list[tuple[int, bool, Any]] = []  # when; whether that was in the past; its handle
-        self.fired: list[int] = []  # numbers, in order
-        self.off: set[int] = set()
+        self.scheduled: list[tuple[int, bool, Any]] = []  # due time, whether it was in the past, handle
+        self.fired: list[int] = []  # numbers of the actions in the order in which they ran
+        self.cancelled: set[int] = set()
         self.last = self.time.fresh()
 
-    def _note(self, when: int, then: Action = lambda: None) -> None:
-        number = len(self.noted)
+    def _schedule(self, when: int, then: Action = lambda: None) -> None:
+        number = len(self.scheduled)
 
         def action() -> None:
-            held(number not in self.fired, "T2", "it fired twice")
-            held(number not in self.off, "T3", "it was cancelled")
-            late = self.time.fresh() - when
-            held(late >= 0, "T1", f"{-late} us before its time")
-            held(late == 0 or not self.time.exact or self.noted[number][1], "T5", f"{late} us after its time")
+            held(number not in self.fired, "T2", "an action ran twice")
+            held(number not in self.cancelled, "T3", "a cancelled action ran")
+            late_us = self.time.fresh() - when
+            held(late_us >= 0, "T1", f"{-late_us} us before the due time")
+            held(
+                late_us == 0 or not self.time.exact or self.scheduled[number][1],
+                "T5",
+                f"{late_us} us after the due time",
+            )
             self.fired.append(number)
             then()
 
-        def kept() -> None:
+        def record_failure() -> None:
             try:
                 action()
             except AssertionError as problem:
                 self.broken = self.broken or problem
 
-        fails = then is _boom
+        fails = then is _fail
         past = when < self.time.now()
-        self.noted.append((when, past, None))
-        self.noted[number] = when, past, self.time.at(when, action if fails else kept)
+        self.scheduled.append((when, past, None))
+        self.scheduled[number] = when, past, self.time.at(when, action if fails else record_failure)
 
     broken: AssertionError | None = None
 
     @rule(delay=st.integers(-300, 1_500))
-    def note(self, delay: int) -> None:
-        self._note(self.time.now() + delay)
+    def make_timer(self, delay: int) -> None:
+        self._schedule(self.time.now() + delay)
 
     @rule(delay=st.integers(0, 500), after=st.integers(0, 500))
-    def note_one_that_notes(self, delay: int, after: int) -> None:
-        self._note(self.time.now() + delay, lambda: self._note(self.time.now() + after))
+    def make_timer_that_makes_another(self, delay: int, after: int) -> None:
+        self._schedule(self.time.now() + delay, lambda: self._schedule(self.time.now() + after))
 
     @rule(delay=st.integers(0, 500))
-    def note_one_that_fails(self, delay: int) -> None:
-        self._note(self.time.now() + delay, _boom)
+    def make_timer_that_fails(self, delay: int) -> None:
+        self._schedule(self.time.now() + delay, _fail)
 
     @rule(index=st.integers(0, 50))
     def cancel(self, index: int) -> None:
-        if self.noted:
-            number = index % len(self.noted)
-            handle = self.noted[number][2]
+        if self.scheduled:
+            number = index % len(self.scheduled)
+            handle = self.scheduled[number][2]
             if handle is not None and number not in self.fired:
                 handle.cancel()
-                self.off.add(number)
+                self.cancelled.add(number)
 
     @rule(delay=st.integers(0, 500))
-    def note_one_that_cancels_the_next(self, delay: int) -> None:
+    def make_timer_that_cancels_the_next(self, delay: int) -> None:
         when = self.time.now() + delay
-        number = len(self.noted) + 1
+        number = len(self.scheduled) + 1
 
         def cancel() -> None:
-            if self.noted[number][2] is not None and number not in self.fired:
-                self.noted[number][2].cancel()
-                self.off.add(number)
+            if self.scheduled[number][2] is not None and number not in self.fired:
+                self.scheduled[number][2].cancel()
+                self.cancelled.add(number)
 
-        self._note(when, cancel)
-        self._note(when)
+        self._schedule(when, cancel)
+        self._schedule(when)
 
     @rule(us=st.sampled_from((1, 200, 700, 2_000)))
     def pass_time(self, us: int) -> None:
@@ -212,118 +218,127 @@
         self.last = after
         if self.broken is not None:
             raise self.broken
-        for number, (when, _, _) in enumerate(self.noted):
+        for number, (when, _, _) in enumerate(self.scheduled):
             held(
-                number in self.fired or number in self.off or when > before + us,
+                number in self.fired or number in self.cancelled or when > before + us,
                 "T4",
-                f"it is due since {after - when} us and did not fire",
+                f"an action is due since {after - when} us and did not run",
             )
-        fired = [number for number in self.fired[mark:] if not self.noted[number][1]]
-        order = [(self.noted[number][0], number) for number in fired]
+        fired = [number for number in self.fired[mark:] if not self.scheduled[number][1]]
+        order = [(self.scheduled[number][0], number) for number in fired]
         held(order == sorted(order), "T2", f"out of order: {order}")
 
     @rule()
-    def stand_still(self) -> None:
-        """The process stands; what the clock says afresh must show it, and in one turn it says one time."""
+    def stop_process(self) -> None:
+        """Blocks the process: ``now`` must stay the same in the turn, and ``fresh`` must show the delay."""
         if not self.time.exact:
             before = self.time.now()
-            began = time.monotonic_ns()
+            started_ns = time.monotonic_ns()
             time.sleep(0.001)
-            stood = (time.monotonic_ns() - began) // 1000
+            blocked_us = (time.monotonic_ns() - started_ns) // 1000
             held(self.time.now() == before, "T7", "two times in one turn")
-            held(self.time.fresh() - before >= stood - 1, "T7", "it does not show that it stood still")
+            held(self.time.fresh() - before >= blocked_us - 1, "T7", "fresh does not show the delay")
 
     def teardown(self) -> None:
         self.time.close()
 
 
-def _boom() -> None:
-    raise Boom
+def _fail() -> None:
+    raise ActionError
 
 
-TIMES: dict[str, tuple[type[Time], int]] = {  # and how many histories
+TIMES: dict[str, tuple[type[Time], int]] = {  # with the number of examples
     "real loop": (RealLoop, 25),
     "simulated loop": (SimulatedLoop, 100),
-    "agenda": (EmulatorAgenda, 100),
+    "agenda": (EmulatorEventQueue, 100),
 }
 
 
-# Broken clocks and timers
+# Faulty clocks and timers
 
 
-class Hasty(Timers):
-    """T1: it fires what is nearly due."""
+class EarlyTimers(Timers):
+    """T1: they run actions 90 us before the due time."""
 
     def at(self, when: int, action: Action) -> timers_module.Timer:
         return super().at(when - 90, action)
 
 
-class LastFirst(Timers):
-    """T2: of equal times the last comes first."""
+class ReverseOrderTimers(Timers):
+    """T2: of actions with the same due time they run the last one first."""
 
     def at(self, when: int, action: Action) -> timers_module.Timer:
         self._count -= 2  # numbers go down
         return super().at(when, action)
 
 
-class Deaf(Timers):
-    """T3: what is cancelled fires."""
+class IgnoresCancel(Timers):
+    """T3: they run cancelled actions."""
 
     def at(self, when: int, action: Action) -> Any:
         super().at(when, action)
         return type("Handle", (), {"cancel": lambda self: None})()
 
 
-class Silenced(Timers):
-    """T4: one action that fails silences the others."""
+class StopsAfterFailure(Timers):
+    """T4: after an action fails they run no others."""
 
     def _fire(self) -> None:
         try:
             super()._fire()
-        except Boom:
+        except ActionError:
             if self._alarm is not None:
                 self._alarm.cancel()
             self._arm = lambda: None  # type: ignore[method-assign]
             raise
 
 
-class Coarse(EventQueue):
-    """T5: it counts in 100 us."""
+class CoarseQueue(EventQueue):
+    """T5: it rounds due times up to 100 us."""
 
     def at(self, when: int, action: Action) -> None:
         super().at(-(-when // 100) * 100, action)
 
 
-class GoesBack(EventQueue):
-    """T6: its clock falls back."""
+class BackwardClockQueue(EventQueue):
+    """T6: its clock goes back by 1 us."""
 
     def until(self, when: int) -> None:
         super().until(when)
         self.now -= 1
 
 
-class Stale(Clock):
-    """T7: what it says afresh is the time of the turn."""
+class StaleClock(Clock):
+    """T7: ``fresh`` returns the time of the turn."""
 
     def fresh(self) -> int:
         return self.now()
 
 
-class NoTurns(Clock):
-    """T7: it reads the system's clock at each call."""
+class RereadingClock(Clock):
+    """T7: ``now`` reads the system clock at each call."""
 
     def now(self) -> int:
         self._now = None
         return super().now()
 
 
-BROKEN = (Hasty, LastFirst, Deaf, Silenced, Coarse, GoesBack, Stale, NoTurns)
-PLACES = (
+FAULTY_TIMES = (
+    EarlyTimers,
+    ReverseOrderTimers,
+    IgnoresCancel,
+    StopsAfterFailure,
+    CoarseQueue,
+    BackwardClockQueue,
+    StaleClock,
+    RereadingClock,
+)
+REPLACEABLE_CLASSES = (
     (SimulatedLoop, Timers, "timers"),
-    (EmulatorAgenda, EventQueue, "agenda"),
+    (EmulatorEventQueue, EventQueue, "queue_type"),
     (RealLoop, Clock, "clock"),
 )
 
 test_a_clock_with_its_timers_keeps_the_contract, test_the_contract_finds_the_broken_obligation = suite(
-    TimeContract, TIMES, BROKEN, broken=lambda part: with_part(part, PLACES)
+    TimeContract, TIMES, FAULTY_TIMES, broken=lambda part: with_part(part, REPLACEABLE_CLASSES)
 )
