--- a/slipbay/frontends/jsonrpc.py
+++ b/slipbay/frontends/jsonrpc.py
@@ -164,9 +164,7 @@
             raise jsonrpc.JsonRpcError(id, jsonrpc.METHOD_NOT_FOUND, "no such method")
         if len(self._open) >= MAX_OPEN_REQUESTS:
             raise jsonrpc.JsonRpcError(id, jsonrpc.INVALID_REQUEST, "too many requests are open here")
-        if (
-            self.server.draining
-        ):  # earlier requests are still answered; the client can send this one elsewhere
+        if self.server.draining:  # earlier requests are still answered; the client can use another router
             self.write(jsonrpc.error(id, jsonrpc.REFUSED, "this router is about to end", 0))
             return
         params = jsonrpc.read_query(call)
--- a/slipbay/lifecycle.py
+++ b/slipbay/lifecycle.py
@@ -37,10 +37,10 @@
     """Accepts requests for ``LINGER_US`` longer, answers all accepted requests, then sets ``done``.
 
     Attributes:
-        begun: whether the shutdown has started.
+        has_begun: whether the shutdown has started.
         done: set once no client connection and no request is open.
-        notified: called at the start of the shutdown with the time in us for which requests are still
-            accepted.
+        start_callbacks: called at the start of the shutdown with the time in us for which requests are
+            still accepted.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         if self.has_begun:
             return
         self.has_begun = True
-        log("end", "asked to end")
+        log("end", "graceful shutdown requested")
         for notify in self.start_callbacks:
             notify(LINGER_US)
         self._timers.after(LINGER_US, self._drain)
--- a/slipbay/router.py
+++ b/slipbay/router.py
@@ -101,11 +101,11 @@
         self.quotas = self._make_quotas(quotas)
         self.warmup = self._make_warmup(warmup) if warmup is not None else None
         self.idempotency = self._make_idempotency(config.store, loop) if config.store is not None else None
-        self.jsonrpc_frontend = JsonRpcFrontend(config, self.dispatcher, self.http_backend, self.healthy)
+        self.jsonrpc_frontend = JsonRpcFrontend(config, self.dispatcher, self.http_backend, self.is_healthy)
         if scatter_gather is not None:
             self._make_scatter_gather(scatter_gather)
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether the router can serve clients: it has an endpoint list, listens and is not shutting down."""
         return self.server.listening and self._has_endpoints and not self.shutdown.has_begun
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -69,9 +69,9 @@
         first.send("alive")
         assert (await first.answer())["result"] == {"well": True}  # although discovery is unavailable
         idle = [await client() for _ in range(max_clients + 8)]  # the last 8 wait in the backlog
-        for number, one in enumerate(idle):
+        for number, idle_client in enumerate(idle):
             if number % 2:
-                one.send("alive")
+                idle_client.send("alive")
         await until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) > max_clients)
         journal.server = await asyncio.start_server(journal._serve, sock=bound)
         await until(lambda: bool(journal.asked))
--- a/tests/test_mysql_front.py
+++ b/tests/test_mysql_front.py
@@ -44,9 +44,7 @@
             assert await client.query("SELECT a FROM sales_1.orders") == [ROW]
             statement = await client.prepare("SELECT a FROM sales_1.orders WHERE b = ?")
             assert await client.execute(statement, "1") == [ROW]
-            assert await client.execute(statement, "2", bind=False) == [
-                ROW
-            ]  # with the parameter types of the first execution
+            assert await client.execute(statement, "2", bind=False) == [ROW]  # with the parameter types above
             assert len(engine.prepared) == 1
             assert sum(engine.executed.values()) == 3
             assert all(b"\1\xfd\0" in run_command for run_command in engine.executed if b"|" in run_command)
@@ -239,11 +237,7 @@
                         assert await client.execute(statement, value) == [ROW]
                         served.append(value)
                     except MysqlError as problem:
-                        assert problem.code in (
-                            9500,
-                            9503,
-                            3024,
-                        )  # 3024 if the outcome is unknown at the deadline
+                        assert problem.code in (9500, 9503, 3024)  # 3024: unknown outcome at the deadline
                         failed.append(value)
 
         async with network(tmp_path, *engines, deadlines="lookup = 400\nticket-load = 400") as net:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -111,7 +111,7 @@
     _, log = process.communicate(timeout=60)
     assert process.returncode == 0
     assert "the configuration was read again" in log
-    assert "asked to end" in log
+    assert "graceful shutdown requested" in log
 
 
 def test_with_an_invalid_configuration_the_router_exits_and_names_the_key(tmp_path: Path) -> None:
--- a/tests/test_reload_races.py
+++ b/tests/test_reload_races.py
@@ -232,7 +232,7 @@
         timeout=60,
     )
     assert done.returncode == 0
-    assert done.stderr.count("asked to end") == 1
+    assert done.stderr.count("graceful shutdown requested") == 1
     assert "the configuration was read again" in done.stderr
 
 
