--- a/tests/kill_sweep.py
+++ b/tests/kill_sweep.py
@@ -160,7 +160,7 @@
     async def _wait_for_a_moment(self) -> None:
         """For so many events since the last start, or for the store to be read: then it recovers."""
         if self.random.random() < 0.25:
-            await self.router.read.wait()
+            await self.router.store_read.wait()
             return
         until = self._moves + self.random.randrange(1, 12)
         while self._moves < until:
@@ -191,7 +191,7 @@
     async def _once(self, attempt: Attempt, name: str, tries: int) -> bool:
         """One try; whether it brought the end. After a cut the same is asked again, once the router is up."""
         router = self.choose(name, tries)
-        await router.up.wait()
+        await router.listening.wait()
         self.result.tries += 1
         try:
             return await attempt(router, name, tries)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -203,14 +203,14 @@
         for engine in self.engines:
             await engine.start()
         hosts = [host(f"s-{number}", engine.port) for number, engine in enumerate(self.engines)]
-        self.router = Router(self.config(hosts), asyncio.get_running_loop(), scatter_gather=self.gather)
+        self.router = Router(self.config(hosts), asyncio.get_running_loop(), scatter_gather=self.scatter_plan)
         await self.router.start()
         if self.router.idempotency is not None and self.wait_for_store:
             await until(lambda: self.router.idempotency is not None and self.router.idempotency.is_ready)
         return self
 
     wait_for_store = True
-    gather: ScatterGatherPlan | None = None
+    scatter_plan: ScatterGatherPlan | None = None
 
     async def __aexit__(self, *exception: object) -> None:
         for server in [self.journal.server, *(engine.server for engine in self.engines)]:
@@ -220,7 +220,7 @@
             self.router.idempotency.close()
 
     @property
-    def decisions(self) -> Controller:
+    def policy_controller(self) -> Controller:
         controller = self.router.dispatcher.policy
         assert isinstance(controller, Controller)
         return controller
--- a/tests/routers.py
+++ b/tests/routers.py
@@ -55,8 +55,8 @@
         self.process: asyncio.subprocess.Process | None = None
         self.lines: list[str] = []
         self.ports: list[int] = []
-        self.up = asyncio.Event()  # the router listens
-        self.read = asyncio.Event()  # the router has read its store, or cannot open it
+        self.listening = asyncio.Event()  # the router listens
+        self.store_read = asyncio.Event()  # the router has read its store, or cannot open it
         self._line_read = asyncio.Event()  # a line was read from standard error
         self._reading_task: asyncio.Task[None] | None = None
 
@@ -88,7 +88,7 @@
             sys.executable, "-m", "slipbay", cwd=ROOT, env=environment, stderr=asyncio.subprocess.PIPE
         )
         self._reading_task = asyncio.get_running_loop().create_task(self._read(self.process))
-        await self.up.wait()
+        await self.listening.wait()
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
@@ -98,11 +98,11 @@
             if "listens at" in line:
                 ports = line.partition("listens at ")[2].replace(",", " ").split()
                 self.ports = [int(word.rpartition(":")[2]) for word in ports if word.startswith(HOST)]
-                self.up.set()
+                self.listening.set()
             elif "store: read" in line or "cannot be opened" in line:
-                self.read.set()
+                self.store_read.set()
 
-    async def tells(self, *texts: str) -> None:
+    async def wait_for_lines(self, *texts: str) -> None:
         """Waits until each text is in a line of the log.
 
         The router writes its lines one by one, so a later line may still be missing when an earlier one is
@@ -120,8 +120,8 @@
     async def _wait_for_end(self) -> int:
         assert self.process is not None
         assert self._reading_task is not None
-        self.up.clear()
-        self.read.clear()
+        self.listening.clear()
+        self.store_read.clear()
         code = await self.process.wait()
         await self._reading_task
         return code
--- a/tests/test_scatter.py
+++ b/tests/test_scatter.py
@@ -425,7 +425,7 @@
         engine = StandInEngine(script)
         net = None
         net = Loopback(engine)
-        net.gather = ScatterGatherPlan((SPEC,), 16, 1 << 20)
+        net.scatter_plan = ScatterGatherPlan((SPEC,), 16, 1 << 20)
         async with net:
             client = await net.client()
             id = client.query("report", STATEMENT.decode())
@@ -481,7 +481,7 @@
     async def test() -> None:
         for life in range(2):
             net = Loopback(store_file=store_file(tmp_path))
-            net.gather = ScatterGatherPlan((SPEC,), 16, 1 << 20)
+            net.scatter_plan = ScatterGatherPlan((SPEC,), 16, 1 << 20)
             async with net:
                 assert net.router.idempotency is not None
                 if not life:
--- a/tests/watches.py
+++ b/tests/watches.py
@@ -99,7 +99,7 @@
         return {await self.ask() for _ in range(times)}
 
     def state(self, name: str) -> EngineState:
-        return self.decisions.engines.by_id[name.encode()].entry.state
+        return self.policy_controller.engines.by_id[name.encode()].entry.state
 
 
 @contextmanager
