--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -18,7 +18,7 @@
 from slipbay.core.model import Request
 from slipbay.emulator.engines import SECOND
 from slipbay.emulator.quota import QuotaFleet, worst_burst, zipf
-from slipbay.lifecycle import LINGER_US
+from slipbay.lifecycle import DRAIN_DELAY_US
 from slipbay.quota.admission_gate import QuotaAdmissionGate
 from slipbay.quota.borrowing import BorrowingStateMachine
 from slipbay.quota.guarantees import excess
@@ -110,12 +110,12 @@
     for me in range(size):
         last = 0.0
         if orderly:
-            fleet.end([me], LINGER_US)
-            last = LINGER_US / SECOND * measured(fleet, rate, LINGER_US / SECOND)
+            fleet.end([me], DRAIN_DELAY_US)
+            last = DRAIN_DELAY_US / SECOND * measured(fleet, rate, DRAIN_DELAY_US / SECOND)
         fleet.routers.kill([me])
         down = measured(fleet, rate, 0.2)
         fleet.routers.start([me])
-        rest = every_s - 0.2 - (LINGER_US / SECOND if orderly else 0)
+        rest = every_s - 0.2 - (DRAIN_DELAY_US / SECOND if orderly else 0)
         used.append(last + 0.2 * down + rest * measured(fleet, rate, rest))
     worst = worst_burst(fleet.asked["q"].admitted(), rate)
     bound = rate + excess(plan, plan.quotas[0], size)
--- a/slipbay/lifecycle.py
+++ b/slipbay/lifecycle.py
@@ -26,15 +26,15 @@
     from slipbay.quota.plan import QuotaPlan
     from slipbay.scatter_gather.config_schema import ScatterGatherPlan
 
-LINGER_US = 700_000  # after SIGTERM, while requests are still accepted
-KILL_US = 3_000_000  # after LINGER_US, the earliest SIGKILL; earlier if all deadlines are shorter
+DRAIN_DELAY_US = 700_000  # after SIGTERM, while requests are still accepted
+KILL_US = 3_000_000  # after DRAIN_DELAY_US, the earliest SIGKILL; earlier if all deadlines are shorter
 LAST_ANSWERS_US = 200_000  # before the earliest SIGKILL, to send the last answers to clients
 NOT_COMPARED = ("journal", "known", "store")
 """Fields of the configuration that a reload applies at once, or that have no effect on a running router."""
 
 
 class GracefulShutdown:
-    """Accepts requests for ``LINGER_US`` longer, answers all accepted requests, then sets ``done``.
+    """Accepts requests for ``DRAIN_DELAY_US`` longer, answers all accepted requests, then sets ``done``.
 
     Attributes:
         has_begun: whether the shutdown has started.
@@ -61,10 +61,12 @@
         self.has_begun = True
         log("end", "graceful shutdown requested")
         for notify in self.start_callbacks:
-            notify(LINGER_US)
-        self._timers.after(LINGER_US, self._drain)
+            notify(DRAIN_DELAY_US)
+        self._timers.after(DRAIN_DELAY_US, self._drain)
         answer_time_us = max(0, min(self._longest_deadline_us, KILL_US) - LAST_ANSWERS_US)
-        self._dispatcher.notify(ShutdownDeadline(self._dispatcher.clock.now() + LINGER_US + answer_time_us))
+        self._dispatcher.notify(
+            ShutdownDeadline(self._dispatcher.clock.now() + DRAIN_DELAY_US + answer_time_us)
+        )
 
     def _drain(self) -> None:
         self._server.on_empty = self._finish_if_idle
--- a/slipbay/router.py
+++ b/slipbay/router.py
@@ -137,7 +137,7 @@
         service = MembershipService(
             self.config, membership, self.timers, self.clock.now, self.peers, self._fleet_size_changed
         )
-        self.shutdown.start_callbacks.append(lambda _linger_us: service.leave())
+        self.shutdown.start_callbacks.append(lambda _delay_us: service.leave())
         return service
 
     def _open_channel(self, channel: ChannelConfig) -> UdpLink:
