--- a/slipbay/frontends/mysql.py
+++ b/slipbay/frontends/mysql.py
@@ -96,7 +96,7 @@
     """
 
     sql: bytes
-    parameters: int
+    parameter_count: int
     types: bytes = b""
     long_data: dict[int, bytes] = field(default_factory=dict)
 
@@ -119,27 +119,31 @@
         self._last_connection_number = self._last_connection_number % 0xFFFFFFFF + 1
         return self._last_connection_number
 
-    def request(
+    def make_request(
         self, work: mysql.Work, outline: sql.Outline, tenant: int, client: MysqlConnection
     ) -> Request:
         """Creates a request; mysql.toml and the hints in the statement set class, deadline and estimates."""
         settings = self.mysql
         text = work.sql.decode("utf-8", "replace")
         hint_values = sql.hints(text, settings.hint)
-        number = settings.prepare_class if work.prepare else self._choose_class(text, outline, hint_values)
-        deadline = settings.deadlines_us[number]
-        estimate = settings.estimates[number]
+        class_number = (
+            settings.prepare_class if work.prepare else self._choose_class(text, outline, hint_values)
+        )
+        deadline_us = settings.deadlines_us[class_number]
+        estimate = settings.estimates[class_number]
         if not work.prepare:
-            deadline = min(deadline, int(_hint_number(hint_values, "deadline_ms", deadline / 1000) * 1000))
-        cost = _hint_number(hint_values, "cpu_ms", -1.0)
+            deadline_us = min(
+                deadline_us, int(_hint_number(hint_values, "deadline_ms", deadline_us / 1000) * 1000)
+            )
+        cost_ms = _hint_number(hint_values, "cpu_ms", -1.0)
         request = Request(
             secrets.token_hex(8),
-            number,
-            deadline,
+            class_number,
+            deadline_us,
             work,
             client,
             self.backend,
-            int(cost * 1000) if cost >= 0 else estimate.cost_us,
+            int(cost_ms * 1000) if cost_ms >= 0 else estimate.cost_us,
             _hint_number(hint_values, "ram_mb", estimate.memory_mb),
             sql.table_group(text),
             tenant,
@@ -149,7 +153,7 @@
         if (
             not work.prepare
             and self.dispatcher.idempotency_guard is not None
-            and self.dispatcher.idempotency_guard.requires_key(number)
+            and self.dispatcher.idempotency_guard.requires_key(class_number)
         ):
             self._set_idempotency_key(request, work, hint_values)
         return request
@@ -188,14 +192,14 @@
         """
         settings = self.mysql
         classes = self.config.classes
-        number = settings.read_class if outline.only_reads else settings.write_class
+        class_number = settings.read_class if outline.only_reads else settings.write_class
         if hint_values.get("class") in classes:
-            number = classes.index(hint_values["class"])
+            class_number = classes.index(hint_values["class"])
         else:
             matches = (rule.service_class for rule in settings.rules if rule.pattern.search(text))
-            number = next(matches, number)
-        may_repeat = self.config.settings.classes[number].effect is not Effect.UNSAFE
-        return settings.write_class if may_repeat and not outline.only_reads else number
+            class_number = next(matches, class_number)
+        may_repeat = self.config.settings.classes[class_number].effect is not Effect.UNSAFE
+        return settings.write_class if may_repeat and not outline.only_reads else class_number
 
 
 def _hint_number(hint_values: dict[str, str], name: str, default: float) -> float:
@@ -222,7 +226,7 @@
         self._request: Request | None = None
         self._queued_commands: deque[tuple[int, bytes]] = deque()
         self._statements: dict[int, Statement] = {}
-        self._last_statement = 0
+        self._last_statement_number = 0
 
     @property
     def busy(self) -> bool:
@@ -455,7 +459,7 @@
         if text.strip().rstrip(";").lower() in IGNORED_SETS:
             self._send([mysql.ok()], sequence + 1)
         elif self._check_statement(sequence, text, outline):
-            self._submit(sequence, mysql.Work(statement), outline)
+            self._submit_request(sequence, mysql.Work(statement), outline)
 
     def _handle_prepare(self, sequence: int, statement: bytes) -> None:
         text = statement.decode("utf-8", "replace")
@@ -463,7 +467,7 @@
         if len(self._statements) >= MAX_STATEMENTS:
             self._error(sequence, mysql.ER_MAX_PREPARED, "Too many prepared statements on this connection")
         elif self._check_statement(sequence, text, outline):
-            self._submit(sequence, mysql.Work(statement, prepare=True), outline)
+            self._submit_request(sequence, mysql.Work(statement, prepare=True), outline)
 
     def _handle_execute(self, sequence: int, payload: bytes) -> None:
         statement = self._statements.get(mysql.statement_of(payload))
@@ -476,7 +480,7 @@
             self._error(sequence, mysql.ER_PACKET_TOO_LARGE, "Parameters are longer than max_packet_bytes")
             return
         try:
-            run = mysql.read_execute(payload, statement.parameters, statement.types, long_data)
+            run = mysql.read_execute(payload, statement.parameter_count, statement.types, long_data)
         except mysql.MalformedPacketError as problem:
             self._error(sequence, mysql.ER_WRONG_ARGUMENTS, str(problem))
         except NotImplementedError:
@@ -484,17 +488,17 @@
         else:
             statement.types = run.types
             outline = sql.outline(statement.sql.decode("utf-8", "replace"))
-            self._submit(sequence, mysql.Work(statement.sql, run), outline)
+            self._submit_request(sequence, mysql.Work(statement.sql, run), outline)
 
     def _append_long_data(self, payload: bytes) -> None:
         """Buffers a piece of a parameter. The command has no answer, so excess length is an error of the
         later execution."""
-        number, parameter, data = mysql.read_long_data(payload)
-        statement = self._statements.get(number)
-        if statement is not None and parameter < statement.parameters:
+        statement_number, position, data = mysql.read_long_data(payload)
+        statement = self._statements.get(statement_number)
+        if statement is not None and position < statement.parameter_count:
             held = sum(map(len, statement.long_data.values()))
             if held <= self._frontend.mysql.most_packet_bytes:
-                statement.long_data[parameter] = statement.long_data.get(parameter, b"") + data
+                statement.long_data[position] = statement.long_data.get(position, b"") + data
 
     def _reset_statement(self, sequence: int, payload: bytes) -> None:
         statement = self._statements.get(mysql.statement_of(payload))
@@ -506,11 +510,11 @@
 
     # Requests
 
-    def _submit(self, sequence: int, work: mysql.Work, outline: sql.Outline) -> None:
+    def _submit_request(self, sequence: int, work: mysql.Work, outline: sql.Outline) -> None:
         if self.server.draining:
             self._error(sequence, mysql.ER_SERVER_SHUTDOWN, "Server shutdown in progress")
             return
-        self._request = self._frontend.request(work, outline, self._tenant, self)
+        self._request = self._frontend.make_request(work, outline, self._tenant, self)
         self._request.client_handle = sequence
         self._frontend.dispatcher.submit(self._request)
 
@@ -524,9 +528,9 @@
         assert isinstance(work, mysql.Work)
         match answer:
             case Served(mysql.Prepared() as statement):
-                self._last_statement = self._last_statement % 0xFFFFFFFF + 1
-                self._statements[self._last_statement] = Statement(work.sql, statement.parameters)
-                self._send(mysql.prepared(self._last_statement, statement), sequence + 1)
+                self._last_statement_number = self._last_statement_number % 0xFFFFFFFF + 1
+                self._statements[self._last_statement_number] = Statement(work.sql, statement.parameters)
+                self._send(mysql.prepared(self._last_statement_number, statement), sequence + 1)
             case Served(list() as payloads):
                 self._send(payloads, sequence + 1)
             case Rejected(retry_after_us, late=True):
--- a/tests/contracts/test_front_contract.py
+++ b/tests/contracts/test_front_contract.py
@@ -197,7 +197,7 @@
     def next_connection_number(self) -> int:
         return 1
 
-    def request(
+    def make_request(
         self, work: mysql.Work, outline: sql.Outline, tenant: int, client: MysqlConnection
     ) -> Request:
         return Request(TXN, 0, 1000, work, client, SimpleNamespace())
