--- a/slipbay/router.py
+++ b/slipbay/router.py
@@ -147,9 +147,9 @@
         from slipbay.peer_channel.udp_link import UdpLink
 
         config = self.config
-        shares: dict[int, float] = {FrameKind[name.upper()]: share for name, share in channel.parts.items()}
+        parts: dict[int, float] = {FrameKind[name.upper()]: part for name, part in channel.parts.items()}
         if self.membership is None:
-            del shares[FrameKind.VIEW]
+            del parts[FrameKind.VIEW]
         multiplexer = Multiplexer(
             config.settings.router_number,
             len(config.peers),
@@ -158,7 +158,7 @@
             key=channel.key,
             old_key=channel.old_key,
             rate=channel.rate,
-            parts=shares,
+            parts=parts,
         )
         # leases need the time at which a message is handled, not that of the turn of the event loop
         link = UdpLink(multiplexer, self.peers, self.timers, self.clock.fresh)
@@ -279,10 +279,10 @@
 
     # Callbacks of components
 
-    def _fleet_size_changed(self, live_routers: int) -> None:
-        self.dispatcher.notify(FleetSize(live_routers))
+    def _fleet_size_changed(self, living: int) -> None:
+        self.dispatcher.notify(FleetSize(living))
         if self.quotas is not None:
-            self.quotas.resized(live_routers)
+            self.quotas.resized(living)
 
     def _endpoints_changed(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
         self._has_endpoints = self._has_endpoints or bool(endpoints)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -77,13 +77,13 @@
         super().__init__()
         self.loop = loop
         self.stream = stream
-        self._on_write = on_write
+        self._take = on_write
         self.closing = False
         self.reads = True
 
     def write(self, data: Any) -> None:
         assert not self.closing
-        self._on_write(self, bytes(data))
+        self._take(self, bytes(data))
 
     def is_closing(self) -> bool:
         return self.closing
@@ -135,7 +135,7 @@
 
     def __init__(self, loop: FakeLoop, on_write: Callable[[FakeTransport, bytes], None]) -> None:
         self.loop = loop
-        self._on_write = on_write
+        self._take = on_write
         self.waiting: list[tuple[Stream, Callable[[int], None]]] = []
         self.transports: list[FakeTransport] = []
 
@@ -156,7 +156,7 @@
     def accept(self, index: int, sock: QuietSocket | None = None) -> FakeTransport:
         stream, _ = self.waiting.pop(index)
         stream.sock = sock or QuietSocket()  # type: ignore[assignment]
-        transport = FakeTransport(self.loop, stream, self._on_write)
+        transport = FakeTransport(self.loop, stream, self._take)
         self.transports.append(transport)
         stream.connection_made(transport)
         return transport
--- a/tests/kill_sweep.py
+++ b/tests/kill_sweep.py
@@ -160,7 +160,7 @@
     async def _wait_for_a_moment(self) -> None:
         """For so many events since the last start, or for the store to be read: then it recovers."""
         if self.random.random() < 0.25:
-            await self.router.store_read.wait()
+            await self.router.read.wait()
             return
         until = self._moves + self.random.randrange(1, 12)
         while self._moves < until:
--- a/tests/test_http_exchange.py
+++ b/tests/test_http_exchange.py
@@ -36,15 +36,15 @@
     """Guards against two attempts at once, seen with a router that was stopped under load: it had read
     the clock before, wrote the POST after, and held the query for dropped in its next turn."""
     model = HttpModel()
-    write = model.dialer._on_write
+    write = model.dialer._take
 
     def stand(transport: FakeTransport, data: bytes) -> None:
         model.loop.us += 5_000_000
         write(transport, data)
 
-    model.dialer._on_write = stand
+    model.dialer._take = stand
     model.connect()
-    model.dialer._on_write = write
+    model.dialer._take = write
     model.arrive(0)
     model.loop.advance(LOST_US - 300_000)
     assert model.runs
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -320,13 +320,13 @@
         await engine.start()
         router = RouterProcess(tmp_path, {"s-0": engine.port})
         await router.start()
-        await router.store_read.wait()
+        await router.read.wait()
         client = JsonClient(*await asyncio.open_connection("127.0.0.1", router.ports[0]))
         client.query("ticket-load", "INSERT INTO sales_1.t VALUES (1)", txn=TXN, limit=5000)
         await until(lambda: bool(engine.named("POST")))
         await router.kill()
         await router.start()
-        await router.store_read.wait()
+        await router.read.wait()
         client = JsonClient(*await asyncio.open_connection("127.0.0.1", router.ports[0]))
         client.query("ticket-load", "INSERT INTO sales_1.t VALUES (1)", txn=TXN, limit=5000)
         other = JsonClient(*await asyncio.open_connection("127.0.0.1", router.ports[0]))
@@ -355,14 +355,14 @@
         await engine.start()
         router = RouterProcess(tmp_path, {"s-0": http.port}, mysql_file(tmp_path, engine))
         await router.start()
-        await router.store_read.wait()
+        await router.read.wait()
         client = await MysqlClient.connect(router.ports[1])
         client.command(0x03, LOAD.encode())
         await until(lambda: bool(engine.running))
         await router.kill()
         engine.uptime_s = 0  # another server, by its age: its threads are not ours
         await router.start()
-        await router.store_read.wait()
+        await router.read.wait()
         again = await MysqlClient.connect(router.ports[1])
         with pytest.raises(MysqlError) as problem:
             await again.query(LOAD)
@@ -378,14 +378,14 @@
         engine.uptime_s = 10_000
         other = LOAD.replace("k1", "k2")
         await router.start()
-        await router.store_read.wait()
+        await router.read.wait()
         client = await MysqlClient.connect(router.ports[1])
         client.command(0x03, other.encode())
         await until(lambda: other.encode() in engine.running.values())
         second = next(number for number, what in engine.running.items() if what == other.encode())
         await router.kill()
         await router.start()
-        await router.store_read.wait()
+        await router.read.wait()
         again = await MysqlClient.connect(router.ports[1])
         with pytest.raises(MysqlError) as problem:
             await again.query(other)
@@ -445,7 +445,7 @@
         await engine.start()
         router = RouterProcess(tmp_path, {"s-0": engine.port})
         await router.start()
-        await router.store_read.wait()
+        await router.read.wait()
         for more, told in (
             ({"later_ms": "-1"}, "the old one stays: store.toml: later_ms"),
             ({"later_ms": "5", "segment_mb": "4"}, "next start: store.segment_bytes"),
@@ -453,7 +453,7 @@
             store_file(tmp_path, **more)
             assert router.process is not None
             router.process.send_signal(signal.SIGHUP)
-            await router.wait_for_lines(told)
+            await router.tells(told)
         client = JsonClient(*await asyncio.open_connection("127.0.0.1", router.ports[0]))
         assert "result" in await load(client)
         assert await router.end() == 0
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -323,14 +323,14 @@
 
 def test_an_idle_connection_that_the_engine_closed_is_detected_before_it_is_used() -> None:
     """Guards against a POST on a connection whose end has been received but not read: it would be lost."""
-    router_end, engine_end = socket.socketpair()
+    ours, theirs = socket.socketpair()
     stream = Stream()
-    stream.sock = router_end
+    stream.sock = ours
     stream.transport = FakeTransport(FakeLoop(), stream, lambda transport, data: None)
     assert not stream.stale()
-    engine_end.close()
+    theirs.close()
     assert stream.stale()
-    router_end.close()
+    ours.close()
 
 
 def test_silent_clients_are_disconnected_and_do_not_displace_active_ones() -> None:
--- a/tests/test_store_losses.py
+++ b/tests/test_store_losses.py
@@ -94,7 +94,7 @@
 async def again(router: RouterProcess, *told: str) -> None:
     router.lines.clear()
     await router.start()
-    await router.wait_for_lines(*told)
+    await router.tells(*told)
 
 
 def adopt(folder: Path, because: str) -> Result:
