--- a/tests/kill_sweep.py
+++ b/tests/kill_sweep.py
@@ -193,7 +193,7 @@
     async def _try_once(self, attempt: Attempt, name: str, tries: int) -> bool:
         """Send a load once; False if it must be repeated, also because the connection was lost."""
         router = self.choose(name, tries)
-        await router.up.wait()
+        await router.listening.wait()
         self.result.tries += 1
         try:
             return await attempt(router, name, tries)
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -416,10 +416,10 @@
             client = await net.client()
             client.query("lookup", limit=400)
             assert "error" in await client.answer()
-            spent = sum(amount for _, amount in net.decisions.retry_budget().retries)
+            spent = sum(amount for _, amount in net.policy_controller.retry_budget().retries)
             assert spent >= 1
         async with Loopback(StandInEngine(), store_file=file) as net:
-            assert sum(amount for _, amount in net.decisions.retry_budget().retries) >= spent
+            assert sum(amount for _, amount in net.policy_controller.retry_budget().retries) >= spent
 
     run(test)
 
--- a/tests/test_reload_races.py
+++ b/tests/test_reload_races.py
@@ -232,7 +232,7 @@
         timeout=60,
     )
     assert done.returncode == 0
-    assert done.stderr.count("asked to end") == 1
+    assert done.stderr.count("graceful shutdown requested") == 1
     assert "the configuration was read again" in done.stderr
 
 
