--- a/slipbay/peer_channel/__init__.py
+++ b/slipbay/peer_channel/__init__.py
@@ -1,1 +1,2 @@
-"""One channel between routers: what all that they tell each other shares (docs/channel.md)."""
+"""The peer channel: frames, byte budget and settings shared by all messages between routers
+(docs/channel.md)."""
--- a/slipbay/peer_channel/budget.py
+++ b/slipbay/peer_channel/budget.py
@@ -1,5 +1,5 @@
-"""Bytes that a router may send on its peers' address: one rate for all kinds of messages, of which each kind
-surely gets a part."""
+"""Byte budget of the peer socket: one send rate for all kinds of messages, with a guaranteed share for each
+kind."""
 
 from __future__ import annotations
 
@@ -8,8 +8,10 @@
 
 from slipbay.peer_channel.interfaces import FrameKind
 
-WINDOW_US = 1_050_000  # a second, and what may pass within a turn of the loop until its datagrams have left
-PLACES: Mapping[int, int] = {  # lives speak at starts and ends alone; messages of the decisions can be cut
+WINDOW_US = 1_050_000  # one second, plus the delay of datagrams within one turn of the event loop
+# Priority by kind, 0 first. LIVES messages are sent only when a router starts or stops; DECISIONS messages
+# can be truncated.
+PRIORITIES: Mapping[int, int] = {
     FrameKind.VIEW: 0,
     FrameKind.LIVES: 0,
     FrameKind.QUOTA: 1,
@@ -17,78 +19,87 @@
     FrameKind.GATHER: 3,
     FrameKind.DECISIONS: 4,
 }
-LAST = 5  # the place of all others
-STEP = 0.125  # of the common part, which a kind leaves to each place before its own
+LOWEST_PRIORITY = 5  # of all kinds that are not listed
+PRIORITY_FRACTION = 0.125  # of the rate without a guarantee, left unused for each priority before its own
 
 
 class ByteBudget:
-    """What was sent in the last window is remembered, message by message.
+    """A rate limit over a sliding window, with a guaranteed share for each kind of message.
 
-    A kind may always send within its part; beyond it, as long as the parts of all others and what they sent
-    above them leave room: ``sum(max(sent, part)) <= rate`` then holds after each message. What leaves the
-    window takes no more from ``sent`` than it adds to a part that is free again, so that it holds at any
-    time, and with it ``sum(sent) <= rate``, for any order of asks. A message that had no room is claimed:
-    what is in no part is kept for the oldest claim until its kind has sent so much, or has not come back for
-    it. So a message leaves that is longer than its kind's part, too (docs/channel.md).
+    The budget records each message sent within the last window. A kind may always send within its share. It
+    may send more than its share as long as the shares of all other kinds, and what those sent beyond them,
+    leave room: ``sum(max(sent, share)) <= rate`` holds after each message. No term of the sum grows when a
+    message leaves the window. So the condition holds at any time, and with it ``sum(sent) <= rate``, for any
+    order of requests.
+
+    A message that finds no room leaves a claim. The rate without a guarantee is reserved for the oldest claim
+    until its kind has sent that many bytes, or has not requested them again for two windows. So a message
+    that is longer than the share of its kind is sent, too (docs/channel.md).
     """
 
     def __init__(self, rate: float, parts: Mapping[int, float], now: int) -> None:
-        """``rate``: bytes in any window. ``parts``: of the rate, by kind; their sum is at most 1."""
+        """``rate``: bytes in any window. ``parts``: guaranteed fraction of the rate by kind; their sum is at
+        most 1."""
         if sum(parts.values()) > 1.0 + 1e-9 or min(parts.values(), default=0.0) < 0:
             raise ValueError("parts: want at most 1 together, and none below 0")
         self.rate = rate
-        self.parts = {kind: rate * part for kind, part in parts.items()}  # in bytes
+        self.parts = {kind: rate * part for kind, part in parts.items()}  # guaranteed bytes in a window
         self._sent = {kind: 0 for kind in parts}
-        self._log: deque[tuple[int, int, int]] = deque()  # when, kind, bytes; oldest first
-        self._claims: dict[int, tuple[int, int]] = {}  # by kind: bytes, and when last asked for; oldest first
+        self._sends: deque[tuple[int, int, int]] = deque()  # time (us), kind, bytes; oldest first
+        # by kind: bytes, time of the last request; oldest first
+        self._claims: dict[int, tuple[int, int]] = {}
         self._now = now
 
     def hold(self, kind: int, part: float) -> None:
-        """From now on a kind surely gets a part of the rate, once a window has passed."""
+        """Guarantee a kind a fraction of the rate, in effect after one window."""
         self.parts[kind] = self.rate * part
         self._sent.setdefault(kind, 0)
         if sum(self.parts.values()) > self.rate * (1 + 1e-9):
             raise ValueError("parts: want at most 1 together")
 
     def room(self, now: int, kind: int) -> int:
-        """Bytes that a kind may send now."""
-        self._forget(now)
-        first = next(iter(self._claims), None)
-        own = self.parts.get(kind, 0.0)
+        """Bytes that a kind may send at ``now`` (us)."""
+        self._expire(now)
+        oldest = next(iter(self._claims), None)
+        guaranteed = self.parts.get(kind, 0.0)
         sent = self._sent.get(kind, 0)
         free = self.rate - sum(
             max(count, self.parts.get(other, 0.0))
             for other, count in self._sent.items()
-            if other not in (kind, first)
+            if other not in (kind, oldest)
         )
-        if first != kind:
-            free -= (self.rate - sum(self.parts.values())) * STEP * PLACES.get(kind, LAST)
-            if first is not None:
-                free -= max(self._sent.get(first, 0) + self._claims[first][0], self.parts.get(first, 0.0))
-        most = min(max(free, own) - sent, self.rate - sum(self._sent.values()))
-        return max(0, int(most + 1e-6))
+        if oldest != kind:
+            free -= (
+                (self.rate - sum(self.parts.values()))
+                * PRIORITY_FRACTION
+                * PRIORITIES.get(kind, LOWEST_PRIORITY)
+            )
+            if oldest is not None:
+                free -= max(self._sent.get(oldest, 0) + self._claims[oldest][0], self.parts.get(oldest, 0.0))
+        limit = min(max(free, guaranteed) - sent, self.rate - sum(self._sent.values()))
+        return max(0, int(limit + 1e-6))
 
     def take(self, now: int, kind: int, size: int) -> bool:
-        """Whether ``size`` bytes of a kind may leave now; if so they are spent."""
+        """Whether ``size`` bytes of a kind may be sent now. If so, they count as sent."""
         claimed = self._claims.get(kind, (0, 0))[0]
         if self.room(now, kind) < size:
             self._claims[kind] = max(claimed, size), self._now
             return False
         self._sent[kind] = self._sent.get(kind, 0) + size
-        self._log.append((self._now, kind, size))
+        self._sends.append((self._now, kind, size))
         if size >= claimed:
             self._claims.pop(kind, None)
         return True
 
     def spent(self, now: int) -> dict[int, int]:
         """Bytes sent within the last window, by kind."""
-        self._forget(now)
+        self._expire(now)
         return dict(self._sent)
 
-    def _forget(self, now: int) -> None:
-        self._now = max(self._now, now)  # a clock that went back frees nothing
-        while self._log and self._log[0][0] <= self._now - WINDOW_US:
-            _, kind, size = self._log.popleft()
+    def _expire(self, now: int) -> None:
+        self._now = max(self._now, now)  # a clock that jumps back frees no bytes
+        while self._sends and self._sends[0][0] <= self._now - WINDOW_US:
+            _, kind, size = self._sends.popleft()
             self._sent[kind] -= size
         if self._claims:
             self._claims = {
--- a/slipbay/peer_channel/config_schema.py
+++ b/slipbay/peer_channel/config_schema.py
@@ -1,4 +1,4 @@
-"""The form of ``deploy/channel.toml``. Loaded only where the channel is on."""
+"""Schema of ``deploy/channel.toml``. Imported only if the channel is enabled."""
 
 from __future__ import annotations
 
@@ -7,22 +7,23 @@
 from msgspec import Meta, Struct
 
 Part = Annotated[float, Meta(ge=0, le=1)]
-Rate = Annotated[float, Meta(ge=600, le=1000)]  # below it the view's probes have no room beside a message
+# bytes/s; below 600 one message leaves no room for membership probes
+Rate = Annotated[float, Meta(ge=600, le=1000)]
 
 
 class BudgetShares(Struct, forbid_unknown_fields=True, frozen=True):
-    """Of the rate, what each kind surely gets."""
+    """Guaranteed fraction of the rate for each kind of message."""
 
     decisions: Part = 0.08
     view: Part = 0.38
     comeback: Part = 0.1
     quota: Part = 0.1
-    gather: Part = 0.0  # a word each 8 s, which what is in no part has room for
-    lives: Part = 0.083  # three questions of 27 bytes, or two openings of 39, in a window
+    gather: Part = 0.0  # one message every 8 s, for which the rate without a guarantee has room
+    lives: Part = 0.083  # per window: three requests of 27 bytes, or two store-opening messages of 39 bytes
 
 
 class ChannelFile(Struct, forbid_unknown_fields=True, frozen=True):
-    """All keys of the file beside ``enabled``."""
+    """All keys of the file except ``enabled``."""
 
     rate: Rate = 1000.0  # bytes in any second
     key_file: str | None = None
--- a/slipbay/peer_channel/external_traffic.py
+++ b/slipbay/peer_channel/external_traffic.py
@@ -1,4 +1,4 @@
-"""Messages on the peers' address that are not the channel's own, but count in its budget."""
+"""Messages on the peer socket that the channel does not frame but counts in its budget."""
 
 from __future__ import annotations
 
@@ -6,9 +6,11 @@
 
 
 def cut(body: bytes, room: int) -> bytes:
-    """A message of the decisions in at most ``room`` bytes: they tell the engines with most threads first, so
-    whole items are left out at its end. Empty where not even its head has room, which tells that this router
-    was heard."""
+    """Truncate a gossip message of the routing policy to at most ``room`` bytes.
+
+    Its items are sorted by threads, most first, so whole items are dropped from the end. Returns an empty
+    message if even the header does not fit; a header alone still shows receivers that this router runs.
+    """
     if len(body) <= room:
         return body
     if room < HEAD.size:
--- a/slipbay/peer_channel/frame.py
+++ b/slipbay/peer_channel/frame.py
@@ -1,10 +1,11 @@
-"""Datagrams of the channel: a head, a party's body and a seal, in at most 256 bytes.
-
-Little-endian. The head: 3 bytes ``slb``, version (2, as the view's), kind with its top bit set, sender's
-number (u16), life (u16). The body follows, then one byte of padding where the length would else be one of a
-message of the decisions, then the seal: with a key 8 bytes of BLAKE2s over all before them, else 4 of
-CRC-32. The last byte of the head tells whether there is padding. Routers that know only the view see a kind
-that they don't know, and skip it.
+"""Datagram format of the channel: a header, the body of one endpoint and a checksum, in at most 256 bytes.
+
+Integers are little-endian. The header is: 3 bytes ``slb``, version (2, as in membership messages), kind with
+its top bit set, number of the sender (u16), incarnation of the sender (u16), and a byte that is 1 if there is
+padding. The body follows, then one byte of padding if the datagram would otherwise have a length that a
+gossip message of the routing policy can have. The checksum ends it: with a key 8 bytes of keyed BLAKE2s over
+all bytes before it, without a key 4 bytes of CRC-32. Routers that only support membership messages do not
+know the kind and skip the datagram.
 """
 
 from __future__ import annotations
@@ -24,19 +25,19 @@
 FLAG = 0x80
 HEAD = Struct("<3sBBHHB")
 SUM = Struct("<I")
-# of the seal with a key, and without
+# length of the checksum with a key, and without
 DIGEST_BYTES = 8
 SUM_BYTES = 4
-FIRST_KIND = 16  # those below are the view's
-LEAST_BYTES = 5  # up to the kind
+FIRST_KIND = 16  # lower kinds are membership messages
+MIN_BYTES = 5  # up to and including the kind
 
 
 class CorruptFrameError(SlipbayError):
-    """Not a message of ours, or not whole."""
+    """A datagram that is in no known format, is truncated or has a wrong checksum."""
 
 
 class Frame(NamedTuple):
-    """A message with its head: kind, sender's number, incarnation."""
+    """A message of an endpoint with the kind, number and incarnation of its sender."""
 
     kind: int
     sender: int
@@ -45,20 +46,20 @@
 
 
 def is_ours(data: bytes) -> bool:
-    """Whether a datagram is the channel's or the view's; all others are the decisions'."""
-    return len(data) >= LEAST_BYTES and bool(data[4] & FLAG) and data[:3] == MAGIC
+    """Whether a datagram is a channel frame or a membership message; all others are gossip of the policy."""
+    return len(data) >= MIN_BYTES and bool(data[4] & FLAG) and data[:3] == MAGIC
 
 
 def is_framed(data: bytes) -> bool:
-    """Whether it is the channel's; what is ours and not framed is the view's."""
+    """Whether a datagram is a channel frame; if not, and ``is_ours``, it is a membership message."""
     return is_ours(data) and data[4] & ~FLAG >= FIRST_KIND
 
 
 def encode(frame: Frame, key: bytes = b"") -> bytes:
-    """Raises ``ValueError`` for a body that is too long."""
+    """The datagram of a frame. Raises ``ValueError`` for a body that is too long."""
     kind, sender, life, body = frame
     seal_bytes = DIGEST_BYTES if key else SUM_BYTES
-    padded = (HEAD.size + len(body) + seal_bytes - 5) % 3 == 0  # the length of messages of the decisions
+    padded = (HEAD.size + len(body) + seal_bytes - 5) % 3 == 0  # a length of policy gossip
     data = HEAD.pack(MAGIC, VERSION, FLAG | kind, sender, life, padded) + body + bytes(padded)
     if len(data) + seal_bytes > MOST_BYTES:
         raise ValueError(f"a body of {len(body)} bytes is too long")
@@ -66,38 +67,40 @@
 
 
 def decode(data: bytes, keys: Sequence[bytes] = ()) -> Frame | None:
-    """The frame; ``None`` for another version. ``keys``: any may have sealed it. Raises
-    ``CorruptFrameError``."""
+    """The frame, or ``None`` if it has another version.
+
+    ``keys``: any of them may have signed it; none: it has a CRC-32. Raises ``CorruptFrameError``.
+    """
     if not is_framed(data) or len(data) > MOST_BYTES:
-        raise CorruptFrameError("not a message of the channel")
+        raise CorruptFrameError("not a frame of the channel")
     data = unseal(data, keys)
     if data[3] != VERSION:
         return None
     if len(data) < HEAD.size:
-        raise CorruptFrameError("it is cut off")
+        raise CorruptFrameError("the header is truncated")
     _, _, kind, sender, life, padded = HEAD.unpack_from(data)
     if padded > 1 or len(data) < HEAD.size + padded:
-        raise CorruptFrameError("its padding is cut off")
+        raise CorruptFrameError("the padding is truncated")
     return Frame(kind & ~FLAG, sender, life, data[HEAD.size : len(data) - padded])
 
 
 def unseal(data: bytes, keys: Sequence[bytes]) -> bytes:
-    """What stands before a good seal. Raises ``CorruptFrameError``."""
+    """The bytes before a valid checksum. Raises ``CorruptFrameError``."""
     if keys:
         found = data[-DIGEST_BYTES:]
         data = data[:-DIGEST_BYTES]
-        whole = any(hmac.compare_digest(found, seal(data, key)) for key in keys)
+        is_valid = any(hmac.compare_digest(found, seal(data, key)) for key in keys)
     else:
         found = data[-SUM_BYTES:]
         data = data[:-SUM_BYTES]
-        whole = found == SUM.pack(crc32(data))
-    if not whole:
-        raise CorruptFrameError("its seal is of no key here, or it is not whole")
+        is_valid = found == SUM.pack(crc32(data))
+    if not is_valid:
+        raise CorruptFrameError("the checksum matches none of the keys, or the datagram is damaged")
     return data
 
 
 def seal(data: bytes, key: bytes) -> bytes:
-    """Without a key a sum that finds what is cut or changed by chance, but keeps nobody out."""
+    """The checksum. Without a key it detects accidental damage but does not authenticate the sender."""
     if not key:
         return SUM.pack(crc32(data))
     return blake2s(data, key=key, digest_size=DIGEST_BYTES).digest()
--- a/slipbay/peer_channel/interfaces.py
+++ b/slipbay/peer_channel/interfaces.py
@@ -1,9 +1,9 @@
-"""What parts that talk over the channel, and what carries them, agree on. No logic stands here.
+"""Interfaces between the channel, the endpoints that use it and the transport below it, without logic.
 
-A *party* is a machine without I/O, clock or own randomness: a host hands it what came and the time, and
-sends what it returns. Times are whole us of the host's clock, which runs with the monotonic clock and never
-goes back; clocks of two routers differ by an unknown offset, so a time that is told says nothing to another
-router: parties tell spans (ages, lengths), never moments.
+An *endpoint* is a state machine without I/O, clock or random source of its own: a host passes it received
+messages and the time, and sends the messages that it returns. Times are integers in us of the host's clock,
+which follows the monotonic clock and never goes back. The clocks of two routers differ by an unknown offset,
+so a point in time means nothing to another router: endpoints send durations (ages, lengths) only.
 """
 
 from __future__ import annotations
@@ -14,46 +14,50 @@
 
 from slipbay.address import Address
 
-MOST_BODY = 236  # bytes of a party's message; with head and seal a datagram of at most 256
+MOST_BODY = 236  # bytes of an endpoint's message; with header and checksum a datagram of at most 256 bytes
 
 
 class FrameKind(IntEnum):
-    """Whose message a datagram of the channel is. The view's own kinds are 1 to 15 (``membership.codec``);
-    what a router does not know it counts and skips."""
+    """The kind of a channel frame, which selects the endpoint that receives it. Kinds 1 to 15 are those of
+    membership messages (``membership.codec``). A router counts and skips frames of unknown kinds."""
 
-    DECISIONS = 0  # theirs have no head of ours; it stands for them in the budget alone
-    VIEW = 1  # and this for all of the view's
+    DECISIONS = 0  # gossip of the routing policy, which has no frame; used in the budget only
+    VIEW = 1  # all membership messages; used in the budget only
     COMEBACK = 16
     QUOTA = 17
     GATHER = 18
-    LIVES = 19  # of stores (``slipbay.idempotency.witnesses``)
-    LATER = 127  # never given to a part: tests send it as a later release would
+    LIVES = 19  # store generations (``slipbay.idempotency.witnesses``)
+    LATER = 127  # never assigned; tests send it in place of a kind of a later release
 
 
 Send: TypeAlias = tuple[int, bytes]
-"""To a router's number, the body: at most ``MOST_BODY`` bytes."""
+"""The number of the receiving router and the body, at most ``MOST_BODY`` bytes."""
 
 
 class ChannelEndpoint(Protocol):
-    """One part's machine. A body that it can't read changes nothing and raises nothing."""
+    """A state machine that sends and receives one kind of frame. It ignores a body that it cannot decode."""
 
     def receive(self, now: int, sender: int, life: int, body: bytes) -> list[Send]:
-        """A message of this part's kind, whole and sealed. ``life`` tells two lives of a number apart, and no
-        more. It may be late, doubled, out of order, or of an earlier life."""
+        """Process a message of this endpoint's kind, whose checksum is valid; returns the messages to send.
+
+        ``life``: incarnation of the sender; it only distinguishes incarnations and has no order. The message
+        may be late, duplicated, out of order, or sent by an earlier incarnation.
+        """
 
     def tick(self, now: int) -> list[Send]:
-        """Time passes. A host calls it at ``next_tick``, or later."""
+        """Process the passing of time; returns the messages to send. The host calls it at ``next_tick`` or
+        later."""
 
     def next_tick(self) -> int:
-        """When ``tick`` wants to be called; asked anew after each ``receive`` and ``tick``."""
+        """When ``tick`` is due; the host calls this after each ``receive`` and ``tick``."""
 
 
 class Transport(Protocol):
-    """Carries datagrams between numbered routers; any may be lost, doubled, late or out of order."""
+    """Carries datagrams between numbered routers; any may be lost, duplicated, late or out of order."""
 
     received: Callable[[int | None, bytes, Address], bool]
-    """Set by its user, called with the number of the peer with that source address (None: a stranger), the
-    data and the address. Returns whether the datagram was the user's."""
+    """Set by the user of the transport. Called with the number of the peer that has the source address (None:
+    no peer has it), the data and the address. Returns whether the user has processed the datagram."""
 
     def send(self, data: bytes, to: int) -> None:
-        """At most 256 bytes; longer ones are dropped."""
+        """Send a datagram of at most 256 bytes; longer ones are dropped."""
--- a/slipbay/peer_channel/leases.py
+++ b/slipbay/peer_channel/leases.py
@@ -1,65 +1,69 @@
-"""Terms: what one router grants another until a moment that each reads from its own clock.
+"""Leases: what one router grants another for a time that each measures with its own clock.
 
-The holder counts from before it asked, the granter from after it granted, and the granter waits longer by
-what two clocks may differ in their pace and by one jump. So at no moment do both hold the same thing, as
-long as clocks keep within ``ClockBounds``. Source: Gray, Cheriton: Leases (SOSP 1989), with the holder's
-count
-begun at its request, as no clock is shared here.
+The holder counts from before its request, the granter from after its grant. The granter waits longer, by the
+largest difference in rate between two clocks and by one jump. So holder and granter never hold the same thing
+at the same time, as long as clocks stay within ``ClockBounds``. Source: Gray, Cheriton: Leases (SOSP 1989);
+here the holder counts from its request, as routers share no clock.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MILLION = 1_000_000
+PPM = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class ClockBounds:
-    """What is taken for granted of clocks. ``drift_ppm``: most by which any clock's pace differs from true
-    time, in us a second. ``jump_us``: most by which one may leap or stand still within one term."""
+    """Assumptions about clocks. ``drift_ppm``: largest deviation of a clock's rate from true time, in us per
+    second. ``jump_us``: the longest that a clock may jump ahead or stand still within one lease."""
 
     drift_ppm: int = 500
     jump_us: int = 5_000
 
     def surely(self, span_us: int) -> int:
-        """How long our clock must show so that at least ``span_us`` has passed on any other, though that one
-        may have stood still for ``jump_us`` meanwhile, and ours leapt ahead."""
+        """The time in us to wait on the local clock so that at least ``span_us`` has passed on any other
+        clock, even if that clock stood still for ``jump_us`` and the local clock jumped ahead."""
         span = span_us + self.jump_us
         drift = self.drift_ppm
-        return -(-span * (MILLION + drift) // (MILLION - drift)) + self.jump_us
+        return -(-span * (PPM + drift) // (PPM - drift)) + self.jump_us
 
 
 @dataclass(frozen=True, slots=True)
 class HeldLease:
-    """A term from its holder's side. Times of the holder's clock in us."""
+    """A lease as its holder sees it. Times are in us of the holder's clock."""
 
-    asked: int  # before the message that asked for it left
+    asked: int  # not later than its request was sent
     length: int
 
     @property
     def ends(self) -> int:
-        """When the lease has ended for its holder."""
+        """When the lease ends for its holder."""
         return self.asked + self.length
 
     def valid(self, now: int) -> bool:
-        """``now`` must be read afresh: a process may have stood still since its turn of the loop began."""
+        """Whether the holder holds the lease at ``now``, which must be read from the clock at once: the
+        process may have been suspended since the current turn of its event loop began."""
         return self.asked <= now < self.ends
 
 
 @dataclass(frozen=True, slots=True)
 class GrantedLease:
-    """A term from its granter's side. Times of the granter's clock in us."""
+    """A lease as its granter sees it. Times are in us of the granter's clock."""
 
-    granted: int  # not before the message that granted it left
+    granted: int  # not earlier than its grant was sent
     length: int
 
     def over(self, now: int, clocks: ClockBounds) -> bool:
-        """Whether its holder surely holds it no more, be it dead, stopped or cut off."""
+        """Whether the lease has ended for its holder in any case, even if that is down, stopped or
+        unreachable."""
         return now >= self.granted + clocks.surely(self.length)
 
 
 def wait_after_start(longest_us: int, clocks: ClockBounds) -> int:
-    """How long after its start a router that has no memory neither grants nor votes: by then whatever any
-    earlier life of its number granted has surely ended, as that life's last grant came before this start."""
+    """The time in us after its start for which a router without persistent state neither grants nor votes.
+
+    After it, all leases that earlier incarnations of the router granted have ended: the last such grant was
+    sent before this start.
+    """
     return clocks.surely(longest_us)
--- a/slipbay/peer_channel/metrics.py
+++ b/slipbay/peer_channel/metrics.py
@@ -1,5 +1,5 @@
-"""The channel's counters as metrics in the Prometheus text format, as ``slipbay.membership.metrics`` has the
-view's. Needs ``slipbay[fleet]``; only commands load it."""
+"""Counters of the channel in the Prometheus text format; ``slipbay.membership.metrics`` does the same for
+membership. Requires ``slipbay[fleet]``; only commands import this module."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 
 
 def exposition(status: dict[str, Any]) -> str:
-    """The text for a status as ``slipbay channel status --json`` gives it. Counters are since the start."""
+    """The metrics of a status that ``slipbay channel status --json`` prints. Counters begin at the router's
+    start."""
     registry = CollectorRegistry()
     name = status["name"]
     rate = Gauge(
@@ -17,24 +18,27 @@
     )
     rate.labels(name).set(status["rate"])
     part = Gauge(
-        "slipbay_channel_part", "Of the rate, what a kind surely gets.", ["router", "kind"], registry=registry
+        "slipbay_channel_part",
+        "Guaranteed fraction of the rate for a kind.",
+        ["router", "kind"],
+        registry=registry,
     )
     counters = {
-        key: Counter(f"slipbay_channel_{key}", about, ["router", "kind"], registry=registry)
-        for key, about in (
+        key: Counter(f"slipbay_channel_{key}", description, ["router", "kind"], registry=registry)
+        for key, description in (
             ("sent", "Datagrams sent."),
             ("bytes", "Bytes sent."),
-            ("over_budget", "Datagrams dropped as the budget had no room."),
-            ("received", "Messages taken by a part."),
+            ("over_budget", "Datagrams dropped because the budget had no room."),
+            ("received", "Messages passed to their endpoint."),
         )
     }
-    for kind, told in status["kinds"].items():
-        part.labels(name, kind).set(told["part"])
+    for kind, values in status["kinds"].items():
+        part.labels(name, kind).set(values["part"])
         for key, counter in counters.items():
-            counter.labels(name, kind).inc(told[key])
+            counter.labels(name, kind).inc(values[key])
     dropped = Counter(
         "slipbay_channel_dropped",
-        "Datagrams that no part was given, by reason.",
+        "Received datagrams that were dropped, by reason.",
         ["router", "reason"],
         registry=registry,
     )
--- a/slipbay/peer_channel/multiplexer.py
+++ b/slipbay/peer_channel/multiplexer.py
@@ -1,4 +1,7 @@
-"""The channel's machine: parties by kind, frames, one budget, counters. Without I/O, clock or randomness."""
+"""State machine of the channel: endpoints by kind, frames, the byte budget and counters.
+
+It has no I/O, clock or random source.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +13,12 @@
 from slipbay.peer_channel.frame import FIRST_KIND, CorruptFrameError, Frame, decode, encode
 from slipbay.peer_channel.interfaces import ChannelEndpoint, FrameKind, Send
 
-KNOWN = frozenset(FrameKind)
-RATE = 1_000  # bytes that a router may send in any second, at any size of the fleet
+KNOWN_KINDS = frozenset(FrameKind)
+RATE = 1_000  # bytes that a router may send in any second, whatever the size of the fleet
 
 
 class Multiplexer:
-    """One router's end of the channel."""
+    """The channel of one router. Times are in us."""
 
     def __init__(
         self,
@@ -29,9 +32,12 @@
         parts: Mapping[int, float] | None = None,
         rate: float = RATE,
     ) -> None:
-        """``size``: numbers that the configuration has. ``life``: a number that is new with each start.
-        ``parts``: of the rate, what each kind surely gets; a party's is held from when it is added. Kinds
-        that have none share what is left."""
+        """Create a channel without endpoints.
+
+        ``me``: number of this router. ``size``: how many routers are configured. ``life``: the incarnation, a
+        number that is new with each start. ``parts``: guaranteed fraction of the rate by kind, in effect for
+        an endpoint once it is added. Kinds without one share the rest.
+        """
         self.me = me
         self.size = size
         self.life = life % 2**16
@@ -42,16 +48,19 @@
         self.budget = ByteBudget(rate, {k: part for k, part in self._parts.items() if k < FIRST_KIND}, now)
         self.counts: Counter[str] = Counter()
         self.unsent: dict[int, Callable[[int, int, bytes], None]] = {}
-        """By kind, who wants to hear of a message that found no room: the time, to whom, and its body."""
+        """By kind, a callback for messages that the budget had no room for: time, receiver and body."""
 
     def add(self, kind: int, party: ChannelEndpoint) -> None:
-        """Add a part, which gets its share of the budget from now on."""
+        """Add an endpoint. Its guaranteed fraction of the rate is in effect from now on."""
         self.parties[kind] = party
         if kind in self._parts:
             self.budget.hold(kind, self._parts[kind])
 
     def receive(self, now: int, data: bytes, sender: int | None) -> list[Send]:
-        """A datagram that ``is_framed``, from the address of a number; none for a stranger's."""
+        """Pass a datagram that ``is_framed`` to its endpoint; returns the datagrams to send.
+
+        ``sender``: number of the peer that has the source address; None if no peer has it.
+        """
         try:
             frame = decode(data, self._keys)
         except CorruptFrameError:
@@ -65,42 +74,44 @@
             return []
         self.counts["received"] += 1
         self.counts[f"received {frame.kind}"] += 1
-        return self._frames(
+        return self._encode_frames(
             now, frame.kind, self.parties[frame.kind].receive(now, sender, frame.life, frame.body)
         )
 
     def tick(self, now: int) -> list[Send]:
-        """Ticks those that are due; the datagrams to send."""
+        """Call ``tick`` of the endpoints that are due; returns the datagrams to send."""
         sends: list[Send] = []
         for kind, party in self.parties.items():
             if party.next_tick() <= now:
-                sends += self._frames(now, kind, party.tick(now))
+                sends += self._encode_frames(now, kind, party.tick(now))
         return sends
 
     def next_tick(self) -> int | None:
-        """None while there are no parties."""
+        """When ``tick`` is due; None if there are no endpoints."""
         return min((party.next_tick() for party in self.parties.values()), default=None)
 
     def own(self, now: int, kind: int, sends: Sequence[Send]) -> list[Send]:
-        """What a party wants to send outside of ``receive`` and ``tick``, as when a request came."""
-        return self._frames(now, kind, sends)
+        """The datagrams for messages that an endpoint sends outside of ``receive`` and ``tick``, for example
+        when a client request arrives."""
+        return self._encode_frames(now, kind, sends)
 
     def room(self, now: int, kind: int) -> int:
-        """Bytes of datagrams that a kind may send now; for machines that choose what to say by it."""
+        """Bytes of datagrams that a kind may send now; endpoints choose the content of messages by it."""
         return self.budget.room(now, kind)
 
     def outside(self, now: int, kind: int, size: int) -> bool:
-        """Whether a datagram that has no frame of ours, as the view's, may leave now; then it is counted."""
-        return self._leave(now, kind, size)
+        """Whether a datagram without a channel frame, such as a membership message, may be sent now. If so,
+        it is counted as sent."""
+        return self._spend(now, kind, size)
 
     def told(self, now: int, body: bytes) -> bytes | None:
-        """A message of the decisions as it may leave now, cut to the engines that hold most where all have no
-        room; None where there is room for none."""
+        """A gossip message of the routing policy, truncated to what the budget allows now; None if it has no
+        room for the header. The engines with most threads are kept. The message is counted as sent."""
         body = cut(body, self.budget.room(now, FrameKind.DECISIONS))
-        return body if body and self._leave(now, FrameKind.DECISIONS, len(body)) else None
+        return body if body and self._spend(now, FrameKind.DECISIONS, len(body)) else None
 
     def status(self) -> dict[str, object]:
-        """Counters since the start, by kind, as JSON has them."""
+        """Counters since the start, by kind, as JSON values."""
         counts = self.counts
         parts = self.budget.parts
         kinds = sorted({*parts, *self.parties, *(int(n.split()[-1]) for n in counts if n[-1].isdigit())})
@@ -109,7 +120,7 @@
             "life": self.life,
             **{name: counts[name] for name in ("bytes", "received", "skipped", "garbled", "foreign")},
             "kinds": {
-                FrameKind(kind).name.lower() if kind in KNOWN else str(kind): {
+                FrameKind(kind).name.lower() if kind in KNOWN_KINDS else str(kind): {
                     "part": parts.get(kind, 0.0) / self.budget.rate,
                     "sent": counts[f"sent {kind}"],
                     "bytes": counts[f"bytes {kind}"],
@@ -120,7 +131,7 @@
             },
         }
 
-    def _leave(self, now: int, kind: int, size: int) -> bool:
+    def _spend(self, now: int, kind: int, size: int) -> bool:
         if not self.budget.take(now, kind, size):
             self.counts[f"over budget {kind}"] += 1
             return False
@@ -129,15 +140,15 @@
         self.counts[f"bytes {kind}"] += size
         return True
 
-    def _frames(self, now: int, kind: int, sends: Sequence[Send]) -> list[Send]:
-        found: list[Send] = []
+    def _encode_frames(self, now: int, kind: int, sends: Sequence[Send]) -> list[Send]:
+        datagrams: list[Send] = []
         for to, body in sends:
             data = encode(Frame(kind, self.me, self.life, body), self._key)
             if to == self.me or not 0 <= to < self.size:
                 continue
-            if self._leave(now, kind, len(data)):
+            if self._spend(now, kind, len(data)):
                 self.counts["sent"] += 1
-                found.append((to, data))
+                datagrams.append((to, data))
             elif kind in self.unsent:
                 self.unsent[kind](now, to, body)
-        return found
+        return datagrams
--- a/slipbay/peer_channel/settings.py
+++ b/slipbay/peer_channel/settings.py
@@ -1,5 +1,5 @@
-"""``deploy/channel.toml``: whether this router talks over the channel, and what each kind surely gets of its
-rate. Mistakes name the file and the key."""
+"""Reads ``deploy/channel.toml``: whether this router uses the channel, and the guaranteed fraction of the
+rate for each kind of message. Errors name the file and the key."""
 
 from __future__ import annotations
 
@@ -17,65 +17,70 @@
 
 @dataclass(frozen=True)
 class ChannelConfig:
-    """What a router needs to talk over the channel."""
+    """Settings of the channel of a router."""
 
-    key: bytes  # empty: messages are told by their source address alone
-    old_key: bytes  # accepted too, while keys change
-    rate: float  # bytes in any second, of all kinds together
-    parts: Mapping[str, float]  # of the rate, what each kind surely gets, by its name in lower case
-    status: bool  # whether a command on this machine is answered
-    keys_of: str  # the file whose keys these are; empty: there are none
+    key: bytes  # empty: senders are identified by their source address only
+    old_key: bytes  # also accepted, during a change of keys
+    rate: float  # bytes in any second, for all kinds together
+    parts: Mapping[str, float]  # guaranteed fraction of the rate by kind, named in lower case
+    status: bool  # whether status requests from this host are answered
+    keys_of: str  # name of the file that names the keys; empty: there are no keys
 
-    def within(self, view: MembershipConfig) -> MembershipConfig:
-        """The view's settings with no more than its part of the rate and what is in none."""
-        rate = min(view.timing.rate, int(self.rate * (1 - sum(self.parts.values()) + self.parts["view"])))
-        return replace(view, timing=replace(view.timing, rate=rate))
+    def within(self, membership: MembershipConfig) -> MembershipConfig:
+        """Membership settings whose rate is at most the fraction of membership messages plus the rate without
+        a guarantee."""
+        rate = min(
+            membership.timing.rate, int(self.rate * (1 - sum(self.parts.values()) + self.parts["view"]))
+        )
+        return replace(membership, timing=replace(membership.timing, rate=rate))
 
 
 def load_channel(
-    config: Config, environment: Mapping[str, str], view: MembershipConfig | None = None
+    config: Config, environment: Mapping[str, str], membership: MembershipConfig | None = None
 ) -> ChannelConfig | None:
-    """None if the file is absent or says ``enabled = false``. The keys of ``view`` seal the channel too where
-    channel.toml names none: a fleet that keeps strangers out of its view keeps them out of all. Raises
-    ``ConfigError``."""
+    """The settings, or None if the file is absent or has ``enabled = false``. Raises ``ConfigError``.
+
+    If channel.toml names no keys, the channel signs with the keys of ``membership``: a fleet that
+    authenticates its membership messages authenticates all messages between routers.
+    """
     path = Path(environment.get("SLIPBAY_CHANNEL") or CHANNEL_FILE)
     if (data := switched_on(path)) is None:
         return None
     need_msgspec(path.name)
     from slipbay.peer_channel.config_schema import ChannelFile
 
-    form = convert(data, ChannelFile, path.name)
+    table = convert(data, ChannelFile, path.name)
     try:
         check_peers(config)
     except ConfigError as problem:
         raise ConfigError(f"{path.name}: {problem}") from None
-    parts = {name: getattr(form.parts, name) for name in form.parts.__struct_fields__}
-    most = 1 - MOST_BYTES / form.rate
-    if sum(parts.values()) > most:
+    parts = {name: getattr(table.parts, name) for name in table.parts.__struct_fields__}
+    max_sum = 1 - MOST_BYTES / table.rate
+    if sum(parts.values()) > max_sum:
         raise ConfigError(
-            f"{path.name}: parts: want at most {most:.3f} together, so that the longest "
+            f"{path.name}: parts: want at most {max_sum:.3f} together, so that the longest "
             f"message always finds room; got {sum(parts.values()):g}"
         )
-    if form.old_key_file is not None and form.key_file is None:
+    if table.old_key_file is not None and table.key_file is None:
         raise ConfigError(f"{path.name}: old_key_file: want key_file too")
-    if form.key_file is None:
-        keys = (view.key, view.old_key) if view is not None else (b"", b"")
-        return ChannelConfig(*keys, form.rate, parts, form.status, "fleet.toml" if keys[0] else "")
-    key = read_key(path.parent / form.key_file, f"{path.name}: key_file")
+    if table.key_file is None:
+        keys = (membership.key, membership.old_key) if membership is not None else (b"", b"")
+        return ChannelConfig(*keys, table.rate, parts, table.status, "fleet.toml" if keys[0] else "")
+    key = read_key(path.parent / table.key_file, f"{path.name}: key_file")
     old = (
-        read_key(path.parent / form.old_key_file, f"{path.name}: old_key_file")
-        if form.old_key_file is not None
+        read_key(path.parent / table.old_key_file, f"{path.name}: old_key_file")
+        if table.old_key_file is not None
         else b""
     )
-    return ChannelConfig(key, old, form.rate, parts, form.status, path.name)
+    return ChannelConfig(key, old, table.rate, parts, table.status, path.name)
 
 
 def need_channel(channel: ChannelConfig | None, file: str) -> ChannelConfig:
-    """For a part that is on. ``file``: the one that switched it on. Raises ``ConfigError`` where the channel
-    is off."""
+    """The channel, for a feature that needs it. ``file``: the file that enables the feature. Raises
+    ``ConfigError`` if the channel is off."""
     if channel is None:
         raise ConfigError(
-            f"{file}: enabled: this part talks over the channel, which is off; set enabled = "
+            f"{file}: enabled: this feature uses the channel, which is off; set enabled = "
             "true in channel.toml"
         )
     return channel
--- a/slipbay/peer_channel/status_pages.py
+++ b/slipbay/peer_channel/status_pages.py
@@ -1,8 +1,8 @@
-"""Pages of text that a running router gives to commands on its own machine, in datagrams of the peers'
-address: no further listener is opened for them.
+"""Status requests from commands on the same host, answered over the peer socket: they need no other listener.
 
-A question is a head of the view or of the channel with what is asked for; pages follow with their number, how
-many there are, and text. They are neither sealed nor counted: they leave no machine.
+A request is the header of a membership message or a channel frame, followed by the topic. The reply is a
+number of pages, each with its number, the count of pages, and text. Requests and pages have no checksum and
+do not count in the byte budget: they never leave the host.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
 PAGE_HEAD_BYTES = 7
 MOST_PAGES = 255
 QUESTION_BYTES = 6
-PAGE = 7  # the view's kind for one
-STATUS = 126  # the channel's kind for a question; a topic follows
+PAGE = 7  # the kind of a page, a membership message type
+STATUS = 126  # the frame kind of a status request; the topic follows
 
 
 class NoAnswerError(SlipbayError):
-    """Nobody answered whole and in time."""
+    """No router sent a complete reply in time."""
 
 
 def question(topic: int) -> bytes:
-    """For what a part of the channel says of itself: its kind, or 0 for the channel."""
+    """The request for a status. ``topic``: kind of the endpoint, or 0 for the channel."""
     return MAGIC + bytes([VERSION, FLAG | STATUS, topic])
 
 
 def topic(data: bytes) -> int | None:
-    """What a datagram asks for; None where it asks for nothing."""
+    """The topic that a datagram requests; None if it is not a status request."""
     return data[5] if len(data) == QUESTION_BYTES and data[:5] == question(0)[:5] else None
 
 
 def pages(status: dict[str, object]) -> list[bytes]:
-    """A status in datagrams: kind, number of the page, of all pages, text."""
+    """The datagrams of a status. Each has the kind, the number of the page, the count of pages, and text."""
     text = json.dumps(status).encode()
     parts = [text[at : at + PAGE_BYTES] for at in range(0, len(text), PAGE_BYTES)][:MOST_PAGES]
     return [
@@ -47,24 +47,28 @@
     ]
 
 
-def ask(target: Address, asked: bytes, seconds: float = 1.0) -> dict[str, Any]:
-    """What the router with that peers' address answers. Raises ``NoAnswerError`` and ``OSError``."""
-    found: dict[int, bytes] = {}
-    end = time.monotonic() + seconds
+def ask(target: Address, request: bytes, seconds: float = 1.0) -> dict[str, Any]:
+    """Request the status of the router with that peer address. Raises ``NoAnswerError`` and ``OSError``."""
+    received_pages: dict[int, bytes] = {}
+    deadline = time.monotonic() + seconds
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", 0))
         sock.connect(target)
-        sock.send(asked)
-        while (left := end - time.monotonic()) > 0:
-            sock.settimeout(left)
+        sock.send(request)
+        while (remaining_s := deadline - time.monotonic()) > 0:
+            sock.settimeout(remaining_s)
             try:
                 data = sock.recv(MOST_BYTES)
             except (TimeoutError, ConnectionRefusedError):
                 break
             if len(data) < PAGE_HEAD_BYTES or not is_ours(data) or data[4] & ~FLAG != PAGE:
                 continue
-            found[data[5]] = data[PAGE_HEAD_BYTES:]
-            if len(found) == data[6]:
-                status: dict[str, Any] = json.loads(b"".join(found[number] for number in sorted(found)))
+            received_pages[data[5]] = data[PAGE_HEAD_BYTES:]
+            if len(received_pages) == data[6]:
+                status: dict[str, Any] = json.loads(
+                    b"".join(received_pages[number] for number in sorted(received_pages))
+                )
                 return status
-    raise NoAnswerError(f"{target[0]}:{target[1]}: no answer; is the part on there, with status = true?")
+    raise NoAnswerError(
+        f"{target[0]}:{target[1]}: no answer; is the feature enabled there, with status = true?"
+    )
--- a/slipbay/peer_channel/udp_link.py
+++ b/slipbay/peer_channel/udp_link.py
@@ -1,4 +1,4 @@
-"""The channel of a running router, on the peers' socket and the router's timers."""
+"""Connects the channel of a running router to the peer socket and to the router's timers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class UdpLink:
-    """Takes the channel's datagrams before the view does, and leaves all others to it."""
+    """Processes the frames of the channel and passes all other datagrams on to membership."""
 
     def __init__(self, mux: Multiplexer, peers: PeerSocket, timers: Timers, now: Callable[[], int]) -> None:
         self.mux = mux
@@ -23,24 +23,25 @@
         self._now = now
         self._timer: Timer | None = None
         self.topics: dict[int, Callable[[], dict[str, object]]] = {}
-        """What commands on this machine may ask for: 0, or a part's kind, and what tells its status."""
-        self._others = peers.fleet
+        """Status functions for commands on this host, by topic: 0 or the kind of an endpoint."""
+        self._next_handler = peers.fleet
         peers.fleet = self._received
 
     def start(self) -> None:
-        """Call it once, when all parties are added and the socket is open."""
+        """Start the timer. Called once, after all endpoints are added and the socket is open."""
         self._tick()
 
     def send(self, kind: int, sends: list[Send]) -> None:
-        """What a party wants to send now, outside of its ticks."""
+        """Send messages of an endpoint outside of its ``receive`` and ``tick``."""
         self._send(self.mux.own(self._now(), kind, sends))
         self._arm()
 
     def send_gossip(self, body: bytes, to: int | None) -> None:
-        """A message of the decisions, to a number or to all; in place of ``Peers.send``."""
-        found = self.mux.told(self._now(), body)
-        if found is not None:
-            self._peers.send(found, to)
+        """Send a gossip message of the routing policy to a router by its number, or to all (None); used in
+        place of ``PeerSocket.send``."""
+        message = self.mux.told(self._now(), body)
+        if message is not None:
+            self._peers.send(message, to)
 
     def _tick(self) -> None:
         self._send(self.mux.tick(self._now()))
@@ -54,19 +55,20 @@
 
     def _received(self, number: int | None, data: bytes, address: Address) -> bool:
         if not is_framed(data):
-            return self._others(number, data, address)
-        if number is None and self._asked(data, address):
+            return self._next_handler(number, data, address)
+        if number is None and self._reply_to_status_request(data, address):
             return True
         self._send(self.mux.receive(self._now(), data, number))
         self._arm()
         return True
 
-    def _asked(self, data: bytes, address: Address) -> bool:
-        """Whether it was a question from this machine, which is answered where its topic is known."""
-        asked = topic(data)
-        if asked is None or asked not in self.topics or not address[0].startswith("127."):
+    def _reply_to_status_request(self, data: bytes, address: Address) -> bool:
+        """Reply to a status request from this host; returns whether the datagram was one with a known
+        topic."""
+        requested = topic(data)
+        if requested is None or requested not in self.topics or not address[0].startswith("127."):
             return False
-        for page in pages(self.topics[asked]()):
+        for page in pages(self.topics[requested]()):
             self._peers.answer(page, address)
         return True
 
--- a/slipbay/peers/__init__.py
+++ b/slipbay/peers/__init__.py
@@ -1,1 +1,1 @@
-"""The UDP socket that a router shares with its peers."""
+"""The UDP socket on which a router exchanges messages with its peers."""
--- a/slipbay/peers/udp.py
+++ b/slipbay/peers/udp.py
@@ -1,4 +1,4 @@
-"""Short messages between routers of a tier, over UDP."""
+"""The UDP socket for messages between the routers of a fleet."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class PeerSocket(asyncio.DatagramProtocol):
-    """Messages arrive late or never; who sent one shows in its source address."""
+    """Sends and receives datagrams; any may be lost or late. The source address identifies the sender."""
 
-    def __init__(self, config: Config, told: Callable[[int, bytes], None]) -> None:
+    def __init__(self, config: Config, on_gossip: Callable[[int, bytes], None]) -> None:
         self._config = config
-        self._told = told
+        self._on_gossip = on_gossip
         self._numbers = {peer: number for number, peer in enumerate(config.peers)}
         self._transport: asyncio.DatagramTransport | None = None
         self.fleet: Callable[[int | None, bytes, Address], bool] = lambda _number, _data, _address: False
 
     async def start(self) -> None:
-        """Open the socket, where the configuration has peers and lets them talk.
+        """Open the socket if the configuration has a peer address and allows gossip.
 
         Raises:
             OSError: if the address can't be bound.
@@ -35,23 +35,24 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by asyncio once the socket is bound."""
-        self._transport = cast(asyncio.DatagramTransport, transport)  # asyncio's own is no subclass of it
+        # the transport classes of asyncio are not subclasses of DatagramTransport
+        self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Called by asyncio with a datagram and the address that it came from."""
+        """Called by asyncio with a datagram and its source address."""
         number = self._numbers.get((addr[0], addr[1]))
         if self.fleet(number, data, addr):
-            return  # it was about the fleet
+            return  # it was a message of the channel or of membership
         if number is None:
-            log("peers", "a message from an address that no peer has")
+            log("peers", "datagram from an address that is not in the list of peers")
         elif number != self._config.settings.router_number and len(data) <= MOST_BYTES:
-            self._told(number, data)
+            self._on_gossip(number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Called by asyncio where a peer refused; messages may be lost anyway."""
+        """Called by asyncio if a peer is unreachable; no action, as any message may be lost."""
 
     def send(self, body: bytes, to: int | None) -> None:
-        """Send a message to a router by its number, or to all (None)."""
+        """Send a datagram to a router by its number, or to all (None)."""
         target = (
             self._config.peers_all
             if to is None
@@ -61,12 +62,12 @@
             self.answer(body, target)
 
     def answer(self, body: bytes, address: Address) -> None:
-        """Send a datagram to an address; longer ones than a message may be are dropped."""
+        """Send a datagram to an address; one of more than ``MOST_BYTES`` is dropped."""
         if self._transport is not None and len(body) <= MOST_BYTES:
             self._transport.sendto(body, address)
 
     def close(self) -> None:
-        """Timers of others may still fire once more: what they send then is dropped."""
+        """Close the socket. Datagrams that timers of other modules still send are dropped."""
         if self._transport is not None:
             self._transport.close()
             self._transport = None
