--- a/slipbay/membership/__init__.py
+++ b/slipbay/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of the fleet, kept by the routers themselves: SWIM with Lifeguard (docs/fleet-view.md)."""
+"""Decentralized membership of the fleet: the SWIM protocol with Lifeguard (docs/fleet-view.md)."""
--- a/slipbay/membership/codec.py
+++ b/slipbay/membership/codec.py
@@ -1,12 +1,13 @@
-"""Datagrams between routers about membership: at most 256 bytes, told from the decisions' own by byte 4.
-
-Little-endian. The head: 3 bytes ``slb``, version (2), kind with its top bit set, build, zone, sender's
-number (u16), start id (u16), token (u16), incarnation (u32), digest of its table (u32). Then what the kind
-carries, then updates in groups of one state and incarnation: a tag (state in two bits, 4 for a bitmap), the
-incarnation (LEB128), and either how many (u8) and the steps from number to number (LEB128; for suspects each
-with the accuser, u16), or the number of the first byte (LEB128), how many bytes (u8), and a bit for each
-number. With a key, 8 bytes of BLAKE2s over all before them follow, else 4 of CRC-32. The decisions'
-messages have 0 or 1 in byte 4.
+"""Encoding of membership messages: datagrams of at most 256 bytes.
+
+Integers are little-endian. The header is: 3 bytes ``slb``, version (2), kind with its top bit set, build,
+zone, number of the sender (u16), start id (u16), token (u16), incarnation (u32), digest of its table (u32).
+The fields of the kind follow, then updates in groups with the same state and incarnation. A group is: a tag
+(state in two bits, 4 for a bitmap), the incarnation (LEB128), and either a list or a bitmap. A list is the
+count (u8) and the difference of each number from the one before (LEB128; for suspects each followed by the
+accuser, u16). A bitmap is the index of its first byte (LEB128), the count of bytes (u8), and one bit for each
+number. The checksum ends the datagram: with a key 8 bytes of keyed BLAKE2s over all bytes before it, without
+a key 4 bytes of CRC-32. Gossip messages of the routing policy differ: they have 0 or 1 in byte 4.
 """
 
 from __future__ import annotations
@@ -33,14 +34,14 @@
 
 HEAD = Struct("<3sBBBBHHHII")
 NUMBER = Struct("<H")
-MOST_ZONES = 64
+MAX_ZONES = 64
 BITMAP = 4  # flag in the tag of a group of updates
-PADDING = 0xFF  # as a tag: no more groups follow
-MOST_COUNT = 255  # that one byte tells: bytes of a bitmap
+PADDING = 0xFF  # tag after the last group
+MAX_COUNT = 255  # largest value of a byte: bytes of a bitmap
 
 
 class MemberState(IntEnum):
-    """What is held of a router. At one incarnation a higher state outweighs a lower one."""
+    """State of a router. Of two states at the same incarnation the higher one takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -49,14 +50,14 @@
 
 
 class MessageType(IntEnum):
-    """What a message is for."""
+    """Type of a message."""
 
-    PING = 1  # wants an ACK
+    PING = 1  # requests an ACK
     ACK = 2
-    PING_REQUEST = 3  # wants the receiver to ping a third router, whose number follows
-    UPDATES = 4  # wants nothing
-    TABLE_HASHES = 5  # hashes of the sender's buckets follow; wants UPDATES of those that differ
-    STATUS = 6  # from a command on this machine; answered with a page of text
+    PING_REQUEST = 3  # requests that the receiver pings a third router, whose number follows
+    UPDATES = 4  # requests no reply
+    TABLE_HASHES = 5  # hashes of the sender's buckets follow; requests UPDATES of those that differ
+    STATUS = 6  # status request of a command on this host; answered with PAGE messages
     PAGE = 7
 
 
@@ -65,7 +66,8 @@
 
 
 class Update(NamedTuple):
-    """A claim about a router. Of claims about one number the greatest by incarnation, then state, holds."""
+    """An update about a router. Of all updates about a number, the greatest by incarnation, then state, is
+    valid."""
 
     number: int
     state: MemberState
@@ -74,7 +76,8 @@
 
 
 class Message(NamedTuple):
-    """A datagram. ``start_id`` is new with each start of the sender, ``digest`` is of its table."""
+    """A membership message. ``start_id``: a number that is new with each start of the sender. ``digest``: of
+    its set of live members."""
 
     kind: MessageType
     sender: int
@@ -85,30 +88,32 @@
     build: int = 0
     zone: int = 0
     target: int = 0  # of a PING_REQUEST
-    hashes: tuple[int, ...] = ()  # of TABLE_HASHES, of 16 bits, salted with its token
+    hashes: tuple[int, ...] = ()  # of TABLE_HASHES: 16 bits each, salted with the token
     updates: tuple[Update, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class MessageKeys:
-    """The key that signs, and the one before, which is accepted too while keys change. Empty: none."""
+    """The key that signs messages, and the previous one, also accepted during a change of keys. Empty: no
+    key."""
 
     current: bytes = b""
     previous: bytes = b""
 
     @property
     def accepted(self) -> tuple[bytes, ...]:
-        """Keys of which any may have signed; none: messages are not signed."""
+        """Keys of which any may have signed a message; empty if messages are not signed."""
         return tuple(key for key in (self.current, self.previous) if key)
 
 
-def bare(fixed: int, keyed: bool) -> int:
-    """Bytes of a message without updates, of which ``fixed`` are its kind's own."""
+def base_bytes(fixed: int, keyed: bool) -> int:
+    """Length of a message without updates. ``fixed``: bytes of the fields of its kind."""
     return 1 + HEAD.size + fixed + (DIGEST_BYTES if keyed else SUM_BYTES)
 
 
 class _GroupSize(NamedTuple):
-    """Bounds of a group of updates: least and greatest number, bytes as a list, bytes as it is encoded."""
+    """Size of a group of updates: smallest and greatest number, bytes as a list, bytes of the chosen
+    encoding."""
 
     low: int
     high: int
@@ -116,9 +121,9 @@
     encoded: int
 
 
-def fit(updates: Iterable[Update], space: int) -> tuple[list[Update], int]:
-    """As many of the first updates as surely take no more than ``space`` bytes, and how many they may
-    take."""
+def fit_updates(updates: Iterable[Update], space: int) -> tuple[list[Update], int]:
+    """The longest prefix of ``updates`` that takes at most ``space`` bytes in any case, and an upper bound of
+    its bytes."""
     taken: list[Update] = []
     groups: dict[tuple[MemberState, int], _GroupSize] = {}
     used = 0
@@ -133,7 +138,7 @@
         if state is MemberState.SUSPECT:
             listed += NUMBER.size
             content = listed
-        elif (high >> 3) - (low >> 3) < MOST_COUNT:
+        elif (high >> 3) - (low >> 3) < MAX_COUNT:
             content = min(listed, varint_bytes(low >> 3) + (high >> 3) - (low >> 3) + 1)
         after = 2 + varint_bytes(incarnation) + content
         if used + after - before > space:
@@ -145,7 +150,7 @@
 
 
 def encode(message: Message, key: bytes = b"") -> bytes:
-    """The datagram, signed if there is a key."""
+    """The datagram of a message, signed if there is a key."""
     data = HEAD.pack(
         MAGIC,
         VERSION,
@@ -163,53 +168,53 @@
     elif message.kind is MessageType.TABLE_HASHES:
         data += bytes([len(message.hashes)]) + b"".join(map(NUMBER.pack, message.hashes))
     if message.updates:
-        data += b"".join(_groups(message.updates))
+        data += b"".join(_encode_groups(message.updates))
     if (len(data) + (DIGEST_BYTES if key else SUM_BYTES) - 5) % 3 == 0:
-        data += bytes([PADDING])  # the length of no message of the decisions: earlier releases skip it
+        data += bytes([PADDING])  # avoids the lengths of policy gossip; earlier releases skip it
     return data + seal(data, key)
 
 
 def decode(data: bytes, keys: Sequence[bytes] = ()) -> Message | None:
-    """The message; ``None`` for one of another version or a later kind, which is skipped.
+    """The message; ``None`` if it has another version or an unknown kind.
 
-    ``keys``: any may have signed. Raises ``CorruptFrameError``.
+    ``keys``: any of them may have signed it. Raises ``CorruptFrameError``.
     """
     if not is_ours(data) or len(data) > MOST_BYTES:
-        raise CorruptFrameError("not a message about membership")
+        raise CorruptFrameError("not a membership message")
     data = unseal(data, keys)
     if data[3] != VERSION or data[4] & ~FLAG not in KINDS:
         return None
     try:
-        return _decode_whole(data)
+        return _decode_message(data)
     except (error, IndexError):
-        raise CorruptFrameError("it is cut off") from None
+        raise CorruptFrameError("the message is truncated") from None
 
 
-def _decode_whole(data: bytes) -> Message:
+def _decode_message(data: bytes) -> Message:
     _, _, number, build, zone, sender, start_id, token, incarnation, digest = HEAD.unpack_from(data)
     kind = KINDS[number & ~FLAG]
-    at = HEAD.size
+    offset = HEAD.size
     target = 0
     hashes: tuple[int, ...] = ()
     if kind is MessageType.PING_REQUEST:
-        (target,) = NUMBER.unpack_from(data, at)
-        at += NUMBER.size
+        (target,) = NUMBER.unpack_from(data, offset)
+        offset += NUMBER.size
     elif kind is MessageType.TABLE_HASHES:
-        hashes, at = _decode_hashes(data, at)
-    updates = tuple(_decode_updates(data, at)) if at < len(data) else ()
+        hashes, offset = _decode_hashes(data, offset)
+    updates = tuple(_decode_updates(data, offset)) if offset < len(data) else ()
     return Message(kind, sender, incarnation, start_id, digest, token, build, zone, target, hashes, updates)
 
 
-def _decode_hashes(data: bytes, at: int) -> tuple[tuple[int, ...], int]:
-    count = data[at]
-    end = at + 1 + NUMBER.size * count
-    hashes = tuple(value for (value,) in NUMBER.iter_unpack(data[at + 1 : end]))
+def _decode_hashes(data: bytes, offset: int) -> tuple[tuple[int, ...], int]:
+    count = data[offset]
+    end = offset + 1 + NUMBER.size * count
+    hashes = tuple(value for (value,) in NUMBER.iter_unpack(data[offset + 1 : end]))
     if len(hashes) != count:
         raise CorruptFrameError("hashes are missing")
     return hashes, end
 
 
-def _groups(updates: Iterable[Update]) -> Iterator[bytes]:
+def _encode_groups(updates: Iterable[Update]) -> Iterator[bytes]:
     by_group: dict[tuple[MemberState, int], list[Update]] = {}
     for update in updates:
         by_group.setdefault((update.state, update.incarnation), []).append(update)
@@ -219,7 +224,7 @@
         first = members[0].number >> 3
         span = (members[-1].number >> 3) - first + 1
         start = encode_varint(first)
-        if state is MemberState.SUSPECT or span > MOST_COUNT or len(listed) <= len(start) + span:
+        if state is MemberState.SUSPECT or span > MAX_COUNT or len(listed) <= len(start) + span:
             yield bytes([state]) + encode_varint(incarnation) + bytes([len(members)]) + listed
         else:
             bits = sum(1 << update.number - 8 * first for update in members)
@@ -238,36 +243,36 @@
     return b"".join(parts)
 
 
-def _decode_updates(data: bytes, at: int) -> Iterator[Update]:
-    while at < len(data) and data[at] < 2 * BITMAP:
-        tag = data[at]
+def _decode_updates(data: bytes, offset: int) -> Iterator[Update]:
+    while offset < len(data) and data[offset] < 2 * BITMAP:
+        tag = data[offset]
         state = STATES[tag % BITMAP]
-        incarnation, at = decode_varint(data, at + 1)
+        incarnation, offset = decode_varint(data, offset + 1)
         if tag >= BITMAP:
-            numbers, at = _decode_bitmap(data, at)
+            numbers, offset = _decode_bitmap(data, offset)
             for number in numbers:
                 yield Update(number, state, incarnation)
             continue
-        count = data[at]
-        at += 1
+        count = data[offset]
+        offset += 1
         number = 0
         for _ in range(count):
-            step, at = decode_varint(data, at)
+            step, offset = decode_varint(data, offset)
             number += step
             accuser = 0
             if state is MemberState.SUSPECT:
-                (accuser,) = NUMBER.unpack_from(data, at)
-                at += NUMBER.size
+                (accuser,) = NUMBER.unpack_from(data, offset)
+                offset += NUMBER.size
             yield Update(number, state, incarnation, accuser)
 
 
-def _decode_bitmap(data: bytes, at: int) -> tuple[list[int], int]:
-    first, at = decode_varint(data, at)
-    span = data[at]
-    end = at + 1 + span
+def _decode_bitmap(data: bytes, offset: int) -> tuple[list[int], int]:
+    first, offset = decode_varint(data, offset)
+    span = data[offset]
+    end = offset + 1 + span
     if len(data) < end:
-        raise CorruptFrameError("a bitmap is cut off")
-    bits = int.from_bytes(data[at + 1 : end], "little")
+        raise CorruptFrameError("a bitmap is truncated")
+    bits = int.from_bytes(data[offset + 1 : end], "little")
     numbers = []
     number = 8 * first
     while bits:
--- a/slipbay/membership/config_schema.py
+++ b/slipbay/membership/config_schema.py
@@ -1,4 +1,4 @@
-"""The form of ``deploy/fleet.toml``. Loaded only where membership is on."""
+"""Schema of ``deploy/fleet.toml``. Imported only if membership is enabled."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class MembershipFile(Struct, forbid_unknown_fields=True, frozen=True):
-    """The keys of the file, with the values that hold where it has none."""
+    """The keys of the file and their defaults."""
 
     build: Annotated[int, Meta(ge=0, le=255)] = 0
     key_file: str | None = None
@@ -26,7 +26,7 @@
 IN_MS = {
     item.name: f"{item.name.removesuffix('_us')}_ms" for item in fields(Timing) if item.name.endswith("_us")
 }
-"""Keys by fields of ``Timing`` that the file has in ms."""
+"""Key in the file for each field of ``Timing`` that the file has in ms."""
 TimingTable = defstruct(
     "TimingTable",
     [(IN_MS.get(item.name, item.name), Annotated[float, Meta(ge=1)] | None, None) for item in fields(Timing)],
@@ -36,7 +36,7 @@
 
 
 def timing(table: Struct) -> Timing:
-    """The timing that a ``TimingTable`` gives; keys that it leaves out have their defaults."""
+    """The timing of a ``TimingTable``; missing keys have their defaults."""
     chosen: dict[str, Any] = {}
     for item in fields(Timing):
         value = getattr(table, IN_MS.get(item.name, item.name))
--- a/slipbay/membership/contacts.py
+++ b/slipbay/membership/contacts.py
@@ -1,4 +1,4 @@
-"""Members that were heard of late, from whom receivers of gossip and indirect probes are drawn."""
+"""Members that sent a message recently; receivers of gossip and of ping requests are drawn from them."""
 
 from __future__ import annotations
 
@@ -11,24 +11,27 @@
 
 
 class RecentContacts:
-    """Who sent us a message within the last 2 s, oldest first."""
+    """Members from which a message was received within the last 2 s, oldest first."""
 
     def __init__(self, table: MemberTable, random: Random) -> None:
         self._table = table
         self._random = random
-        self._heard_us: dict[int, int] = {}
+        self._last_message_us: dict[int, int] = {}
 
-    def heard(self, now_us: int, number: int) -> None:
-        """A message of that router came."""
-        self._heard_us.pop(number, None)
-        self._heard_us[number] = now_us
+    def record_message(self, now_us: int, number: int) -> None:
+        """Record a message from a router."""
+        self._last_message_us.pop(number, None)
+        self._last_message_us[number] = now_us
 
     def sample(self, now_us: int, count: int) -> list[int]:
-        """Some of those heard of late, as of the others many may be dead; of all if those are too few."""
-        heard = self._heard_us
-        while heard and now_us - next(iter(heard.values())) > RECENT_US:
-            del heard[next(iter(heard))]
+        """Up to ``count`` random members of the recent contacts, because many of the others may be dead; of
+        all members alive if there are too few recent contacts."""
+        recent = self._last_message_us
+        while recent and now_us - next(iter(recent.values())) > RECENT_US:
+            del recent[next(iter(recent))]
         table = self._table
-        known = [number for number in heard if number not in table.dead and number not in table.suspects]
-        drawn = known if len(known) >= count else table.alive
-        return self._random.sample(drawn, min(count, len(drawn)))
+        candidates = [
+            number for number in recent if number not in table.dead and number not in table.suspects
+        ]
+        population = candidates if len(candidates) >= count else table.alive
+        return self._random.sample(population, min(count, len(population)))
--- a/slipbay/membership/dissemination.py
+++ b/slipbay/membership/dissemination.py
@@ -1,7 +1,7 @@
-"""The queue of membership updates that are still to be gossiped.
+"""Queue of membership updates that are sent by gossip.
 
-Source: Das, Gupta, Motivala: SWIM (DSN 2002), infection-style dissemination: each router passes an update on
-a number of times that grows with the logarithm of the fleet, those sent least often first.
+Source: Das, Gupta, Motivala: SWIM (DSN 2002), infection-style dissemination: each router sends an update a
+number of times that grows with the logarithm of the fleet, and first those updates that it sent least often.
 """
 
 from __future__ import annotations
@@ -9,23 +9,24 @@
 from collections.abc import Iterable
 from math import ceil, log
 
-from slipbay.membership.codec import MemberState, Update, fit
+from slipbay.membership.codec import MemberState, Update, fit_updates
 from slipbay.membership.member_table import MemberTable
 
-SUSPICION_RETRANSMISSIONS = 3  # the suspect and its witnesses must hear of it, all others of how it ends
-BASE_RETRANSMISSIONS = 3  # of all other updates, before the logarithm of the fleet is added
-PAUSE_ROUNDS = 4  # rounds of gossip that tables which found no room are given
+SUSPICION_RETRANSMISSIONS = 3  # the suspect and its witnesses need a suspicion; the others need its outcome
+BASE_RETRANSMISSIONS = 3  # of all other updates, plus the logarithm of the fleet
+PAUSE_ROUNDS = 4  # gossip rounds for which updates wait while table hashes need the budget
 
 
 def retransmissions(others_alive: int) -> int:
-    """How often each router passes an update on."""
+    """How often each router sends an update."""
     return BASE_RETRANSMISSIONS + ceil(log(others_alive + 2, 2))
 
 
 class UpdateQueue:
-    """Numbers whose updates are being gossiped, and when the next round of gossip is due.
+    """Numbers whose updates are sent by gossip, and the time of the next gossip round.
 
-    ``pending``: how often the update of each number was sent. ``due_us``: of the next round, if there is any.
+    ``pending``: how often the update of each number was sent. ``due_us``: time of the next round, if any
+    update is pending.
     """
 
     def __init__(self, gossip_us: int, now_us: int) -> None:
@@ -35,39 +36,44 @@
         self._paused_until_us = now_us
 
     def add(self, number: int) -> None:
-        """What is held of a number has changed, or was contradicted: it is to be sent as often as all."""
+        """Queue the update of a number that changed or was contradicted, to be sent as often as usual."""
         self.pending[number] = 0
 
-    def add_briefly(self, number: int, others_alive: int) -> None:
-        """As ``add``, for an update that others spread too: it is sent as often as a suspicion."""
+    def add_reduced(self, number: int, others_alive: int) -> None:
+        """Queue an update that other routers also spread: it is sent only as often as a suspicion."""
         self.pending[number] = max(0, retransmissions(others_alive) - SUSPICION_RETRANSMISSIONS)
 
     def discard(self, number: int) -> None:
-        """A number is forgotten."""
+        """Remove a number from the queue."""
         self.pending.pop(number, None)
 
     def select(self, table: MemberTable, space: float) -> tuple[list[Update], int]:
-        """Updates that fit into ``space`` bytes, and how many bytes they may take: the least sent first,
-        neighbours together as they take fewer bytes, from our own number on; suspicions last."""
+        """Updates that fit into ``space`` bytes, and an upper bound of their bytes.
+
+        The order is: suspicions last; then the updates sent least often first; then by number, starting after
+        the local number, as adjacent numbers take fewer bytes.
+        """
 
         def rank(number: int) -> tuple[bool, int, int]:
-            return number in table.suspects, self.pending[number], (number - table.me) % table.size
+            return number in table.suspects, self.pending[number], (number - table.local_number) % table.size
 
         order = sorted(self.pending, key=rank)
-        return fit((table.members[number].update for number in order if number in table.members), int(space))
+        return fit_updates(
+            (table.members[number].update for number in order if number in table.members), int(space)
+        )
 
-    def sent(self, updates: Iterable[Update], others_alive: int) -> None:
-        """Count updates that were sent; those that were sent often enough leave the queue."""
-        most = retransmissions(others_alive)
+    def record_sent(self, updates: Iterable[Update], others_alive: int) -> None:
+        """Count updates that were sent; those that were sent often enough are removed from the queue."""
+        limit = retransmissions(others_alive)
         for update in updates:
             count = self.pending.get(update.number, 0) + 1
-            if count >= (SUSPICION_RETRANSMISSIONS if update.state is MemberState.SUSPECT else most):
+            if count >= (SUSPICION_RETRANSMISSIONS if update.state is MemberState.SUSPECT else limit):
                 self.pending.pop(update.number, None)
             else:
                 self.pending[update.number] = count
 
-    def begin_round(self, now_us: int) -> None:
-        """A round of gossip begins now."""
+    def start_round(self, now_us: int) -> None:
+        """Start a gossip round."""
         self.due_us = max(now_us + self._gossip_us, self._paused_until_us)
 
     def may_send(self, now_us: int) -> bool:
@@ -75,7 +81,7 @@
         return now_us >= self._paused_until_us
 
     def pause(self, now_us: int) -> None:
-        """Updates left no room for a table; they wait once, until it had time to go out."""
+        """Pause the queue for some rounds, unless it is paused: updates left no budget for table hashes."""
         if self.may_send(now_us):
             self._paused_until_us = now_us + PAUSE_ROUNDS * self._gossip_us
             self.due_us = max(self.due_us, self._paused_until_us)
--- a/slipbay/membership/environment.py
+++ b/slipbay/membership/environment.py
@@ -1,4 +1,4 @@
-"""What all parts of the membership protocol are given when they are made."""
+"""Dependencies shared by the classes of the membership protocol."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """Settings, the only source of randomness, counters by event for operators, and the start in us."""
+    """Settings, the only random source, counters by event for operators, and the start time in us."""
 
     timing: Timing
     random: Random
--- a/slipbay/membership/fair_share.py
+++ b/slipbay/membership/fair_share.py
@@ -1,34 +1,36 @@
-"""How many routers share the fleet's limits: the living, but a share shrinks at once and grows late."""
+"""Number of routers that share the limits of the fleet: a share shrinks at once and grows after a delay."""
 
 from __future__ import annotations
 
 from collections import deque
 
-LEAST_HOLD_US = 1_000_000  # updates take some tenths of a second
+MIN_HOLD_US = 1_000_000  # longer than updates need to reach all routers: some tenths of a second
 
 
 class FairShare:
-    """The count by which a router divides what belongs to all.
+    """The count by which a router divides the limits that all routers share.
 
-    What routers hold differs for as long as updates take. A router that has seen others join divides by more
-    at once; one that has seen others go divides by fewer only ``hold_us`` later, when what those that are
-    gone had sent has left the window that limits count in, and when all living routers have seen it too. So
-    as long as tables agree within ``hold_us``, the shares of all living routers never add up to more than
-    the whole.
+    While updates spread, the tables of routers differ. A router that sees others join divides by more at
+    once. A router that sees others leave divides by fewer only ``hold_us`` later: by then the window over
+    which limits count no longer contains what the removed routers sent, and all running routers have seen
+    the change. So as long as tables agree within ``hold_us``, the shares of all running routers never add up
+    to more than the limit.
     """
 
     def __init__(self, configured: int, hold_us: int) -> None:
-        self._hold_us = max(hold_us, LEAST_HOLD_US)
+        self._hold_us = max(hold_us, MIN_HOLD_US)
         self._configured = configured
-        self._seen: deque[tuple[int, int]] = deque([(0, configured)])  # counts by time, falling
-
-    def count(self, now_us: int, living: int) -> int:
-        """The greatest number alive within ``hold_us``, at least one, at most the configured."""
-        living = max(1, min(living, self._configured))
-        while self._seen and self._seen[-1][1] < living:
-            self._seen.pop()
-        if not self._seen or self._seen[-1][1] > living:
-            self._seen.append((now_us, living))
-        while len(self._seen) > 1 and self._seen[1][0] <= now_us - self._hold_us:
-            self._seen.popleft()
-        return self._seen[0][1]
+        self._counts: deque[tuple[int, int]] = deque(
+            [(0, configured)]
+        )  # (time in us, count), counts descending
+
+    def count(self, now_us: int, live_count: int) -> int:
+        """The greatest number of live routers within ``hold_us``, between 1 and the configured number."""
+        live_count = max(1, min(live_count, self._configured))
+        while self._counts and self._counts[-1][1] < live_count:
+            self._counts.pop()
+        if not self._counts or self._counts[-1][1] > live_count:
+            self._counts.append((now_us, live_count))
+        while len(self._counts) > 1 and self._counts[1][0] <= now_us - self._hold_us:
+            self._counts.popleft()
+        return self._counts[0][1]
--- a/slipbay/membership/local_health.py
+++ b/slipbay/membership/local_health.py
@@ -1,4 +1,4 @@
-"""Whether this router itself is the slow or cut off one.
+"""Estimates whether this router itself is slow or disconnected.
 
 Source: Dadgar, Phillips, Currey: Lifeguard (2018), local health multiplier.
 """
@@ -9,56 +9,60 @@
 
 WORST_SCORE = 8
 STALL_PENALTY = 2
-DOUBTFUL_SCORE = 4  # from which on this router rather doubts itself
-KEPT_RESULTS = 8  # of our last probes
-LEAST_RESULTS = 4  # before their share of failures says anything
+UNHEALTHY_SCORE = 4  # minimum score at which this router is probably the faulty one
+KEPT_RESULTS = 8  # results of the last probes that are kept
+MIN_RESULTS = 4  # results needed before their failure rate is used
 KEPT_ACCUSATIONS = 16
-ACCUSED_US = 3 * SECOND  # within which two accusations count together
+ACCUSATION_WINDOW_US = 3 * SECOND  # within which more than one accusation is significant
 
 
 class LocalHealth:
-    """A score from 0, healthy, to 8: each failure of ours to hear adds, each success takes away."""
+    """A score from 0 (healthy) to 8. Missed answers, stalls and accusations raise it, answered probes lower
+    it."""
 
     def __init__(self, now_us: int) -> None:
         self.score = 0
-        self._heard_us = now_us  # when any message came last
-        self._results: list[bool] = []  # whether our last probes were answered
-        self._accused_us: list[int] = []  # when we were
+        self._last_message_us = now_us  # time of the last received message
+        self._results: list[bool] = []  # whether each of the last probes was answered
+        self._accusations_us: list[int] = []  # times of accusations by others
 
-    def heard(self, now_us: int) -> None:
-        """A message came."""
-        self._heard_us = now_us
+    def record_message(self, now_us: int) -> None:
+        """Record a received message."""
+        self._last_message_us = now_us
 
-    def stalled(self) -> None:
-        """This process was stopped, so that answers may have been missed."""
+    def record_stall(self) -> None:
+        """Record that this process was suspended, so that it may have missed answers."""
         self.score = min(self.score + STALL_PENALTY, WORST_SCORE)
 
     def probe_answered(self) -> None:
-        """A probe of ours was answered."""
+        """Record that a probe of this router was answered."""
         self._record(True)
         self.score = max(0, self.score - 1)
 
     def probe_unanswered(self, sent_us: int) -> None:
-        """A probe was not. That nothing at all came since speaks against us rather than the other."""
+        """Record a probe without an answer. If no message at all was received since it was sent, this router
+        is probably at fault rather than its target."""
         self._record(False)
-        if self._heard_us < sent_us:
+        if self._last_message_us < sent_us:
             self.score = min(WORST_SCORE, self.score + 1)
 
-    def accused(self, now_us: int) -> None:
-        """Others held us suspect or gone."""
-        self._accused_us = [*self._accused_us[-(KEPT_ACCUSATIONS - 1) :], now_us]
+    def record_accusation(self, now_us: int) -> None:
+        """Record that other routers held this one suspect or gone."""
+        self._accusations_us = [*self._accusations_us[-(KEPT_ACCUSATIONS - 1) :], now_us]
         self.score = min(WORST_SCORE, self.score + 1)
 
-    def odd_one_out(self, now_us: int) -> bool:
-        """Whether it is rather we who are cut off or starved than they: most of our probes are not answered,
-        we stood still, or were accused twice and more within 3 s."""
+    def may_be_disconnected(self, now_us: int) -> bool:
+        """Whether this router rather than the others is disconnected or starved: most of its probes are not
+        answered, the score is high, or others accused it at least twice within 3 s."""
         answered = sum(self._results)
-        failed = len(self._results) >= LEAST_RESULTS and answered * 4 <= len(self._results)
-        self._accused_us = [at for at in self._accused_us if now_us - at < ACCUSED_US]
-        return failed or self.score >= DOUBTFUL_SCORE or len(self._accused_us) > 1
+        failed = len(self._results) >= MIN_RESULTS and answered * 4 <= len(self._results)
+        self._accusations_us = [
+            accused_us for accused_us in self._accusations_us if now_us - accused_us < ACCUSATION_WINDOW_US
+        ]
+        return failed or self.score >= UNHEALTHY_SCORE or len(self._accusations_us) > 1
 
     def answer_us(self, answer_us: int) -> int:
-        """What an answer may take, longer where we have reason to doubt ourselves."""
+        """Timeout of an answer in us, longer the higher the score is."""
         return answer_us * (2 + self.score) // 2
 
     def _record(self, answered: bool) -> None:
--- a/slipbay/membership/member_table.py
+++ b/slipbay/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The members of the fleet, their states and incarnations, as this router holds them."""
+"""The table of members of the fleet that this router keeps, with their states and incarnations."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 @dataclass(slots=True)
 class Member:
-    """What is held of a router number. Times are in us."""
+    """Entry of the table for a router number. Times are in us."""
 
     number: int
     state: MemberState
     incarnation: int
-    since_us: int  # of its state
-    accuser: int = 0  # the last one
-    deadline_us: int = 0  # when a suspect is declared gone
+    since_us: int  # when it entered its state
+    accuser: int = 0  # the most recent one
+    deadline_us: int = 0  # time at which a suspect is declared gone
     accusers: frozenset[int] = frozenset()
-    start_id: int = -1  # of the process that sent last; -1: none yet
-    sent_incarnation: int = -1  # the incarnation at which it did
-    zone: int = -1  # as it declared; -1: not yet
+    start_id: int = -1  # start id in its most recent message; -1: none received
+    sent_incarnation: int = -1  # incarnation in that message; -1: none received
+    zone: int = -1  # as in its messages; -1: none received
     build: int = 0
 
     @property
     def update(self) -> Update:
-        """The claim that passes on what is held."""
+        """The update that passes this entry on."""
         accuser = self.accuser if self.state is MemberState.SUSPECT else 0
         return Update(self.number, self.state, self.incarnation, accuser)
 
-    def met(self, message: Message) -> None:
-        """A message of the process came that holds the number."""
+    def record_message(self, message: Message) -> None:
+        """Record a message of the process that uses the number."""
         self.start_id = message.start_id
         self.sent_incarnation = message.incarnation
         self.zone = message.zone
@@ -39,49 +39,50 @@
 
 @dataclass(slots=True, frozen=True)
 class StateChange:
-    """What was held of a number and what is held now; ``None``: nothing."""
+    """A change of the state of a number; ``None``: it was not in the table."""
 
     number: int
     before: MemberState | None
     after: MemberState
 
 
-def is_living(state: MemberState | None) -> bool:
-    """Whether a router in that state counts as a living member: alive, or only suspect."""
+def is_live(state: MemberState | None) -> bool:
+    """Whether a router in that state counts as live: ALIVE or SUSPECT."""
     return state is not None and state <= MemberState.SUSPECT
 
 
 class MemberTable:
     """Members by number, and the sets that are derived from their states.
 
-    All ``size`` numbers of the configuration are presumed alive at first, at incarnation 0.
+    Initially all ``size`` configured numbers are presumed ALIVE at incarnation 0.
     """
 
-    def __init__(self, me: int, size: int, now_us: int) -> None:
-        self.me = me
+    def __init__(self, local_number: int, size: int, now_us: int) -> None:
+        self.local_number = local_number
         self.size = size
         self.members = {number: Member(number, MemberState.ALIVE, 0, now_us) for number in range(size)}
-        self.mine = self.members[me]
-        self.alive = [number for number in range(size) if number != me]  # others, alive or suspect
+        self.local_member = self.members[local_number]
+        # other routers, ALIVE or SUSPECT
+        self.alive = [number for number in range(size) if number != local_number]
         self.suspects: set[int] = set()
-        self.dead: dict[int, int] = {}  # gone or left: since when
+        self.dead: dict[int, int] = {}  # GONE or LEFT members: since when, in us
         self._living: list[int] | None = None
 
     @property
     def living(self) -> list[int]:
-        """Numbers held alive or only suspect, ours among them, in order."""
+        """Sorted numbers of the routers that are ALIVE or SUSPECT, including this router."""
         if self._living is None:
-            ours = [self.me] if self.mine.state is MemberState.ALIVE else []
-            self._living = sorted([*self.alive, *ours])
+            local = [self.local_number] if self.local_member.state is MemberState.ALIVE else []
+            self._living = sorted([*self.alive, *local])
         return self._living
 
     def state(self, number: int) -> MemberState | None:
-        """The state held of a number; ``None`` if it is not known, or no longer."""
+        """The state of a number; ``None`` if it is not in the table."""
         member = self.members.get(number)
         return member.state if member is not None else None
 
     def apply(self, now_us: int, update: Update) -> StateChange:
-        """Hold an update in place of what was held of its number."""
+        """Replace the entry of a number by an update."""
         number = update.number
         member = self.members.get(number)
         before = member.state if member is not None else None
@@ -93,33 +94,33 @@
         member.since_us = now_us
         member.accusers = frozenset()
         change = StateChange(number, before, update.state)
-        was_living = is_living(before)
-        lives = is_living(update.state)
-        if was_living != lives:
+        was_live = is_live(before)
+        live = is_live(update.state)
+        if was_live != live:
             self._living = None
-        if number != self.me:
-            self._move(now_us, change, was_living, lives)
+        if number != self.local_number:
+            self._update_sets(now_us, change, was_live, live)
         return change
 
-    def _move(self, now_us: int, change: StateChange, was_living: bool, lives: bool) -> None:
+    def _update_sets(self, now_us: int, change: StateChange, was_live: bool, live: bool) -> None:
         number = change.number
         self.suspects.discard(number)
         if change.after is MemberState.SUSPECT:
             self.suspects.add(number)
-        if lives and not was_living:
+        if live and not was_live:
             self.alive.append(number)
             self.dead.pop(number, None)
-        elif was_living and not lives:
+        elif was_live and not live:
             self.alive.remove(number)
             self.dead[number] = now_us
 
     def extend_suspicions(self, by_us: int) -> None:
-        """Give all suspects so much longer to refute."""
+        """Extend the time that all suspects have to refute."""
         for number in self.suspects:
             self.members[number].deadline_us += by_us
 
-    def forget_dead(self, now_us: int, tombstone_us: int) -> list[int]:
-        """Drop members that are gone for longer than ``tombstone_us``; returns their numbers."""
+    def remove_expired_members(self, now_us: int, tombstone_us: int) -> list[int]:
+        """Remove members that have been dead for longer than ``tombstone_us``; returns their numbers."""
         expired = [number for number, since in self.dead.items() if now_us - since > tombstone_us]
         for number in expired:
             del self.members[number]
--- a/slipbay/membership/outbox.py
+++ b/slipbay/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Builds the messages of this router within its budget and keeps them until the host takes them."""
+"""Encodes the messages of this router within its byte budget and queues them for the host."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
     Message,
     MessageType,
     Update,
-    bare,
+    base_bytes,
     encode,
-    fit,
+    fit_updates,
 )
 from slipbay.membership.dissemination import UpdateQueue
 from slipbay.membership.environment import Environment
@@ -27,15 +27,16 @@
 """The number of the receiver and the datagram."""
 
 KIND_BYTES = {MessageType.PING_REQUEST: NUMBER.size, MessageType.TABLE_HASHES: 1 + NUMBER.size * BUCKETS}
-"""What messages of a kind carry beside head, updates and checksum."""
+"""Bytes of messages by kind, without header, updates and checksum."""
 UPDATE_KINDS = frozenset({MessageType.UPDATES, MessageType.TABLE_HASHES})
-"""Kinds that count against the budget of updates."""
+"""Kinds that are paid from the updates share of the budget."""
 TOKENS = 2**16
 
 
 @dataclass(slots=True, frozen=True)
 class Sender:
-    """What each message says of this router. ``start_id``: a number that is new with each start."""
+    """Fields about this router in each message, and the key. ``start_id``: a number that is new with each
+    start."""
 
     start_id: int
     build: int
@@ -44,9 +45,9 @@
 
 
 class Outbox:
-    """Messages to be sent, in order, and the tokens that match answers to them.
+    """Queue of messages to send, and the tokens that match answers to them.
 
-    ``bare_bytes``: of a message of each kind without updates.
+    ``base_bytes_by_kind``: length of a message without updates, by kind.
     """
 
     def __init__(
@@ -67,16 +68,16 @@
         self._token = environment.random.randrange(TOKENS)
         self._sends: list[Send] = []
         keyed = bool(sender.key)
-        self.bare_bytes = {kind: bare(KIND_BYTES.get(kind, 0), keyed) for kind in MessageType}
+        self.base_bytes_by_kind = {kind: base_bytes(KIND_BYTES.get(kind, 0), keyed) for kind in MessageType}
 
     def take(self) -> list[Send]:
-        """The messages since the last call."""
+        """Return the messages queued since the last call."""
         sends = self._sends
         self._sends = []
         return sends
 
     def next_token(self) -> int:
-        """A token for a new message. Never 0, which asks for nothing but an answer."""
+        """A token for a new message. Never 0: messages have token 0 if their answers need no match."""
         self._token = self._token % (TOKENS - 1) + 1
         return self._token
 
@@ -91,27 +92,28 @@
         updates: Sequence[Update] = (),
         update_bytes: int = 0,
     ) -> bool:
-        """Build a message if the budget allows it; returns whether it did.
+        """Queue a message if the budget allows it; returns whether it did.
 
-        ``update_bytes``: what ``updates`` may take. Probes and answers say what the receiver should refute;
-        answers carry queued updates as far as the budget allows.
+        ``update_bytes``: upper bound of the bytes of ``updates``. Probes and answers also carry the state of
+        the receiver if that is not ALIVE, so that it can refute. Answers carry queued updates as far as the
+        budget allows.
         """
         self._budget.refill(now_us)
-        least = self.bare_bytes[kind] + update_bytes
+        base = self.base_bytes_by_kind[kind] + update_bytes
         share = Share.UPDATES if kind in UPDATE_KINDS else Share.PROBES
-        if least > self._budget.free(share):
+        if base > self._budget.free_bytes(share):
             self._counts["unsent"] += 1
             return False
         if share is Share.PROBES and (self._table.dead or self._table.suspects):
-            updates, more = self._about_receiver(to, int(self._budget.free(share)) - least)
-            least += more
+            updates, added = self._update_about_receiver(to, int(self._budget.free_bytes(share)) - base)
+            base += added
         if kind is MessageType.ACK and self._updates.pending and self._updates.may_send(now_us):
-            updates = [*updates, *self._piggyback(to, least)]
+            updates = [*updates, *self._piggyback(to, base)]
         data = self._encode(kind, token, target, updates)
         if share is Share.UPDATES:
             self._budget.spend(0, len(data))
-        elif kind is MessageType.ACK and len(data) > least:
-            self._budget.spend(least, len(data) - least)  # its updates are paid for as such
+        elif kind is MessageType.ACK and len(data) > base:
+            self._budget.spend(base, len(data) - base)  # its updates are paid from their own share
         else:
             self._budget.spend(len(data), 0)
         self._counts["sent"] += 1
@@ -119,29 +121,29 @@
         self._sends.append((to, data))
         return True
 
-    def _about_receiver(self, to: int, space: int) -> tuple[list[Update], int]:
-        """What the receiver should refute, if it is not held alive, and its bytes."""
+    def _update_about_receiver(self, to: int, space: int) -> tuple[list[Update], int]:
+        """The update about the receiver that it should refute, if any, and its bytes."""
         held = self._table.members.get(to)
         if held is None or held.state is MemberState.ALIVE:
             return [], 0
-        return fit([held.update], space)
+        return fit_updates([held.update], space)
 
-    def _piggyback(self, to: int, least: int) -> list[Update]:
+    def _piggyback(self, to: int, base: int) -> list[Update]:
         space = min(
             self._budget.available[Share.UPDATES],
-            self._budget.host_limit - least,
-            MOST_BYTES - least,
+            self._budget.host_limit - base,
+            MOST_BYTES - base,
         )
         chosen, _ = self._updates.select(self._table, space)
-        self._updates.sent(chosen, len(self._table.alive))
+        self._updates.record_sent(chosen, len(self._table.alive))
         return [update for update in chosen if update.number != to]
 
     def _encode(self, kind: MessageType, token: int, target: int, updates: Sequence[Update]) -> bytes:
         sender = self._sender
         message = Message(
             kind,
-            self._table.me,
-            self._table.mine.incarnation,
+            self._table.local_number,
+            self._table.local_member.incarnation,
             sender.start_id,
             self._hashes.digest,
             token,
--- a/slipbay/membership/reconciliation.py
+++ b/slipbay/membership/reconciliation.py
@@ -1,35 +1,35 @@
-"""Decides which updates are held, and refutes what is said of this router.
-
-Updates of a number are ordered by incarnation and state, and the greatest holds: late, repeated and lost
-messages do no harm, and all that received the same hold the same. All that the configuration names are
-presumed alive at first, and every process begins at incarnation 0: a start of the whole fleet needs no
-update, and what is said of a router means the same to those that met it and to those that did not. A process
-that finds its number taken, by the end of the process before or by that process itself, is notified at its
-first contact and takes a higher incarnation. Updates name no process: which one holds a number shows in its
-own messages.
+"""Applies updates to the member table, and refutes updates about this router.
+
+Updates about a number are ordered by incarnation and state, and the greatest is valid. So late, duplicated
+and lost messages do no harm, and routers that received the same updates have the same table. All configured
+routers are presumed ALIVE at first, and every process starts at incarnation 0. So a start of the whole fleet
+needs no update, and an update about a router means the same to routers that received messages from it and to
+those that did not. A process whose number is in use, because the table has the end of the previous process or
+that process itself, is notified at its first contact and takes a higher incarnation. Updates name no process:
+the messages of a process show that it uses a number.
 """
 
 from __future__ import annotations
 
-from slipbay.membership.codec import MemberState, Message, MessageType, Update, fit
+from slipbay.membership.codec import MemberState, Message, MessageType, Update, fit_updates
 from slipbay.membership.dissemination import UpdateQueue
 from slipbay.membership.environment import Environment
 from slipbay.membership.failure_detector import FailureDetector
 from slipbay.membership.local_health import LocalHealth
-from slipbay.membership.member_table import Member, MemberTable, StateChange, is_living
+from slipbay.membership.member_table import Member, MemberTable, StateChange, is_live
 from slipbay.membership.outbox import Outbox
 from slipbay.membership.table_hashes import TableHashes
 from slipbay.membership.timing import SECOND
 from slipbay.peer_channel.frame import MOST_BYTES
 
-MOST_LEAP = (
-    1 << 20
-)  # incarnations above what is held beyond which an update is garbage: each takes a refutation
-YOUNG_US = 3 * SECOND  # from our start on that what is said of our number is meant for the process before
+# Largest difference of an update's incarnation from the table. A larger one is corrupt, because each
+# increment takes a refutation.
+MAX_INCARNATION_STEP = 1 << 20
+YOUNG_US = 3 * SECOND  # after the start, while updates about this router refer to its previous process
 
 
 class Reconciler:
-    """Holds the greater of each update and what is held, and keeps the changes until they are taken."""
+    """Applies updates that take precedence over the table, and collects the changes."""
 
     def __init__(
         self,
@@ -52,86 +52,92 @@
         self.changes: list[StateChange] = []
 
     def take_changes(self) -> list[StateChange]:
-        """The changes since the last call."""
+        """Return the changes since the last call."""
         changes = self.changes
         self.changes = []
         return changes
 
-    def claim(self, number: int, state: MemberState) -> Update:
-        """Our own claim that a member has that state now."""
-        return Update(number, state, self._table.members[number].incarnation, self._table.me)
+    def local_update(self, number: int, state: MemberState) -> Update:
+        """An update by this router that a member has a state at its current incarnation."""
+        return Update(number, state, self._table.members[number].incarnation, self._table.local_number)
 
     def suspect(self, now_us: int, number: int) -> None:
-        """A member did not answer our probe."""
-        self.take(now_us, self.claim(number, MemberState.SUSPECT))
+        """Declare a member suspect that did not answer a probe of this router."""
+        self.apply_update(now_us, self.local_update(number, MemberState.SUSPECT))
 
-    def take(self, now_us: int, update: Update) -> None:
-        """Hold the greater of an update and what is held."""
+    def apply_update(self, now_us: int, update: Update) -> None:
+        """Apply an update if it takes precedence over the table."""
         number = update.number
         member = self._table.members.get(number)
-        held_incarnation = member.incarnation if member is not None else 0
-        if number >= self._table.size or update.incarnation > MOST_LEAP + held_incarnation:
+        known_incarnation = member.incarnation if member is not None else 0
+        if number >= self._table.size or update.incarnation > MAX_INCARNATION_STEP + known_incarnation:
             self._counts["garbled"] += 1
-        elif number == self._table.me:
-            self._about_me(now_us, update)
+        elif number == self._table.local_number:
+            self._refute(now_us, update)
         elif member is None:
-            if is_living(update.state):  # the end of one that is forgotten changes nothing
-                self.hold(now_us, update)
+            if is_live(update.state):  # an unknown member that is dead needs no entry
+                self.store_update(now_us, update)
         elif (update.incarnation, update.state) > (member.incarnation, member.state):
-            self.hold(now_us, update)
-        elif _accuses_again(member, update) and self._detector.accused_again(member, update.accuser):
+            self.store_update(now_us, update)
+        elif _accuses_again(member, update) and self._detector.add_accuser(member, update.accuser):
             self._updates.add(number)
 
-    def _about_me(self, now_us: int, update: Update) -> None:
-        """Refute what is said of us, be it that we are gone or that an earlier process holds our number."""
-        mine = self._table.mine
-        outweighed = (update.incarnation, update.state) <= (mine.incarnation, mine.state)
-        if mine.state is not MemberState.ALIVE or outweighed:
-            if update.state is not MemberState.ALIVE:  # what is refuted already
-                self._updates.add(self._table.me)
+    def _refute(self, now_us: int, update: Update) -> None:
+        """Refute an update about this router: that it is gone, or that its previous process uses the
+        number."""
+        local = self._table.local_member
+        outweighed = (update.incarnation, update.state) <= (local.incarnation, local.state)
+        if local.state is not MemberState.ALIVE or outweighed:
+            if update.state is not MemberState.ALIVE:  # it is already refuted
+                self._updates.add(self._table.local_number)
             return
         if now_us - self._started_us < YOUNG_US:
             self._counts["earlier lives"] += 1
         else:
             self._counts["refuted"] += 1
-            self._health.accused(now_us)
-        self.hold(now_us, Update(self._table.me, MemberState.ALIVE, update.incarnation + 1))
+            self._health.record_accusation(now_us)
+        self.store_update(now_us, Update(self._table.local_number, MemberState.ALIVE, update.incarnation + 1))
 
-    def met(self, now_us: int, message: Message) -> None:
-        """The sender is alive, at the incarnation that it says. Where another process is held at that one or
-        above, either the next process has begun, or a datagram of an earlier one came late: it is notified of
-        what is held, and takes a higher incarnation if it runs."""
+    def record_sender(self, now_us: int, message: Message) -> None:
+        """Record that the sender of a message is ALIVE at its incarnation.
+
+        If the table has another process at that incarnation or a higher one, either the sender is a new
+        process, or the datagram is a late one of an earlier process. The sender is notified of the entry, and
+        takes a higher incarnation if it runs.
+        """
         number = message.sender
-        held = self._table.members.get(number)
-        if held is None or message.incarnation > held.incarnation:
-            self.take(now_us, Update(number, MemberState.ALIVE, message.incarnation))
-            held = self._table.members.get(number)
-        if held is None:
+        member = self._table.members.get(number)
+        if member is None or message.incarnation > member.incarnation:
+            self.apply_update(now_us, Update(number, MemberState.ALIVE, message.incarnation))
+            member = self._table.members.get(number)
+        if member is None:
             return
-        taken = held.sent_incarnation == message.incarnation and held.start_id != message.start_id
-        if held.incarnation > message.incarnation or taken:
-            if held.start_id != message.start_id:
-                self._notify_taken(now_us, held)
-        elif held.sent_incarnation != message.incarnation:
-            if held.start_id not in (-1, message.start_id):
-                self.changes.append(StateChange(number, held.state, held.state))
-            held.met(message)
-
-    def _notify_taken(self, now_us: int, held: Member) -> None:
-        state = max(held.state, MemberState.SUSPECT)
-        claim = Update(held.number, state, held.incarnation, self._table.me)
-        _, update_bytes = fit([claim], MOST_BYTES)
+        is_number_taken = (
+            member.sent_incarnation == message.incarnation and member.start_id != message.start_id
+        )
+        if member.incarnation > message.incarnation or is_number_taken:
+            if member.start_id != message.start_id:
+                self._notify_number_taken(now_us, member)
+        elif member.sent_incarnation != message.incarnation:
+            if member.start_id not in (-1, message.start_id):
+                self.changes.append(StateChange(number, member.state, member.state))
+            member.record_message(message)
+
+    def _notify_number_taken(self, now_us: int, member: Member) -> None:
+        state = max(member.state, MemberState.SUSPECT)
+        update = Update(member.number, state, member.incarnation, self._table.local_number)
+        _, update_bytes = fit_updates([update], MOST_BYTES)
         self._outbox.send(
-            now_us, held.number, MessageType.UPDATES, updates=[claim], update_bytes=update_bytes
+            now_us, member.number, MessageType.UPDATES, updates=[update], update_bytes=update_bytes
         )
 
-    def hold(self, now_us: int, update: Update) -> None:
-        """Hold an update, whatever was held before."""
+    def store_update(self, now_us: int, update: Update) -> None:
+        """Apply an update, whatever the table has."""
         others_alive = len(self._table.alive)
         change = self._table.apply(now_us, update)
-        if is_living(change.before) != is_living(change.after):
+        if is_live(change.before) != is_live(change.after):
             self._hashes.toggle(update.number)
-        if update.number != self._table.me:
+        if update.number != self._table.local_number:
             self._detector.state_changed(change, update, others_alive)
         self._updates.add(update.number)
         if change.before is not change.after:
@@ -139,7 +145,7 @@
 
 
 def _accuses_again(member: Member, update: Update) -> bool:
-    """Whether an update is what is held of a suspect, but of another accuser."""
+    """Whether an update equals the entry of a suspect except for a new accuser."""
     return (
         update.incarnation == member.incarnation
         and update.state is member.state is MemberState.SUSPECT
--- a/slipbay/membership/reconnect.py
+++ b/slipbay/membership/reconnect.py
@@ -1,4 +1,4 @@
-"""Pings of members that are not held alive, by which parts of a partitioned fleet find each other again."""
+"""Pings of dead members, so that the sides of a healed partition find each other again."""
 
 from __future__ import annotations
 
@@ -8,36 +8,39 @@
 from slipbay.membership.outbox import Outbox
 from slipbay.membership.timing import SECOND
 
-NEVER_HEARD_US = 10 * SECOND  # before the start, as if a dead member had been heard then
+INITIAL_SILENCE_US = 10 * SECOND  # before the start: initial time of the last message of a dead member
 JITTER_PERCENT = 50, 150
 
 
 class Reconnector:
-    """Pings one dead member after another; often while messages of such come: then a partition has healed."""
+    """Pings random dead members. It pings often while messages of such arrive, as a partition then has
+    healed."""
 
     def __init__(self, environment: Environment, table: MemberTable, outbox: Outbox) -> None:
         self._table = table
         self._outbox = outbox
         self._random = environment.random
         self._timing = environment.timing
-        self._heard_us = environment.started_us - NEVER_HEARD_US
+        self._last_message_us = environment.started_us - INITIAL_SILENCE_US
         self.due_us = environment.started_us
 
-    def heard_dead(self, now_us: int) -> None:
-        """A message came of a member that is held gone or left."""
-        self._heard_us = now_us
+    def record_dead_member_message(self, now_us: int) -> None:
+        """Record a message of a member that is GONE or LEFT in the table."""
+        self._last_message_us = now_us
 
     def step(self, now_us: int) -> None:
-        """Ping one that is not held alive; called when that is due."""
+        """Ping one dead member. Called when ``due_us`` is reached."""
         self.due_us = now_us + self._interval_us(now_us)
         table = self._table
         if len(table.alive) + 1 == table.size:
             return
-        away = [number for number in range(table.size) if number in table.dead or number not in table.members]
-        if away:
-            self._outbox.send(now_us, self._random.choice(away), MessageType.PING)
+        candidates = [
+            number for number in range(table.size) if number in table.dead or number not in table.members
+        ]
+        if candidates:
+            self._outbox.send(now_us, self._random.choice(candidates), MessageType.PING)
 
     def _interval_us(self, now_us: int) -> int:
-        if now_us - self._heard_us < self._timing.reach_us:
+        if now_us - self._last_message_us < self._timing.reach_us:
             return self._timing.gossip_us
         return self._timing.reach_us * self._random.randrange(*JITTER_PERCENT) // 100
--- a/slipbay/membership/service.py
+++ b/slipbay/membership/service.py
@@ -1,4 +1,5 @@
-"""The membership of a running router: its state machine on the peers' socket, its log lines and counters."""
+"""Membership of a running router: connects the state machine to the peer socket, logs changes and reports
+the status."""
 
 from __future__ import annotations
 
@@ -24,12 +25,14 @@
 if TYPE_CHECKING:
     from slipbay.peer_channel.multiplexer import Multiplexer
 
-LOGGED_CHANGES = 8  # that are logged one by one; more at once are counted
-REPORT_US = 250_000  # times the routers: within so long each reports its threads to all others once
+LOGGED_CHANGES = 8  # changes at once that are logged one by one; the rest is logged as a count
+# times the number of routers: interval within which each router reports its threads to every other
+REPORT_US = 250_000
 
 
 class MembershipService:
-    """Takes the datagrams about membership, and calls ``resized`` with how many routers share its limits."""
+    """Processes membership datagrams. Calls ``on_resize`` with the number of routers that share the
+    limits."""
 
     def __init__(
         self,
@@ -38,7 +41,7 @@
         timers: Timers,
         now: Callable[[], int],
         peers: PeerSocket,
-        resized: Callable[[int], None],
+        on_resize: Callable[[int], None],
     ) -> None:
         self._config = config
         self._fleet = fleet
@@ -60,56 +63,61 @@
         )
         self.machine.listeners.append(self._changed)
         self._shares = FairShare(settings.router_count, settings.cold_window_us)
-        self._resized = resized
+        self._on_resize = on_resize
         self._share_count = settings.router_count
-        self._odd_one_out = False
+        self._may_be_disconnected = False
         self._timer: Timer | None = None
-        self.mux: Multiplexer | None = None  # the channel's, in whose budget membership messages count
+        self.mux: Multiplexer | None = None  # of the channel, whose byte budget includes membership messages
         peers.fleet = self._received
 
     def start(self) -> None:
-        """Begin to probe and to gossip."""
+        """Start to send probes and gossip."""
         self._tick()
 
     def leave(self) -> None:
-        """Tell the others that this router shuts down."""
-        now = self._begin_call()
+        """Announce the shutdown of this router to the others."""
+        now = self._prepare_call()
         self._send(now, self.machine.leave(now))
 
     def _tick(self) -> None:
-        now = self._begin_call()
+        now = self._prepare_call()
         self._send(now, self.machine.tick(now))
         self._update_share(now)
-        odd_one_out = self.machine.health.odd_one_out(now)
-        if odd_one_out != self._odd_one_out:
-            self._odd_one_out = odd_one_out
-            log("fleet", "this router may be cut off" if odd_one_out else "this router is reachable again")
+        may_be_disconnected = self.machine.health.may_be_disconnected(now)
+        if may_be_disconnected != self._may_be_disconnected:
+            self._may_be_disconnected = may_be_disconnected
+            log(
+                "fleet",
+                "this router may be cut off" if may_be_disconnected else "this router is reachable again",
+            )
         self._timer = self._timers.at(self.machine.next_tick(), self._tick)
 
     def _received(self, number: int | None, data: bytes, address: Address) -> bool:
-        """Whether a datagram is about membership. ``number``: of the peer with that address, none for a
-        stranger."""
+        """Process a datagram; returns whether it is a membership message or status request.
+
+        ``number``: of the peer that has the source address; None if no peer has it.
+        """
         if not frame.is_ours(data):
             if number is not None:
-                self.machine.detector.heard_other(self._now(), number)
+                self.machine.detector.record_other_message(self._now(), number)
             return False
         if number is not None:
-            now = self._begin_call()
+            now = self._prepare_call()
             self._send(now, self.machine.receive(now, data, number))
-        elif self._asks_for_status(data, address):
+        elif self._is_status_request(data, address):
             for page in pages(self.status()):
                 self._peers.answer(page, address)
         else:
             self.machine.counts["foreign"] += 1
         return True
 
-    def _asks_for_status(self, data: bytes, address: Address) -> bool:
-        """Whether a command on this machine asks, and is to be answered."""
-        local = address[0].startswith("127.")
-        return self._fleet.status and local and data[4] & ~frame.FLAG == MessageType.STATUS
+    def _is_status_request(self, data: bytes, address: Address) -> bool:
+        """Whether a datagram is a status request from this host that is to be answered."""
+        is_local = address[0].startswith("127.")
+        return self._fleet.status and is_local and data[4] & ~frame.FLAG == MessageType.STATUS
 
-    def _begin_call(self) -> int:
-        """The time; the state machine is given the bytes that it may send in this call."""
+    def _prepare_call(self) -> int:
+        """Return the time, after setting the bytes that the state machine may send in this call."""
         now = self._now()
         if self.mux is not None:
             self.machine.budget.host_limit = self.mux.room(now, interfaces.FrameKind.VIEW)
@@ -140,10 +148,10 @@
         count = self._shares.count(now, len(self.machine.living))
         if self._fleet.shares and count != self._share_count:
             self._share_count = count
-            self._resized(count)
+            self._on_resize(count)
 
     def status(self) -> dict[str, object]:
-        """What ``slipbay fleet status`` shows, as JSON has it."""
+        """The status that ``slipbay fleet status`` prints, as JSON values."""
         machine = self.machine
         members = machine.table.members
         by_state = {
@@ -152,19 +160,19 @@
             ]
             for state in MemberState
         }
-        living = len(machine.living)
+        live_count = len(machine.living)
         return {
             "name": self._config.name,
             "number": machine.me,
             "version": machine.version,
             "life": machine.start_id,
-            "incarnation": machine.table.mine.incarnation,
+            "incarnation": machine.table.local_member.incarnation,
             "health": machine.health.score,
-            "odd_one_out": self._odd_one_out,
-            "cut_off": machine.detector.cut_off(self._now()),
-            "side": living / machine.size,
+            "odd_one_out": self._may_be_disconnected,
+            "cut_off": machine.detector.unreachable(self._now()),
+            "side": live_count / machine.size,
             "configured": machine.size,
-            "living": living,
+            "living": live_count,
             "shares_of": self._share_count,
             "zones": self._living_by_zone(),
             "suspect": by_state["suspect"],
--- a/slipbay/membership/settings.py
+++ b/slipbay/membership/settings.py
@@ -1,5 +1,5 @@
-"""``deploy/fleet.toml``: whether membership of the fleet is kept, and how. Errors name the file and the
-key."""
+"""Reads ``deploy/fleet.toml``: whether this router takes part in membership, and with which settings. Errors
+name the file and the key."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
     from slipbay.membership.timing import Timing
 
 FLEET_FILE = DEPLOY_FOLDER / "fleet.toml"
-LEAST_RATE = 300  # bytes a second that probes and answers need
-LEAST_BURST = 256  # bytes: one message of the greatest length
+MIN_RATE = 300  # bytes per second that probes and answers need
+MIN_BURST = 256  # bytes of the longest message
 
 
 @dataclass(frozen=True)
 class MembershipConfig:
-    """What a router needs to take part in membership."""
+    """Settings of the membership protocol of a router."""
 
     timing: Timing
     build: int
-    key: bytes  # empty: senders are known by their source address alone
-    old_key: bytes  # accepted too, while keys change
-    status: bool  # whether a command on this machine is answered
-    shares: bool  # whether the decisions' shares follow the living
+    key: bytes  # empty: senders are identified by their source address only
+    old_key: bytes  # also accepted, during a change of keys
+    status: bool  # whether status requests from this host are answered
+    shares: bool  # whether the limits are divided by the number of live routers
 
 
 def load_fleet(config: Config, environment: Mapping[str, str]) -> MembershipConfig | None:
-    """What the file says; ``None`` if it is absent or says ``enabled = false``. Raises ``ConfigError``."""
+    """The settings, or ``None`` if the file is absent or has ``enabled = false``. Raises ``ConfigError``."""
     path = Path(environment.get("SLIPBAY_FLEET") or FLEET_FILE)
     data = switched_on(path)
     if data is None:
@@ -40,16 +40,16 @@
     need_msgspec(path.name)
     from slipbay.membership.config_schema import MembershipFile, TimingTable, timing
 
-    form = convert(data, MembershipFile, path.name)
-    times = timing(convert(form.timing, TimingTable, path.name, "timing"))
-    key = _key(path, "key_file", form.key_file)
-    old_key = _key(path, "old_key_file", form.old_key_file)
+    table = convert(data, MembershipFile, path.name)
+    parsed_timing = timing(convert(table.timing, TimingTable, path.name, "timing"))
+    key = _key(path, "key_file", table.key_file)
+    old_key = _key(path, "old_key_file", table.old_key_file)
     try:
         check_peers(config)
-        _check_timing(times)
+        _check_timing(parsed_timing)
     except ConfigError as problem:
         raise problem.in_file(path.name) from None
-    return MembershipConfig(times, form.build, key, old_key, form.status, form.shares)
+    return MembershipConfig(parsed_timing, table.build, key, old_key, table.status, table.shares)
 
 
 def _key(path: Path, name: str, file: str | None) -> bytes:
@@ -61,18 +61,20 @@
 def _check_timing(timing: Timing) -> None:
     if timing.answer_us * 2 > timing.probe_us * 4:
         raise ConfigError("want at most twice probe_ms", "timing.answer_ms")
-    if timing.rate < LEAST_RATE or timing.burst < LEAST_BURST:
-        raise ConfigError("want 300 with a burst of 256: probes and answers need room", "timing.rate")
+    if timing.rate < MIN_RATE or timing.burst < MIN_BURST:
+        raise ConfigError(
+            "want at least 300, and a burst of at least 256, for probes and answers", "timing.rate"
+        )
 
 
 def check_peers(config: Config) -> None:
-    """Whether routers can send each other messages at all. Raises ``ConfigError``."""
+    """Raise ``ConfigError`` if routers cannot send each other messages with this configuration."""
     if config.peer_listen is None or not config.settings.may_gossip:
         raise ConfigError(
             "the configuration has no peer_listen, or its settings allow no messages", "enabled"
         )
     if not config.settings.router_number < len(config.peers):
         raise ConfigError(
-            f"peers has {len(config.peers)} addresses, ours is number {config.settings.router_number}",
+            f"peers has {len(config.peers)} addresses, this router is number {config.settings.router_number}",
             "enabled",
         )
--- a/slipbay/membership/status_client.py
+++ b/slipbay/membership/status_client.py
@@ -1,4 +1,4 @@
-"""Asks a running router on this machine for its membership status."""
+"""Requests the membership status of a running router on this host."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 
 
 def ask(target: Address, seconds: float = 1.0) -> dict[str, Any]:
-    """The status of the router with that peers' address. Raises ``NoAnswerError`` and ``OSError``."""
-    question = frame.MAGIC + bytes([frame.VERSION, frame.FLAG | MessageType.STATUS])
-    return status_pages.ask(target, question, seconds)
+    """The membership status of the router with that peer address. Raises ``NoAnswerError`` and
+    ``OSError``."""
+    request = frame.MAGIC + bytes([frame.VERSION, frame.FLAG | MessageType.STATUS])
+    return status_pages.ask(target, request, seconds)
--- a/slipbay/membership/table_hashes.py
+++ b/slipbay/membership/table_hashes.py
@@ -1,4 +1,4 @@
-"""Hashes by which routers find out that their tables of living members differ, and where."""
+"""Hashes that show routers whether, and in which buckets, their sets of live members differ."""
 
 from __future__ import annotations
 
@@ -7,25 +7,26 @@
 from slipbay.membership.codec import NUMBER
 from slipbay.peer_channel.frame import SUM
 
-BUCKETS = 16  # of the table, compared when digests differ
+BUCKETS = 16  # of the table; their hashes are compared when digests differ
 
 
 class TableHashes:
-    """A digest of the set of living members, and one of each bucket of numbers."""
+    """A digest of the set of live members, and one of each bucket of router numbers."""
 
     def __init__(self, size: int) -> None:
-        self.digest = 0  # equal where the sets of living members are
+        self.digest = 0  # equal if the sets of live members are equal
         self._buckets = [0] * BUCKETS
         for number in range(size):
             self.toggle(number)
 
     def toggle(self, number: int) -> None:
-        """A number has entered the set of living members or left it; which process holds a number makes no
-        table differ."""
+        """Add a number to the set of live members, or remove it. The digest does not depend on which process
+        uses a number."""
         value = crc32(NUMBER.pack(number)) | 1
         self.digest ^= value
         self._buckets[number % BUCKETS] ^= value
 
     def salted(self, salt: int) -> tuple[int, ...]:
-        """Hashes of 16 bits of the buckets; salted, so that what is equal by chance differs the next time."""
+        """Hashes of the buckets, 16 bits each. The salt makes an accidental collision unlikely to recur with
+        the next message."""
         return tuple(crc32(SUM.pack(value), salt) % 2**16 for value in self._buckets)
--- a/tests/test_explore_view.py
+++ b/tests/test_explore_view.py
@@ -17,8 +17,8 @@
 
 
 def _ignores_order(self: Reconciler, now: int, item: Update) -> None:
-    if item.number != self._table.me:
-        self.hold(now, item)
+    if item.number != self._table.local_number:
+        self.store_update(now, item)
 
 
 def _accepts_any_process(self: Reconciler, now: int, message: Message) -> None:
@@ -32,10 +32,15 @@
 @pytest.mark.parametrize(
     ("method", "fault", "property_", "depth"),
     [
-        ("take", _ignores_order, "5", 5),  # a late update replaces a later one
-        ("met", _accepts_any_process, "3", 7),  # an earlier process replaces a later one
-        ("claim", _never_declares_gone, "5", 4),  # the dead are suspected, and never held gone
-        ("_about_me", lambda self, now, item: self.hold(now, item), "1", 8),  # what is said of us is held
+        ("apply_update", _ignores_order, "5", 5),  # a late update replaces a later one
+        ("record_sender", _accepts_any_process, "3", 7),  # an earlier process replaces a later one
+        ("local_update", _never_declares_gone, "5", 4),  # the dead are suspected, and never held gone
+        (
+            "_refute",
+            lambda self, now, item: self.store_update(now, item),
+            "1",
+            8,
+        ),  # what is said of us is held
     ],
 )
 def test_faults_made_on_purpose_are_found(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -54,7 +54,7 @@
     updates=st.lists(CLAIMS, max_size=300, unique_by=lambda item: item.number).map(
         lambda items: tuple(
             sorted(
-                codec.fit(items, frame.MOST_BYTES - codec.bare(0, True))[0],
+                codec.fit_updates(items, frame.MOST_BYTES - codec.base_bytes(0, True))[0],
                 key=lambda item: (item.state, item.incarnation, item.number),
             )
         )
@@ -148,7 +148,7 @@
     while now < 10 * SECOND:
         now += 50_000
         if speaks and now % SECOND == 0:
-            view.detector.heard_other(now, 1)
+            view.detector.record_other_message(now, 1)
         view.tick(now)
         assert 1 in view.living or now > grace
     assert (1 in view.living) == speaks
@@ -282,9 +282,9 @@
     fleet.network.cut([1], [0], both=False)
     fleet.run(6)
     view = fleet.views()[0]
-    assert view.detector.cut_off(fleet.now + fleet.offsets[0]) == [1]
+    assert view.detector.unreachable(fleet.now + fleet.offsets[0]) == [1]
     assert (len(view.living), view.size) == (6, 6)
-    assert not fleet.views()[2].detector.cut_off(fleet.now + fleet.offsets[2])
+    assert not fleet.views()[2].detector.unreachable(fleet.now + fleet.offsets[2])
 
 
 def test_equal_seeds_give_equal_bytes() -> None:
