--- a/slipbay/warmup/__init__.py
+++ b/slipbay/warmup/__init__.py
@@ -1,1 +1,1 @@
-"""Coming back from nothing: how a new life finds its way to full service (docs/comeback.md)."""
+"""Warm-up: how a router that starts reaches full service (docs/comeback.md)."""
--- a/slipbay/warmup/codec.py
+++ b/slipbay/warmup/codec.py
@@ -1,10 +1,10 @@
-"""Messages of routers that warm up, as bodies of the channel (kind ``COMEBACK``).
+"""Encoding of warm-up messages, bodies of channel frames of kind ``COMEBACK``.
 
-Little-endian; the first byte tells the type, then comes the nonce of the request. Survey requests and replies
-carry the sender's age in steps of 10 ms and its phase, a request for estimates nothing. Estimates are: pace,
-best pace, retries counted; three numbers for each class; unhealthy engines by digest with the age of each
-verdict in steps of 10 ms; query groups with how often they came, as many as fit. Ages are sent, never
-moments: no clock is shared.
+Integers are little-endian. The first byte is the type, and the nonce of the request follows. Survey requests
+and replies carry the sender's age in steps of 10 ms and its phase. A request for estimates carries nothing
+more. Estimates are: pace, best pace and retries counted; three numbers for each class; unhealthy engines by
+digest, each with the age of the report in steps of 10 ms; as many query groups with their counts as fit.
+Messages contain ages instead of points in time, as routers share no clock.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from slipbay.peer_channel.interfaces import MOST_BODY
 from slipbay.policy.events import EstimatesRestored
 
-STEP_US = 10_000  # of ages
+STEP_US = 10_000  # resolution of ages
 MAX_STEPS = 2**16 - 1
-MAX_COUNT = 2**16 - 1  # of a group's queries
+MAX_COUNT = 2**16 - 1  # largest count of a group's queries
 MAX_RETRIES = 255
 MAX_CLASSES = 6
 MAX_UNHEALTHY = 16
@@ -41,13 +41,13 @@
 
 
 class Message(NamedTuple):
-    """A message of any type; fields that its type does not carry are as here."""
+    """A message of any type. Fields that its type does not carry have their defaults."""
 
     message_type: MessageType
     nonce: int
-    age_us: int = 0  # of its sender's incarnation, rounded up
+    age_us: int = 0  # since the start of its sender's incarnation, rounded up
     phase: int = 0
-    retries: int = 0  # that its sender's retry budget still counts
+    retries: int = 0  # retries that the retry budget of its sender still counts
     estimates: EstimatesRestored = EstimatesRestored()
 
 
@@ -56,7 +56,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """At most ``MOST_BODY`` bytes; of what does not fit the end is left out."""
+    """The body of a message, at most ``MOST_BODY`` bytes; query groups that do not fit are left out."""
     head = HEAD.pack(message.message_type, message.nonce)
     match message.message_type:
         case MessageType.SURVEY_REQUEST | MessageType.SURVEY_REPLY:
@@ -78,7 +78,8 @@
 
 
 def decode(body: bytes) -> Message | None:
-    """None for what can't be read: cut off, of a later release, or with a number that is not finite."""
+    """The message of a body; None if it is truncated, of a later release, or has a number that is not
+    finite."""
     try:
         number, nonce = HEAD.unpack_from(body)
         message_type = MessageType(number)
@@ -95,7 +96,7 @@
 
 
 def _decode_estimates(nonce: int, body: bytes) -> Message | None:
-    """Raises ``struct.error`` where the body is cut off."""
+    """Raises ``struct.error`` if the body is truncated."""
     pace, best_pace, retries, class_count, unhealthy_count = ESTIMATES.unpack_from(body)
     classes_end = ESTIMATES.size + class_count * CLASS.size
     unhealthy_end = classes_end + unhealthy_count * ENGINE.size
--- a/slipbay/warmup/config_schema.py
+++ b/slipbay/warmup/config_schema.py
@@ -1,4 +1,4 @@
-"""The keys of ``deploy/comeback.toml``, with their bounds; loaded only where it is switched on."""
+"""Schema of ``deploy/comeback.toml``, with bounds. Imported only if warm-up is enabled."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 class MaximumAgesTable(Struct, forbid_unknown_fields=True, frozen=True):
-    """Up to what age each field of a report is used, in seconds."""
+    """Maximum age at which each field of a report is used, in seconds."""
 
     pace_s: Seconds = 10
     costs_s: Seconds = 60
     ill_s: Seconds = 5
     homes_s: Seconds = 60
-    ration_s: Seconds | None = None  # as long as the settings count further attempts
+    ration_s: Seconds | None = None  # default: the window in which the settings count retries
 
 
 class WarmupFile(Struct, forbid_unknown_fields=True, frozen=True):
-    """Keys as operators write them; ``WarmupPlan`` says what each is for."""
+    """The keys of the file; ``WarmupPlan`` describes them."""
 
     held_share: Share = WarmupPlan.leftover_share
     dials: Rate = WarmupPlan.connections_per_s
@@ -36,8 +36,8 @@
     answer_ms: Annotated[float, Meta(ge=1, le=1_000)] = WarmupPlan.reply_us / 1000
     ages: MaximumAgesTable = MaximumAgesTable()
 
-    def plan(self, ration_window_us: int) -> WarmupPlan:
-        """``ration_window_us``: over which the settings count further attempts."""
+    def plan(self, retry_window_us: int) -> WarmupPlan:
+        """The plan of this file. ``retry_window_us``: window in which the settings count retries."""
         ages = self.ages
         return WarmupPlan(
             leftover_share=self.held_share,
@@ -52,7 +52,7 @@
                 costs=_us(ages.costs_s),
                 unhealthy=_us(ages.ill_s),
                 groups=_us(ages.homes_s),
-                retries=ration_window_us if ages.ration_s is None else _us(ages.ration_s),
+                retries=retry_window_us if ages.ration_s is None else _us(ages.ration_s),
             ),
         )
 
--- a/slipbay/warmup/estimate_collection.py
+++ b/slipbay/warmup/estimate_collection.py
@@ -1,4 +1,4 @@
-"""Asks routers in full service for what they learned, and merges what comes."""
+"""Requests the estimates of routers in full service, and merges the replies."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from slipbay.warmup.peer_estimates import MergedEstimates, PeerReport, merge
 from slipbay.warmup.plan import SECOND, WarmupPlan
 
-ROUNDS = 4  # of asking
+ROUNDS = 4  # of requests
 
 
 @dataclass(slots=True)
 class EstimateRequest:
-    """One router that was asked, and what came.
+    """The requests to one router, and its reply.
 
-    Estimates are as old as the first request at the most, whichever request they reply to.
+    The estimates in the reply are at most as old as the first request, whichever request it replies to.
     """
 
     sent_at: int
@@ -26,37 +26,37 @@
 
 
 class EstimateCollector:
-    """Collects reports until enough came or nobody is left to ask. Times are us of one clock."""
+    """Collects reports until there are enough or no router is left to request one from. Times are in us of
+    one clock."""
 
     def __init__(
         self, plan: WarmupPlan, survey: FleetSurvey, order: Sequence[int], free_retries: float
     ) -> None:
-        """``order``: routers, as they are asked. ``free_retries``: that the policy grants without
-        requests."""
+        """``order``: routers in the order of the requests. ``free_retries``: retries that the policy allows
+        before any request."""
         self._plan = plan
         self._survey = survey
         self._order = order
         self._free_retries = free_retries
         self.requests: dict[int, EstimateRequest] = {}  # by router
         self._requests_left = ROUNDS * plan.max_reports
-        self._snapshot: tuple[PeerReport, int] | None = (
-            None  # of an earlier incarnation, and when it was read
-        )
+        # of an earlier incarnation, and the time at which it was read
+        self._snapshot: tuple[PeerReport, int] | None = None
         self.complete = False
         self.merged: MergedEstimates | None = None
-        self.on_estimates: Callable[[MergedEstimates], None] = _ignore  # called once, if anything came
+        self.on_estimates: Callable[[MergedEstimates], None] = _ignore  # called once, if there are reports
         self.sources: tuple[int, ...] = ()  # routers whose reports are used
-        self.snapshot_us: int | None = None  # how old the snapshot was that is used
-        self.oldest_report_us = 0  # how old the oldest report was that is used, at ``merged_at``
+        self.snapshot_us: int | None = None  # age of the snapshot, if it is used
+        self.oldest_report_us = 0  # age of the oldest report used, at ``merged_at``
         self.merged_at = 0
-        self.engine_count = 1  # that are listed; the caller keeps it
+        self.engine_count = 1  # engines in the endpoint list; set by the caller
 
     def next_targets(self, now: int) -> list[int]:
-        """Routers to ask now, as many as are still wanted; who does not reply is replaced."""
+        """Routers to send requests to now, until there are enough; those that do not reply are replaced."""
         if self.complete:
             return []
         open_requests = [
-            r for r in self.requests.values() if r.reply or now - r.last_sent_at < self._patience
+            r for r in self.requests.values() if r.reply or now - r.last_sent_at < self._reply_timeout_us
         ]
         chosen = [
             router
@@ -64,7 +64,7 @@
             if self._survey.in_full_service(router)
             and (router not in self.requests or self.requests[router] not in open_requests)
         ]
-        chosen.sort(key=lambda router: router in self.requests)  # those never asked come first
+        chosen.sort(key=lambda router: router in self.requests)  # routers without a request come first
         wanted = min(self._plan.max_reports - len(open_requests), self._requests_left)
         chosen = chosen[: max(0, wanted)]
         for router in chosen:
@@ -73,19 +73,21 @@
         return chosen
 
     @property
-    def _patience(self) -> int:
-        """us that a reply may take; more with each round, as the few in service may be asked by many."""
+    def _reply_timeout_us(self) -> int:
+        """Timeout of a reply in us. It grows with each round, as many routers may send requests to the few in
+        service."""
         rounds = 1 + ROUNDS - self._requests_left // self._plan.max_reports
         return 2 * self._plan.reply_us * rounds
 
     def receive(self, sender: int, message: Message) -> None:
-        """The reply of a router that was asked; only its first counts."""
+        """Process the reply of a router; only its first one is used."""
         request = self.requests.get(sender)
         if request is not None and request.reply is None:
             request.reply = message
 
     def finish(self, now: int, *, overdue: bool) -> None:
-        """Use what came, once all that were asked have replied, or nobody is left to ask, or ``overdue``."""
+        """Merge the reports if all requests have replies, or no router is left for a request, or if
+        ``overdue``."""
         if self.complete or (not overdue and self._expects_more(now)):
             return
         self.complete = True
@@ -95,26 +97,26 @@
             for r in self.requests.values()
             if r.reply
         ]
-        self._use(now, reports)
+        self._merge_reports(now, reports)
 
     def _expects_more(self, now: int) -> bool:
         requests = self.requests.values()
-        if any(r.reply is None and now - r.last_sent_at < self._patience for r in requests):
+        if any(r.reply is None and now - r.last_sent_at < self._reply_timeout_us for r in requests):
             return True
         replies = sum(bool(r.reply) for r in requests)
         reachable = min(self._survey.full_service_count(), self._plan.max_reports)
         return replies < reachable and self._requests_left > 0
 
     def restore_snapshot(self, now: int, snapshot: PeerReport, *, use: bool) -> None:
-        """What an earlier incarnation of this router stored; reports of others count for more.
+        """Keep a snapshot that an earlier incarnation of this router stored; reports of others replace it.
 
-        ``use``: whether it may be used at once where no report came.
+        ``use``: whether it may be used at once if there were no reports.
         """
         self._snapshot = snapshot, now
         if use and self.complete and self.merged is None:
-            self._use(now, [])
+            self._merge_reports(now, [])
 
-    def _use(self, now: int, reports: list[PeerReport]) -> None:
+    def _merge_reports(self, now: int, reports: list[PeerReport]) -> None:
         if not reports and self._snapshot is not None:
             snapshot, read_at = self._snapshot
             self.snapshot_us = snapshot.age_us + now - read_at
@@ -126,18 +128,18 @@
             self.on_estimates(self.merged)
 
     def source(self) -> str:
-        """Where the estimates that are used came from, for people; its first word is a label of metrics."""
+        """Source of the estimates in use, for operators; its first word is a label value of a metric."""
         if self.snapshot_us is not None:
             return f"snapshot {self.snapshot_us / SECOND:.0f} s old"
         return f"hand-over from {len(self.sources)}"
 
     def summary(self) -> str:
-        """The same, with how many fields were not used."""
+        """The source, with the number of fields that were dropped."""
         if self.merged is None:
             return "no hand-over"
         return f"{self.source()}, {len(self.merged.dropped)} fields dropped"
 
 
 def _ignore(merged: MergedEstimates) -> None:
-    """Where nobody wants to know."""
+    """Default of ``on_estimates``: no action."""
     del merged
--- a/slipbay/warmup/fleet_survey.py
+++ b/slipbay/warmup/fleet_survey.py
@@ -1,4 +1,4 @@
-"""Who else runs, and who warms up too, from a sample of the fleet."""
+"""Survey: estimates from a sample of the fleet how many routers run and how many warm up."""
 
 from __future__ import annotations
 
@@ -11,84 +11,87 @@
 
 @dataclass(slots=True)
 class PeerState:
-    """Another router, as it last reported itself."""
+    """The last known state of another router."""
 
     phase: int
-    asked_us: bool  # it sent a survey request; else it replied to ours
+    sent_request: bool  # whether it sent a survey request; if not, it replied to one
 
 
 class FleetSurvey:
-    """Counts what the routers that were asked replied, and scales it to the fleet."""
+    """Counts the replies of the sample, and scales the counts to the fleet."""
 
-    def __init__(self, size: int, asked: Sequence[int]) -> None:
-        """``size``: of the fleet. ``asked``: the routers in the sample."""
+    def __init__(self, size: int, sample: Sequence[int]) -> None:
+        """``size``: of the fleet. ``sample``: routers that receive survey requests."""
         self._size = size
-        self.asked = asked
-        self.heard: dict[int, PeerState] = {}
-        self.running_routers: Callable[[], int] | None = None  # by the view, where it is on
+        self.sample = sample
+        self.peers: dict[int, PeerState] = {}
+        # returns the number of live routers by membership, if that is enabled
+        self.running_routers: Callable[[], int] | None = None
         self.rounds = 0
-        self.phase = Phase.BLANK  # of this router, which the state machine sets
+        self.phase = Phase.BLANK  # of this router; set by the state machine
 
     def receive(self, sender: int, message: Message) -> None:
-        """A survey request or reply."""
+        """Process a survey request or reply."""
         if self.phase is Phase.FULL:
             return
         phase = message.phase if message.phase in list(Phase) else Phase.BLANK
-        before = self.heard.get(sender)
-        asked_us = message.message_type is MessageType.SURVEY_REQUEST
-        self.heard[sender] = PeerState(phase, asked_us or (before is not None and before.asked_us))
+        before = self.peers.get(sender)
+        sent_request = message.message_type is MessageType.SURVEY_REQUEST
+        self.peers[sender] = PeerState(phase, sent_request or (before is not None and before.sent_request))
 
-    def unheard(self) -> list[int]:
-        """Routers in the sample that are not heard yet."""
-        return [n for n in self.asked if n not in self.heard]
+    def missing(self) -> list[int]:
+        """Routers in the sample that sent no message so far."""
+        return [n for n in self.sample if n not in self.peers]
 
     def is_complete(self, max_rounds: int) -> bool:
-        """Whether all in the sample were heard, or asked often enough."""
-        return not self.unheard() or self.rounds > max_rounds
+        """Whether all routers in the sample sent a message, or ``max_rounds`` requests were sent to them."""
+        return not self.missing() or self.rounds > max_rounds
 
     def in_full_service(self, router: int) -> bool:
-        """Whether a router reported that it is."""
-        return router in self.heard and self.heard[router].phase == Phase.FULL
+        """Whether a router reported to be in full service."""
+        return router in self.peers and self.peers[router].phase == Phase.FULL
 
     def full_service_count(self) -> int:
-        """Routers that were heard in full service."""
-        return sum(peer.phase == Phase.FULL for peer in self.heard.values())
+        """Number of routers that reported to be in full service."""
+        return sum(peer.phase == Phase.FULL for peer in self.peers.values())
 
     @property
-    def restarted(self) -> int:
-        """Routers whose earlier incarnations may have left queries on engines, and this one.
+    def restarted_count(self) -> int:
+        """Number of routers whose earlier incarnations may have left queries on engines, including this one.
 
-        Those in the sample that warm up, or did not reply; as many in the part of the fleet not asked.
+        It counts routers in the sample that warm up or did not reply, and scales the count to the fleet.
         """
-        return self._warming_up(len(self.unheard()))
+        return self._count_warming_up(len(self.missing()))
 
     @property
-    def warming_up(self) -> int:
-        """Routers that warm up and run, and this one: who does not reply does not run, and asks when it
-        does."""
-        return self._warming_up(0)
+    def warming_up_count(self) -> int:
+        """Number of routers that warm up, including this one. A router that does not reply is not running; it
+        sends a request itself once it runs."""
+        return self._count_warming_up(0)
 
     def _nothing_known(self) -> bool:
-        return self.phase <= Phase.HEARING and not self.heard
+        return self.phase <= Phase.HEARING and not self.peers
 
     def _scaled(self, count: int) -> int:
-        return round(count * (self._size - 1) / max(1, len(self.asked)))
+        return round(count * (self._size - 1) / max(1, len(self.sample)))
 
-    def _warming_up(self, silent: int) -> int:
+    def _count_warming_up(self, missing_count: int) -> int:
         if self._size == 1 or self.phase is Phase.FULL:
             return 1
         if self._nothing_known():
             return self._size
-        new = silent + sum(n in self.heard and not self.in_full_service(n) for n in self.asked)
-        asked_us = sum(peer.asked_us and peer.phase != Phase.FULL for peer in self.heard.values())
-        return 1 + min(self._size - 1, self._scaled(max(new, asked_us)))
+        warming_up_in_sample = missing_count + sum(
+            n in self.peers and not self.in_full_service(n) for n in self.sample
+        )
+        requesting_count = sum(peer.sent_request and peer.phase != Phase.FULL for peer in self.peers.values())
+        return 1 + min(self._size - 1, self._scaled(max(warming_up_in_sample, requesting_count)))
 
     @property
-    def sharing(self) -> int:
-        """Routers that share the engines now: those that run, by the view or as far as was heard."""
+    def running_count(self) -> int:
+        """Number of routers that share the engines now: those that run, by membership and by the survey."""
         if self._size == 1:
             return 1
         if self._nothing_known():
             return self._size
-        found = 1 + self._scaled(sum(n in self.heard for n in self.asked))
-        return max(1, min(found, self.running_routers())) if self.running_routers is not None else found
+        estimate = 1 + self._scaled(sum(n in self.peers for n in self.sample))
+        return max(1, min(estimate, self.running_routers())) if self.running_routers is not None else estimate
--- a/slipbay/warmup/metrics.py
+++ b/slipbay/warmup/metrics.py
@@ -1,5 +1,5 @@
-"""How a router comes back, as metrics in the Prometheus text format. Needs ``slipbay[fleet]``; only commands
-load it."""
+"""Warm-up of a router as metrics in the Prometheus text format. Requires ``slipbay[fleet]``; only commands
+import this module."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
 from slipbay.warmup.plan import Phase
 
 GAUGES = {
-    "since_s": "Seconds that it has been in its phase.",
-    "life_s": "Seconds since its start.",
-    "newcomers": "Routers that come back with it or are not up, and itself.",
-    "rivals": "Routers that come back with it and are up, and itself.",
+    "since_s": "Seconds since the router entered its phase.",
+    "life_s": "Seconds since the start of the router.",
+    "newcomers": "Routers in warm-up or not running, including this one.",
+    "rivals": "Routers in warm-up that run, including this one.",
     "sharers": "Routers that share the engines.",
-    "held": "Part of all threads that earlier lives' queries may hold.",
-    "opens": "New connections a second that it may open; absent: as many as it wants.",
-    "threads": "Threads that requests hold which it let in while it came back.",
-    "bound": "Threads that they may hold; absent: no bound.",
+    "held": "Fraction of all threads that queries of earlier incarnations may hold.",
+    "opens": "Limit of new connections per second; absent: no limit.",
+    "threads": "Threads held by requests that were admitted during warm-up.",
+    "bound": "Limit of these threads; absent: no limit.",
     "waiting": "Queries that wait for an engine.",
-    "full_after_s": "Seconds from its start to full service; absent: not there yet.",
+    "full_after_s": "Seconds from the start to full service; absent: still in warm-up.",
 }
 
 
 def exposition(status: dict[str, Any]) -> str:
-    """The text for a status as ``slipbay comeback status --json`` gives it."""
+    """The metrics of a status that ``slipbay comeback status --json`` prints."""
     registry = CollectorRegistry()
     name = status["name"]
     phase = Gauge(
-        "slipbay_comeback_phase", "1 for the phase that it is in.", ["router", "phase"], registry=registry
+        "slipbay_comeback_phase", "1 for the current phase.", ["router", "phase"], registry=registry
     )
-    for each in Phase:
-        phase.labels(name, each.name.lower()).set(status["phase"] == each.name.lower())
-    for key, about in GAUGES.items():
-        gauge = Gauge(f"slipbay_comeback_{key}", about, ["router"], registry=registry)
+    for entry in Phase:
+        phase.labels(name, entry.name.lower()).set(status["phase"] == entry.name.lower())
+    for key, description in GAUGES.items():
+        gauge = Gauge(f"slipbay_comeback_{key}", description, ["router"], registry=registry)
         if status[key] is not None:
             gauge.labels(name).set(status[key])
     Counter(
-        "slipbay_comeback_refused", "Requests that were told to return later.", ["router"], registry=registry
+        "slipbay_comeback_refused", "Requests rejected with a time to retry.", ["router"], registry=registry
     ).labels(name).inc(status["refused"])
     age = Gauge(
         "slipbay_comeback_news_age_s",
-        "Age of what others or its snapshot told it.",
+        "Age of the estimates from peers or from the snapshot.",
         ["router", "source"],
         registry=registry,
     )
--- a/slipbay/warmup/service.py
+++ b/slipbay/warmup/service.py
@@ -1,5 +1,5 @@
-"""The warm-up of a running router: its state machine on the channel, the admission gate, updates to the
-policy, log lines and a status.
+"""Warm-up of a running router: connects the state machine to admission, the policy, the log and the
+status.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from slipbay.warmup.plan import Phase, WarmupPlan
 from slipbay.warmup.state_machine import WarmupStateMachine
 
-PART = "comeback"
-GROUPS = 20  # as many as fit in a message at most
+LOG_KIND = "comeback"
+GROUPS = 20  # upper bound of the query groups that fit in a message
 SNAPSHOT_US = 5_000_000  # between snapshots
-LIMIT_UPDATE_US = 25_000  # between updates of connection limits; a held query may wait so much longer
+LIMIT_UPDATE_US = 25_000  # between updates of connection limits; may delay a queued query by this time
 
 
 class WarmupService:
-    """An admission gate until full service; then it only replies to routers that warm up."""
+    """An admission gate until full service; after that it only replies to routers in warm-up."""
 
     def __init__(
         self,
@@ -37,8 +37,8 @@
         own_estimates: Callable[[], tuple[EstimatesRestored, int]],
         waiting: Callable[[], int],
     ) -> None:
-        """``own_estimates``: what the policy learned, and the retries that it counts; ``waiting``: how many
-        queries it holds.
+        """``own_estimates``: returns the estimates of the policy and the retries that it counts. ``waiting``:
+        returns the number of queries that wait in the policy.
         """
         self._settings = settings
         self._dispatcher = dispatcher
@@ -64,8 +64,8 @@
         self._update_limits()
 
     def status(self) -> dict[str, object]:
-        """The state machine's, with the threads that admitted requests hold, of how many, and the queries
-        that wait with the policy.
+        """Status of the state machine, with the threads of admitted requests, their limit, and the queries
+        that wait in the policy.
         """
         now = self._now()
         machine = self.machine
@@ -80,14 +80,14 @@
         }
 
     def start(self) -> None:
-        """The channel ticks the state machine, but that of a fleet of one, which has none."""
+        """Call ``tick`` of the state machine in a fleet of one, which has no channel that does so."""
         now = self._now()
         if self.machine.size == 1 and self.machine.phase is not Phase.FULL:
             self.machine.tick(now)
             self._timers.at(max(now + 1, self.machine.next_tick()), self.start)
 
     def endpoints_changed(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
-        """A watch event, or a call of the list, came or failed."""
+        """Update the cores of ready engines from an endpoint list or a watch event."""
         if kind is ListKind.FAILED:
             return
         if kind is not ListKind.DELTA:
@@ -107,7 +107,7 @@
     # The admission gate
 
     def admit(self, request: Request) -> int | None:
-        """None: it is admitted. Else after how many us its client should return."""
+        """None if the request is admitted, else the Retry-After in us."""
         machine = self.machine
         if machine.phase is Phase.FULL:
             return None
@@ -115,19 +115,20 @@
         service_class = self._settings.classes[request.service_class]
         threads = service_class.threads
         if self._threads + threads > machine.limits.threads(now, self._all_cores()):
-            wait = machine.limits.retry_after(now, service_class.latency_objective_us)
-            if wait is not None:
-                return min(wait, self._settings.max_retry_after_us)  # 0: no time is named
+            retry_after_us = machine.limits.retry_after(now, service_class.latency_objective_us)
+            if retry_after_us is not None:
+                # 0: the rejection has no Retry-After
+                return min(retry_after_us, self._settings.max_retry_after_us)
         self._admitted[request.id] = threads
         self._threads += threads
         return None
 
     def release(self, request: Request) -> None:
-        """A request has ended."""
+        """Release the threads of a request that has ended."""
         self._threads -= self._admitted.pop(request.id, 0)
 
     def _update_limits(self) -> None:
-        """Notify the policy which connections it may open."""
+        """Notify the policy of the connection limits, repeatedly while there are limits."""
         limits = self.machine.limits.connection_limits(self._now())
         self._dispatcher.notify(limits)
         if limits.limit_connections:
@@ -141,7 +142,7 @@
         if merged.retries:
             self._dispatcher.notify(RetryBudgetRestored((), ((now, float(merged.retries)),)))
         log(
-            PART,
+            LOG_KIND,
             f"{self.machine.collector.source()}: {', '.join(merged.used) or 'nothing'} used",
             dropped=", ".join(merged.dropped) or "none",
         )
@@ -149,32 +150,36 @@
     def _log_phase(self, phase: Phase, evidence: str) -> None:
         machine = self.machine
         after_s = (self._now() - machine.started) / 1e6
-        log(PART, f"{phase.name.lower()}: {evidence}", after_s=f"{after_s:.3f}")
+        log(LOG_KIND, f"{phase.name.lower()}: {evidence}", after_s=f"{after_s:.3f}")
         if phase is not Phase.FULL:
             return
-        # requests that it admitted end uncounted
+        # the gate does not count the end of requests that are still open
         self._dispatcher.admission_gates.remove(self)
         full_after_s = (machine.full_at - machine.started) / 1e6
         summary = machine.collector.summary()
-        log(PART, f"full service after {full_after_s:.1f} s ({summary})", refused=machine.limits.rejections)
+        log(
+            LOG_KIND,
+            f"full service after {full_after_s:.1f} s ({summary})",
+            refused=machine.limits.rejections,
+        )
 
     # Snapshots
 
     def keep_snapshots(self, write: Callable[[bytes], None]) -> None:
-        """Have ``write`` store what is known from time to time, once in full service."""
+        """Store a snapshot with ``write`` periodically while in full service."""
 
-        def write_again() -> None:
+        def write_snapshot() -> None:
             if self.machine.phase is Phase.FULL:
                 estimates, retries = self._own_estimates()
                 write(snapshot.write(estimates, retries, self._now()))
-            self._timers.after(SNAPSHOT_US, write_again)
+            self._timers.after(SNAPSHOT_US, write_snapshot)
 
-        self._timers.after(SNAPSHOT_US, write_again)
+        self._timers.after(SNAPSHOT_US, write_snapshot)
 
     def restore_snapshot(self, value: bytes) -> None:
-        """The last one that an earlier incarnation of this router stored."""
+        """Restore the last snapshot that an earlier incarnation of this router stored."""
         now = self._now()
         try:
             self.machine.restore_snapshot(now, snapshot.read(value, now))
         except snapshot.SnapshotError as problem:
-            log(PART, f"the snapshot is not used: {problem.reason}")
+            log(LOG_KIND, f"snapshot not used: {problem.reason}")
--- a/slipbay/warmup/settings.py
+++ b/slipbay/warmup/settings.py
@@ -1,5 +1,5 @@
-"""``deploy/comeback.toml``: whether a new life finds its way back by evidence, and within which bounds.
-Mistakes name file, key and reason."""
+"""Reads ``deploy/comeback.toml``: whether warm-up is enabled, and its parameters. Errors name file, key and
+reason."""
 
 from __future__ import annotations
 
@@ -20,8 +20,10 @@
 def load_comeback(
     config: Config, environment: Mapping[str, str], channel: ChannelConfig | None
 ) -> WarmupPlan | None:
-    """None if the file is absent or says ``enabled = false``; then nothing is imported for it. A fleet of one
-    needs no channel. Raises ``ConfigError``."""
+    """The plan, or None if the file is absent or has ``enabled = false``; then no module is imported for it.
+
+    A fleet of one needs no channel. Raises ``ConfigError``.
+    """
     path = Path(environment.get("SLIPBAY_COMEBACK") or COMEBACK_FILE)
     if (data := switched_on(path)) is None:
         return None
--- a/slipbay/warmup/snapshot.py
+++ b/slipbay/warmup/snapshot.py
@@ -1,7 +1,7 @@
-"""What a router learned, as one record of its durable store.
+"""Snapshot of a router's estimates, one record of its durable store.
 
-Version, when, the estimates as they are sent to others, and a checksum. Times are us of the Unix clock, which
-a start reads anew.
+The record has a version, a time, the estimates in the format of messages, and a checksum. Times are in us of
+the Unix clock, so that they are valid across restarts.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class SnapshotError(SlipbayError, ValueError):
-    """A snapshot that cannot be used; ``reason`` says why."""
+    """A snapshot that cannot be used, with the reason."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -29,26 +29,26 @@
 
 
 def write(estimates: EstimatesRestored, retries: int, at_us: int) -> bytes:
-    """The record of what is known at ``at_us``."""
+    """The record of estimates at time ``at_us``."""
     message = Message(MessageType.ESTIMATES, 0, retries=retries, estimates=estimates)
     body = HEAD.pack(VERSION, at_us) + codec.encode(message)
     return body + _checksum(body)
 
 
 def read(value: bytes, now_us: int) -> PeerReport:
-    """What a record held, with its age. Raises ``SnapshotError`` where it cannot be used."""
+    """The estimates of a record, with their age. Raises ``SnapshotError`` if it cannot be used."""
     body = value[:-CHECKSUM_BYTES]
     if value[-CHECKSUM_BYTES:] != _checksum(body):
-        raise SnapshotError("it is not whole")
+        raise SnapshotError("the checksum is wrong")
     try:
         version, at_us = HEAD.unpack_from(body)
     except error:
-        raise SnapshotError("it is cut off") from None
+        raise SnapshotError("the record is truncated") from None
     message = codec.decode(body[HEAD.size :]) if version == VERSION else None
     if message is None:
-        raise SnapshotError(f"it is of version {version}")
+        raise SnapshotError(f"it cannot be decoded; its version is {version}")
     if at_us > now_us:
-        raise SnapshotError("it is of a time to come: a clock was set back")
+        raise SnapshotError("its time is in the future: the clock was set back")
     return PeerReport(message.estimates, message.retries, now_us - at_us)
 
 
--- a/slipbay/warmup/state_machine.py
+++ b/slipbay/warmup/state_machine.py
@@ -1,9 +1,9 @@
-"""A new incarnation's warm-up, as a state machine without I/O, clock or randomness.
+"""The warm-up of a new incarnation as a state machine without I/O, clock or random source.
 
-It surveys a part of the fleet, takes its part of what engines can bear beside the queries of earlier
-incarnations, and asks a few routers in full service for what they learned. Phases are entered on evidence;
-the only times that count are bounds of others: how long an engine runs a query that nobody polls, and how
-long a reply may take.
+It surveys a sample of the fleet, limits its queries to its share of what the queries of earlier incarnations
+leave, and requests the estimates of a few routers in full service. It enters a phase when there is evidence
+for it. The only timeouts are bounds of other components: how long an engine runs a query that no client
+polls, and how long a reply takes.
 """
 
 from __future__ import annotations
@@ -21,13 +21,14 @@
 from slipbay.warmup.peer_estimates import PeerReport
 from slipbay.warmup.plan import SECOND, Phase, WarmupPlan
 
-IDLE_US = 10 * SECOND  # between ticks in full service, which do nothing
-SMALL_PART = 0.2  # of the fleet that warms up: its leftover queries are less than chance alone makes of load
+IDLE_US = 10 * SECOND  # between ticks in full service, which have no effect
+# of the fleet: if fewer routers restarted, their leftover queries are within the random variation of the load
+SMALL_FRACTION = 0.2
 NONCES = 2**16  # a u16 in messages
 
 
 class WarmupStateMachine:
-    """One router's end. Times are us of its clock."""
+    """The warm-up of one router. Times are in us of its clock."""
 
     def __init__(
         self,
@@ -39,15 +40,15 @@
         plan: WarmupPlan | None = None,
         free_retries: float = 0.0,
     ) -> None:
-        """``own_estimates``: what this router's policy learned by a time, and the retries that it counts.
-        ``free_retries``: that the policy grants without requests.
+        """``own_estimates``: returns the estimates of this router's policy at a time, and the retries that it
+        counts. ``free_retries``: retries that the policy allows before any request.
         """
         self.me = me
         self.size = size
         self.started = now
         self.plan = plan or WarmupPlan()
         self.phase = Phase.BLANK
-        self.evidence = "the list alone is known"  # for the phase
+        self.evidence = "only the endpoint list is known"  # for the current phase
         self.entered = now
         self.full_at = 0
         self.on_phase_change: Callable[[Phase, str], None] = _ignore
@@ -60,36 +61,36 @@
         self.collector = EstimateCollector(self.plan, self.survey, order, free_retries)
 
     def set_engine_count(self, count: int) -> None:
-        """How many engines are listed."""
+        """Set the number of engines in the endpoint list."""
         self.limits.engine_count = count
         self.collector.engine_count = count
 
     def restore_snapshot(self, now: int, snapshot: PeerReport) -> None:
-        """What an earlier incarnation of this router stored."""
+        """Restore a snapshot that an earlier incarnation of this router stored."""
         self.collector.restore_snapshot(now, snapshot, use=self.phase is not Phase.FULL)
 
     def status(self, now: int) -> dict[str, object]:
-        """What is known and held back, for commands. Times in s, ``held`` as part of all threads.
+        """The status for commands. Times are in s; ``held`` is a fraction of all threads.
 
-        Operators' scripts read the keys, so they stay as they are.
+        The keys are an interface for scripts of operators.
         """
         connections = self.limits.connections_per_s()
-        full = self.phase is Phase.FULL
+        in_full_service = self.phase is Phase.FULL
         return {
             "phase": self.phase.name.lower(),
             "evidence": self.evidence,
             "since_s": _seconds(now - self.entered),
             "life_s": _seconds(now - self.started),
-            "newcomers": self.survey.restarted,
-            "rivals": self.survey.warming_up,
-            "sharers": self.survey.sharing,
-            "asked": len(self.survey.asked),
-            "heard": len(self.survey.heard),
+            "newcomers": self.survey.restarted_count,
+            "rivals": self.survey.warming_up_count,
+            "sharers": self.survey.running_count,
+            "asked": len(self.survey.sample),
+            "heard": len(self.survey.peers),
             "held": round(self.limits.leftover(now), 3),
             "opens": None if connections == float("inf") else round(connections, 2),
             "few": self.limits.connection_limits(now).limit_connections,
             "refused": self.limits.rejections,
-            "full_after_s": _seconds(self.full_at - self.started) if full else None,
+            "full_after_s": _seconds(self.full_at - self.started) if in_full_service else None,
             "news": self._estimates_status(now),
         }
 
@@ -107,20 +108,20 @@
     # Messages
 
     def receive(self, now: int, sender: int, life: int, body: bytes) -> list[Send]:
-        """A message of another router and its incarnation, ``life``; returns what is to be sent."""
-        del life  # the nonce tells replies to this incarnation from those to an earlier one
+        """Process a message of another router with incarnation ``life``; returns the messages to send."""
+        del life  # the nonce distinguishes replies to this incarnation from those to an earlier one
         message = codec.decode(body)
         if message is None or sender == self.me:
             return []
-        full = self.phase is Phase.FULL
+        in_full_service = self.phase is Phase.FULL
         match message.message_type:
             case MessageType.SURVEY_REQUEST:
                 self.survey.receive(sender, message)
                 return [(sender, self._state(MessageType.SURVEY_REPLY, message.nonce, now))]
             case MessageType.SURVEY_REPLY:
-                if message.nonce == self._nonce and sender in self.survey.asked:
+                if message.nonce == self._nonce and sender in self.survey.sample:
                     self.survey.receive(sender, message)
-            case MessageType.ESTIMATES_REQUEST if full:
+            case MessageType.ESTIMATES_REQUEST if in_full_service:
                 return [(sender, self._estimates(message.nonce, now))]
             case MessageType.ESTIMATES if message.nonce == self._nonce:
                 self.collector.receive(sender, message)
@@ -136,11 +137,11 @@
     # Time
 
     def next_tick(self) -> int:
-        """When ``tick`` is to be called next."""
+        """Time of the next call of ``tick``."""
         return self._next
 
     def tick(self, now: int) -> list[Send]:
-        """Time passes; returns what is to be sent."""
+        """Process the passing of time; returns the messages to send."""
         sends: list[Send] = []
         if self.phase is Phase.FULL:
             self._next = now + IDLE_US
@@ -149,7 +150,7 @@
             self.survey.rounds += 1
             if self.survey.rounds <= self.plan.max_rounds:
                 request = self._state(MessageType.SURVEY_REQUEST, self._nonce, now)
-                sends += [(router, request) for router in self.survey.unheard()]
+                sends += [(router, request) for router in self.survey.missing()]
             sends += self._request_estimates(now)
         return sends + self._advance(now)
 
@@ -162,26 +163,28 @@
     # Phases
 
     def _advance(self, now: int) -> list[Send]:
-        """Enter the phases for which there is evidence."""
+        """Enter the phases for which there is evidence; returns the messages to send."""
         survey = self.survey
-        if self.phase is Phase.BLANK and (survey.rounds or survey.heard or self.size == 1):
-            self._enter(now, Phase.HEARING, f"{len(survey.asked)} of {self.size - 1} others are asked")
+        if self.phase is Phase.BLANK and (survey.rounds or survey.peers or self.size == 1):
+            self._enter(
+                now, Phase.HEARING, f"survey sent to {len(survey.sample)} of {self.size - 1} other routers"
+            )
         if self.phase is Phase.HEARING and survey.is_complete(self.plan.max_rounds):
             self._enter(
                 now,
                 Phase.RAMPING,
-                f"{len(survey.heard)} heard of {len(survey.asked)} asked, "
-                f"{survey.restarted} restarted, {survey.sharing} run",
+                f"{len(survey.peers)} routers known after {len(survey.sample)} requests, "
+                f"{survey.restarted_count} restarted, {survey.running_count} running",
             )
         sends = self._request_estimates(now) if self.phase is Phase.RAMPING else []
         leftover_ended = self.limits.leftover_ended(now)
         if self.phase >= Phase.RAMPING:
             self.collector.finish(now, overdue=leftover_ended)
-        small = self.limits.leftover(now) < SMALL_PART * self.plan.leftover_share
-        if self.phase is Phase.RAMPING and self.collector.complete and small:
+        is_leftover_small = self.limits.leftover(now) < SMALL_FRACTION * self.plan.leftover_share
+        if self.phase is Phase.RAMPING and self.collector.complete and is_leftover_small:
             self.full_at = now
             ended = "queries of earlier incarnations have ended"
-            self._enter(now, Phase.FULL, ended if leftover_ended else "most others never stopped")
+            self._enter(now, Phase.FULL, ended if leftover_ended else "most other routers did not restart")
         return sends
 
     def _enter(self, now: int, phase: Phase, evidence: str) -> None:
@@ -193,7 +196,7 @@
 
 
 def _ignore(phase: Phase, evidence: str) -> None:
-    """Where nobody wants to know."""
+    """Default of ``on_phase_change``: no action."""
     del phase, evidence
 
 
@@ -202,7 +205,7 @@
 
 
 def _order(me: int, size: int, seed: int) -> list[int]:
-    """All other routers, from a place and by a stride that follow from the seed."""
+    """All other routers, in an order with a start and a stride that depend on the seed."""
     others = [n for n in range(size) if n != me]
     start = (seed >> 16) % max(1, len(others))
     stride = _stride(len(others), seed >> 32)
@@ -210,7 +213,7 @@
 
 
 def _stride(count: int, seed: int) -> int:
-    """A step that visits all of a ring of ``count`` places."""
+    """A step that visits all positions of a ring with ``count`` positions."""
     step = 1 + seed % max(1, count)
     while count > 1 and gcd(step, count) != 1:
         step += 1
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -144,7 +144,7 @@
     machine.tick(0)
     assert machine.phase is Phase.RAMPING
     assert machine.limits.list_slot() == 0
-    assert machine.survey.restarted == 1
+    assert machine.survey.restarted_count == 1
 
 
 def test_all_start_at_once_and_reach_full_service_on_evidence_within_the_bound() -> None:
@@ -152,7 +152,7 @@
     routers = ChannelFleet(40, make(40, alive), drift_ppm=500)
     routers.start()
     routers.run(1.0)
-    assert all(m.phase is Phase.RAMPING and m.survey.restarted == 40 for m in alive.values())
+    assert all(m.phase is Phase.RAMPING and m.survey.restarted_count == 40 for m in alive.values())
     budget = sum(m.limits.connections_per_s() for m in alive.values())
     assert budget <= max(WarmupPlan.connections_per_s * 8, 40 * WarmupPlan.min_connections_per_s) * 1.001
     assert sum(m.limits.threads(m.started + SECOND, 320) for m in alive.values()) <= 1.6 * 320 * 1.8
@@ -370,10 +370,10 @@
     told = snapshot.read(value, 10**15 + age)
     assert told.age_us == age
     assert told.retries == extras
-    with pytest.raises(ValueError, match="to come"):
+    with pytest.raises(ValueError, match="its time is in the future"):
         snapshot.read(value, 10**15 - 1)
     place %= len(value)
-    with pytest.raises(ValueError, match="whole"):
+    with pytest.raises(ValueError, match="the checksum is wrong"):
         snapshot.read(value[:place] + bytes([value[place] ^ 1]) + value[place + 1 :], 10**15)
     machine = WarmupStateMachine(0, 1, 1, 0, lambda now: (GOOD, 0))
     machine.restore_snapshot(0, told)
