--- a/tests/channel_play.py
+++ b/tests/channel_play.py
@@ -1,6 +1,6 @@
-"""Routers as processes, some of which say all they can on the channel: what left each, and who was served.
+"""Runs router processes, some of which send as much as the channel allows, and records what each one sends.
 
-``python tests/channel_play.py`` plays it once and prints a line for each router.
+``python tests/channel_play.py`` runs it once and prints one line for each router.
 """
 
 from __future__ import annotations
@@ -38,95 +38,98 @@
 
 
 @dataclass
-class Heard:
-    """Datagrams that left each router: when, in s, and how long they were."""
-
-    began: float = field(default_factory=time.monotonic)
-    status: dict[int, dict[str, Any]] = field(default_factory=dict)  # told by those with a channel
-    at_status: dict[int, int] = field(default_factory=dict)  # bytes that had left each before it told
-    framed: Counter[int] = field(default_factory=Counter)  # datagrams of the channel
+class Traffic:
+    """Datagrams that each router sent: time in s and size in bytes."""
+
+    started_s: float = field(default_factory=time.monotonic)
+    status: dict[int, dict[str, Any]] = field(default_factory=dict)  # of the routers with a channel
+    # bytes that each router had sent before its status
+    at_status: dict[int, int] = field(default_factory=dict)
+    framed: Counter[int] = field(default_factory=Counter)  # datagrams of the channel, by router
     sent: defaultdict[int, list[tuple[float, int]]] = field(default_factory=lambda: defaultdict(list))
 
-    def most(self, number: int, seconds: float = 1.0) -> int:
-        """Bytes in the fullest window."""
+    def max_bytes(self, number: int, seconds: float = 1.0) -> int:
+        """Largest number of bytes in any window."""
         log = self.sent[number]
-        first = 0
+        oldest = 0
         total = 0
-        most = 0
+        maximum = 0
         for at, size in log:
             total += size
-            while log[first][0] <= at - seconds:
-                total -= log[first][1]
-                first += 1
-            most = max(most, total)
-        return most
-
-    def worst(self, number: int, rate: float = 1_000) -> float:
-        """By how many bytes it was over ``rate x t`` at any time t since the play's start. A machine that
-        held its messages back can not falsify that, as it can what left in shorter spans."""
+            while log[oldest][0] <= at - seconds:
+                total -= log[oldest][1]
+                oldest += 1
+            maximum = max(maximum, total)
+        return maximum
+
+    def max_excess(self, number: int, rate: float = 1_000) -> float:
+        """Largest excess in bytes over ``rate x t`` at any time t since the start of the run. A host that
+        delays messages does not distort this figure, but it distorts the bytes of shorter intervals."""
         over = 0.0
         total = 0
         for at, size in self.sent[number]:
             total += size
-            over = max(over, total - rate * (at - self.began))
+            over = max(over, total - rate * (at - self.started_s))
         return over
 
 
-class Asking(Rig):
-    """Asks those with a channel for their counters, when the load is over."""
+class StatusRig(Rig):
+    """Requests the counters of the routers with a channel when the load ends."""
 
-    heard: Heard
-    asked: Iterable[int]
+    traffic: Traffic
+    routers_with_channel: Iterable[int]
 
     async def _settle(self) -> None:
-        for number in self.asked:
-            self.heard.at_status[number] = sum(size for _, size in self.heard.sent[number])
-            self.heard.status[number] = await asyncio.to_thread(ask, self.real[number], question(0), 5.0)
+        for number in self.routers_with_channel:
+            self.traffic.at_status[number] = sum(size for _, size in self.traffic.sent[number])
+            self.traffic.status[number] = await asyncio.to_thread(ask, self.real[number], question(0), 5.0)
 
 
-def listening(heard: Heard) -> type[UdpRelay]:
-    class Listening(UdpRelay):
+def recording_relay(traffic: Traffic) -> type[UdpRelay]:
+    class RecordingRelay(UdpRelay):
         def datagram_received(self, data: bytes, addr: Address) -> None:
             if addr == self.links.real[self.near]:
-                heard.sent[self.near].append((time.monotonic(), len(data)))
-                heard.framed[self.near] += is_framed(data)
+                traffic.sent[self.near].append((time.monotonic(), len(data)))
+                traffic.framed[self.near] += is_framed(data)
             super().datagram_received(data, addr)
 
-    return Listening
+    return RecordingRelay
 
 
-def play(channel: dict[int, str], views: dict[int, str], *words: str, **more: Any) -> tuple[Verdict, Heard]:
-    """``channel``, ``views``: texts of operator files by router; others run without. ``words``: arguments of
-    those with a channel."""
+def run_scenario(
+    channel_files: dict[int, str], fleet_files: dict[int, str], *arguments: str, **more: Any
+) -> tuple[Verdict, Traffic]:
+    """Run the scenario. ``channel_files``, ``fleet_files``: texts of channel.toml and fleet.toml by router;
+    other routers have none. ``arguments``: of the routers with a channel."""
     from slipbay.rig import udp_proxy
 
-    heard = Heard()
+    traffic = Traffic()
     relay = udp_proxy.UdpRelay
-    udp_proxy.UdpRelay = listening(heard)  # type: ignore[misc]
+    udp_proxy.UdpRelay = recording_relay(traffic)  # type: ignore[misc]
     try:
         with tempfile.TemporaryDirectory() as folder:
             script = from_table({**SCRIPT, "fleet": "enabled = true", "channel": "", **more})
-            rig = Asking(script, Path(folder))
-            rig.heard = heard
-            rig.asked = list(channel)
+            rig = StatusRig(script, Path(folder))
+            rig.traffic = traffic
+            rig.routers_with_channel = list(channel_files)
             for number, router in enumerate(rig.routers):
-                router.write("channel", channel.get(number, ""))
-                router.write("fleet", views.get(number, ""))
-                if number in channel:
-                    router.program = (str(CHATTY), *words)
-            return asyncio.run(rig.play()), heard
+                router.write("channel", channel_files.get(number, ""))
+                router.write("fleet", fleet_files.get(number, ""))
+                if number in channel_files:
+                    router.program = (str(CHATTY), *arguments)
+            return asyncio.run(rig.play()), traffic
     finally:
         udp_proxy.UdpRelay = relay  # type: ignore[misc]
 
 
 def main() -> None:
     on = "enabled = true\n"
-    verdict, heard = play({2: on, 3: on}, {1: on, 2: on, 3: on}, without_view=[0])
+    verdict, traffic = run_scenario({2: on, 3: on}, {1: on, 2: on, 3: on}, without_view=[0])
     for number in range(4):
-        size = sum(size for _, size in heard.sent[number])
+        size = sum(size for _, size in traffic.sent[number])
         print(
-            f"router {number}: {size} bytes in {len(heard.sent[number])} datagrams, "
-            f"at most {heard.most(number)} in 1 s"
+            f"router {number}: {size} bytes in {len(traffic.sent[number])} datagrams, "
+            f"at most {traffic.max_bytes(number)} in 1 s"
         )
     print(dict(verdict.outcomes), verdict.faults)
 
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -1,4 +1,5 @@
-"""The channel between routers: its frames, its budget, terms, and its machine on the emulator's network."""
+"""The peer channel: frames, byte budget, leases, settings and status, and the multiplexer on the network of
+the emulator."""
 
 from __future__ import annotations
 
@@ -41,11 +42,11 @@
 from slipbay.policy.settings import Effect, ServiceClass, Settings
 
 KEY = b"a key of sixteen"
-TELLING = {**SETTINGS, "policyLimits": {**SETTINGS["policyLimits"], "mayTell": True}}
+GOSSIP_SETTINGS = {**SETTINGS, "policyLimits": {**SETTINGS["policyLimits"], "mayTell": True}}
 
 
 @given(st.binary(max_size=MOST_BODY), st.booleans(), st.integers(16, 127))
-def test_a_body_comes_back_and_routers_with_the_view_alone_skip_it(
+def test_a_frame_decodes_to_itself_and_routers_without_a_channel_skip_it(
     body: bytes, keyed: bool, kind: int
 ) -> None:
     key = KEY if keyed else b""
@@ -54,7 +55,7 @@
     assert frame.is_framed(data)
     assert (len(data) - 5) % 3
     assert frame.decode(data, [key] if key else []) == Frame(kind, 513, 65_535, body)
-    assert codec.decode(data, [key] if key else []) is None  # counted as skipped there
+    assert codec.decode(data, [key] if key else []) is None  # membership counts it as skipped
     with pytest.raises(frame.CorruptFrameError):
         frame.decode(data[:-1] + bytes([data[-1] ^ 1]), [key] if key else [])
 
@@ -63,63 +64,64 @@
     st.lists(st.tuples(st.integers(0, 300_000), st.integers(0, 19), st.integers(1, 256)), max_size=200),
     st.dictionaries(st.integers(0, 18), st.floats(0, 0.2), max_size=5),
 )
-def test_no_window_gets_more_than_the_rate_and_each_kind_gets_its_part(
-    asks: list[tuple[int, int, int]], parts: dict[int, float]
+def test_no_window_exceeds_the_rate_and_each_kind_gets_its_share(
+    requests: list[tuple[int, int, int]], parts: dict[int, float]
 ) -> None:
     budget = ByteBudget(1_000, parts, 0)
     now = 0
     granted = list[tuple[int, int, int]]()
-    for wait, kind, size in asks:
+    for wait, kind, size in requests:
         now += wait
-        recent = [(k, s) for at, k, s in granted if at > now - WINDOW_US]
-        part = 1_000 * parts.get(kind, 0.0) - sum(s for k, s in recent if k == kind)
+        recent = [(k, s) for sent_us, k, s in granted if sent_us > now - WINDOW_US]
+        free_share = 1_000 * parts.get(kind, 0.0) - sum(s for k, s in recent if k == kind)
         if budget.take(now, kind, size):
             granted.append((now, kind, size))
             assert sum(s for _, s in recent) + size <= 1_000
         else:
-            assert size > part
+            assert size > free_share
 
 
-def test_what_is_in_no_part_goes_to_the_first_in_order_and_last_to_the_others() -> None:
+def test_the_rate_without_a_guarantee_is_divided_by_priority() -> None:
     budget = ByteBudget(1_000, {FrameKind.VIEW: 0.2}, 0)
     kinds = (FrameKind.VIEW, FrameKind.QUOTA, FrameKind.GATHER, FrameKind.DECISIONS, 99)
     assert [budget.room(0, kind) for kind in kinds] == [1_000, 700, 500, 400, 300]
     assert all(budget.take(0, FrameKind.GATHER, 100) for _ in range(5))
     assert budget.spent(0)[FrameKind.GATHER] == 500
     assert [budget.room(0, kind) for kind in kinds] == [500, 200, 0, 0, 0]
-    assert not budget.take(0, FrameKind.GATHER, 100)  # but what is in no part waits for it now
+    # this claim reserves the rate without a guarantee
+    assert not budget.take(0, FrameKind.GATHER, 100)
     assert [budget.room(0, kind) for kind in kinds] == [400, 100, 300, 0, 0]
     assert [budget.room(WINDOW_US, kind) for kind in kinds] == [900, 600, 800, 300, 200]
 
 
 @pytest.mark.parametrize("greedy", [10_000, 37_000, 90_000])
-def test_beside_greedy_kinds_each_gets_its_part_and_the_longest_message(greedy: int) -> None:
-    """With the default parts two kinds whose messages can be cut take all there is, two ask for the longest
-    message all the time, and one for such a one five times a second: it gets it within the turns of three,
-    though it has no part."""
+def test_greedy_kinds_leave_each_kind_its_share_and_the_longest_message(step_us: int) -> None:
+    """Guards against starvation, with the default shares. Two kinds whose messages can be truncated take all
+    available bytes, and two kinds request the longest message all the time. A kind without a share requests
+    the longest message five times per second, and gets it within three turns."""
     parts: dict[int, float] = {
         FrameKind[name.upper()]: part for name, part in msgspec.structs.asdict(BudgetShares()).items()
     }
     budget = ByteBudget(1_000, parts, 0)
-    got = Counter[int]()
-    at = list[int]()
-    for now in range(0, 60_000_000, greedy):
+    sent_bytes = Counter[int]()
+    sent_us = list[int]()
+    for now in range(0, 60_000_000, step_us):
         for kind in (FrameKind.DECISIONS, FrameKind.VIEW):
             while size := min(256, budget.room(now, kind)):
                 assert budget.take(now, kind, size)
-                got[kind] += size
+                sent_bytes[kind] += size
         for kind in (FrameKind.QUOTA, FrameKind.COMEBACK):
             while budget.take(now, kind, 256):
-                got[kind] += 256
-        if now % 200_000 < greedy and budget.take(now, FrameKind.GATHER, 256):
-            at.append(now)
-    assert max(b - a for a, b in itertools.pairwise([0, *at, 60_000_000])) <= 3 * (WINDOW_US + 200_000)
-    assert got[0] >= 72 * 60
-    assert got[1] >= 342 * 60
-    assert min(got[16], got[17]) >= 60 * 60
+                sent_bytes[kind] += 256
+        if now % 200_000 < step_us and budget.take(now, FrameKind.GATHER, 256):
+            sent_us.append(now)
+    assert max(b - a for a, b in itertools.pairwise([0, *sent_us, 60_000_000])) <= 3 * (WINDOW_US + 200_000)
+    assert sent_bytes[0] >= 72 * 60
+    assert sent_bytes[1] >= 342 * 60
+    assert min(sent_bytes[16], sent_bytes[17]) >= 60 * 60
 
 
-def test_a_kind_that_is_added_late_gets_its_part_after_a_window_and_nothing_is_overdrawn() -> None:
+def test_a_kind_that_is_added_late_gets_its_share_after_a_window_and_no_rate_is_exceeded() -> None:
     budget = ByteBudget(1_000, {}, 0)
     assert budget.take(0, FrameKind.VIEW, 1_000)
     budget.hold(FrameKind.QUOTA, 0.3)
@@ -131,10 +133,10 @@
         budget.hold(FrameKind.GATHER, 0.8)
 
 
-def test_messages_of_the_decisions_are_cut_to_whole_items_the_heaviest_first() -> None:
-    held = PeerLoads()
+def test_policy_gossip_is_truncated_to_complete_items_with_the_most_threads_first() -> None:
+    loads = PeerLoads()
     engines = [SimpleNamespace(digest=n, threads=n, peer_threads=0) for n in range(1, 90)]
-    body = held.begin(7, cast(Any, engines))
+    body = loads.begin(7, cast(Any, engines))
     assert len(body) == 254
     assert [len(cut(body, room)) for room in (256, 253, 100, 5, 4, 0)] == [254, 251, 98, 5, 0, 0]
     other = PeerLoads()
@@ -149,16 +151,16 @@
 
 
 class Echo:
-    """Says its number to all once a second, and keeps what it heard."""
+    """Sends its number to all routers once per second, and records the messages that it receives."""
 
     def __init__(self, me: int, size: int, now: int) -> None:
         self.me = me
         self.size = size
         self.due = now
-        self.heard: list[tuple[int, bytes]] = []
+        self.received: list[tuple[int, bytes]] = []
 
     def receive(self, now: int, sender: int, life: int, body: bytes) -> list[Send]:
-        self.heard.append((sender, body))
+        self.received.append((sender, body))
         return []
 
     def tick(self, now: int) -> list[Send]:
@@ -169,38 +171,40 @@
         return self.due
 
 
-def test_routers_of_the_emulator_hear_each_other_but_for_the_dead_the_stopped_and_the_cut_off() -> None:
+def test_emulated_routers_receive_messages_unless_they_are_killed_stopped_or_disconnected() -> None:
     def make(me: int, life: int, now: int) -> dict[int, ChannelEndpoint]:
         return {FrameKind.QUOTA: Echo(me, 4, now)}
 
     routers = ChannelFleet(4, make, drift_ppm=500, key=KEY)
     routers.start()
     routers.run(0.5)
-    heard = [cast(Echo, routers.party(me, FrameKind.QUOTA)).heard for me in range(4)]
-    assert [sorted(h) for h in heard] == [[(n, bytes([n])) for n in range(4) if n != me] for me in range(4)]
+    received = [cast(Echo, routers.party(me, FrameKind.QUOTA)).received for me in range(4)]
+    assert [sorted(router_messages) for router_messages in received] == [
+        [(n, bytes([n])) for n in range(4) if n != me] for me in range(4)
+    ]
     routers.kill([3])
     routers.stop(2)
     routers.network.cut([0], [1])
-    for each in heard:
-        each.clear()
+    for messages in received:
+        messages.clear()
     routers.run(1.0)
-    assert heard[0] == heard[1] == heard[2] == []
+    assert received[0] == received[1] == received[2] == []
     routers.go_on(2)
-    assert sorted(heard[2]) == [(0, b"\0"), (1, b"\1")]
+    assert sorted(received[2]) == [(0, b"\0"), (1, b"\1")]
 
 
-def test_what_is_not_of_a_known_party_is_counted_and_skipped() -> None:
+def test_messages_without_a_known_endpoint_are_counted_and_skipped() -> None:
     mux = Multiplexer(0, 3, 7, 0, key=KEY)
-    party = Echo(0, 3, 0)
-    mux.add(FrameKind.QUOTA, party)
+    endpoint = Echo(0, 3, 0)
+    mux.add(FrameKind.QUOTA, endpoint)
     good = frame.encode(Frame(FrameKind.QUOTA, 1, 9, b"x"), KEY)
     assert not mux.receive(0, good, 1)
-    assert party.heard == [(1, b"x")]
+    assert endpoint.received == [(1, b"x")]
     mux.receive(0, frame.encode(Frame(FrameKind.LATER, 1, 9, b"x"), KEY), 1)
     mux.receive(0, frame.encode(Frame(FrameKind.QUOTA, 1, 9, b"x"), b"another key of 16"), 1)
     mux.receive(0, good, 2)
     mux.receive(0, good, None)
-    assert len(party.heard) == 1
+    assert len(endpoint.received) == 1
     assert mux.counts == {"received": 1, "received 17": 1, "skipped": 1, "garbled": 1, "foreign": 2}
 
 
@@ -211,49 +215,55 @@
     st.integers(0, 5_000),
     st.integers(0, 1_000_000),
 )
-def test_a_term_is_over_at_its_granter_only_after_its_holder_let_go(
-    length: int, mine: int, its: int, jump: int, way: int
+def test_a_lease_is_over_for_its_granter_only_after_it_ended_for_its_holder(
+    length: int, granter_ppm: int, holder_ppm: int, jump: int, delay: int
 ) -> None:
-    """In true time: asked at 0, granted ``way`` later; both clocks drift, and the granter's leaps."""
+    """In true time the request is at 0 and the grant ``delay`` later. Both clocks drift, and the granter's
+    jumps."""
     clocks = ClockBounds(500, 5_000)
-    held = HeldLease(0, length)
+    lease = HeldLease(0, length)
     granted = GrantedLease(0, length)
-    pace = 1 + mine / 1e6
-    true = way + (clocks.surely(length) - jump) / pace + 1  # the first moment at which it is over
-    assert granted.over(int((true - way) * pace) + jump, clocks)
-    assert not granted.over(int((true - way - 3) * pace) + jump, clocks)
-    assert not held.valid(int(true * (1 + its / 1e6)))
+    granter_rate = 1 + granter_ppm / 1e6
+    true_us = delay + (clocks.surely(length) - jump) / granter_rate + 1  # the first time at which it is over
+    assert granted.over(int((true_us - delay) * granter_rate) + jump, clocks)
+    assert not granted.over(int((true_us - delay - 3) * granter_rate) + jump, clocks)
+    assert not lease.valid(int(true_us * (1 + holder_ppm / 1e6)))
 
 
-Step = tuple[int, int, int]  # true us that pass, and by how many ppm the two clocks run fast meanwhile
+Step = tuple[int, int, int]  # duration in us of true time, and by how many ppm each of the two clocks is fast
 
 
 def violations(
     steps: list[Step],
     jumps: tuple[int, int],
     at: tuple[int, int],
-    way: int,
+    delay: int,
     length: int,
     clocks: ClockBounds,
-    stood: bool = False,
+    use_old_time: bool = False,
 ) -> int:
-    """How often the granter gives away what its holder still uses. Clocks run fast or slow by step, and each
-    leaps once, before the step whose number ``at`` tells. ``stood``: the holder does not read its clock anew,
-    but goes by what it read when its process was stopped, at the first step."""
+    """How often a lease is over for its granter while it is valid for its holder.
+
+    The rates of the clocks differ by step, and each clock jumps once, before the step with the number in
+    ``at``. ``use_old_time``: the holder does not read its clock again, but uses the time of the first step,
+    as after a suspension of its process.
+    """
     holder = 1_000_000.0
     granter = 5_000_000.0
-    held = HeldLease(int(holder), length)
-    first = int(holder)
-    # the request and the answer are on their way
-    holder = holder + way
-    granter = granter + way
+    lease = HeldLease(int(holder), length)
+    first_time = int(holder)
+    # the request and the reply are in transit
+    holder = holder + delay
+    granter = granter + delay
     granted = GrantedLease(int(granter), length)
-    found = 0
-    for number, (true, fast, its) in enumerate(steps):
-        holder += jumps[0] * (number == at[0]) + true * (1 + fast / 1e6)
-        granter += jumps[1] * (number == at[1]) + true * (1 + its / 1e6)
-        found += granted.over(int(granter), clocks) and held.valid(first if stood else int(holder))
-    return found
+    overlaps = 0
+    for number, (true_us, holder_ppm, granter_ppm) in enumerate(steps):
+        holder += jumps[0] * (number == at[0]) + true_us * (1 + holder_ppm / 1e6)
+        granter += jumps[1] * (number == at[1]) + true_us * (1 + granter_ppm / 1e6)
+        overlaps += granted.over(int(granter), clocks) and lease.valid(
+            first_time if use_old_time else int(holder)
+        )
+    return overlaps
 
 
 STEPS = st.lists(
@@ -266,33 +276,34 @@
 
 
 @given(STEPS, JUMPS, PLACES, st.integers(0, 1_000_000), st.integers(1, 4_000_000))
-def test_no_drift_within_bounds_and_no_leap_lets_two_hold_one_thing(
-    steps: list[Step], jumps: tuple[int, int], at: tuple[int, int], way: int, length: int
+def test_no_drift_or_jump_within_bounds_lets_holder_and_granter_overlap(
+    steps: list[Step], jumps: tuple[int, int], at: tuple[int, int], delay: int, length: int
 ) -> None:
-    assert violations(steps, jumps, at, way, length, ClockBounds(500, 5_000)) == 0
+    assert violations(steps, jumps, at, delay, length, ClockBounds(500, 5_000)) == 0
 
 
-def test_terms_without_drift_without_jump_or_by_a_clock_read_before_a_stop_are_found() -> None:
+def test_overlaps_are_found_if_drift_or_jump_is_not_allowed_for_or_the_time_is_old() -> None:
     slow = [(1_000_000, -500, 500)] * 3 + [(500, -500, 500)] * 20
     assert violations(slow, (0, 0), (0, 0), 0, 3_000_000, ClockBounds(0, 0)) > 0
-    leap = [(100_000, 0, 0)] * 9 + [(98_000, 0, 0)]
-    assert violations(leap, (0, 5_000), (0, 5), 0, 1_000_000, ClockBounds(500, 0)) > 0
+    jump = [(100_000, 0, 0)] * 9 + [(98_000, 0, 0)]
+    assert violations(jump, (0, 5_000), (0, 5), 0, 1_000_000, ClockBounds(500, 0)) > 0
     stopped = [(9_000_000, 0, 0)]
-    assert violations(stopped, (0, 0), (0, 0), 0, 1_000_000, ClockBounds(), stood=True) > 0
+    assert violations(stopped, (0, 0), (0, 0), 0, 1_000_000, ClockBounds(), use_old_time=True) > 0
     assert violations(stopped, (0, 0), (0, 0), 0, 1_000_000, ClockBounds()) == 0
 
 
 @given(st.integers(0, 3_000_000), st.integers(-500, 500), st.integers(-500, 500), st.integers(0, 5_000))
-def test_what_a_dead_life_granted_is_over_when_the_next_one_has_waited(
-    before: int, fast: int, its: int, jump: int
+def test_leases_of_an_earlier_incarnation_are_over_after_the_wait_of_the_next(
+    before: int, granter_ppm: int, holder_ppm: int, jump: int
 ) -> None:
-    """The last grant left ``before`` us before the new life's start, at which its holder's clock shows 0 less
-    what it has counted; the term is the longest, 3 s. Its wait ends early by a leap of its own clock."""
+    """The last grant is sent ``before`` us before the start of the new incarnation, when its holder's clock
+    shows 0. The lease has the maximum length, 3 s. A jump of the new incarnation's clock ends its wait early.
+    """
     clocks = ClockBounds()
     longest = 3_000_000
-    waited = (wait_after_start(longest, clocks) - jump) / (1 + fast / 1e6)  # in true time
-    held = HeldLease(0, longest)
-    assert not held.valid(int((before + waited) * (1 + its / 1e6)))
+    wait_us = (wait_after_start(longest, clocks) - jump) / (1 + granter_ppm / 1e6)  # in true time
+    lease = HeldLease(0, longest)
+    assert not lease.valid(int((before + wait_us) * (1 + holder_ppm / 1e6)))
 
 
 class Part(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -306,7 +317,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    "text, expected",
     [
         ("enabled = 1", "x.toml: enabled: want true or false; got 1"),
         ("enabled = true\nrate = 'a'", "x.toml: rate: Expected `float`, got `str`"),
@@ -321,7 +332,7 @@
         ("enabled = ", "x.toml: Invalid value"),
     ],
 )
-def test_mistakes_in_an_operator_file_name_file_and_key(tmp_path: Path, text: str, told: str) -> None:
+def test_errors_in_an_operator_file_name_file_and_key(tmp_path: Path, text: str, expected: str) -> None:
     path = tmp_path / "x.toml"
     assert read_file(path, Setting) is None
     path.write_text("enabled = false\nrate = 'whatever'")
@@ -329,7 +340,7 @@
     path.write_text(text)
     with pytest.raises(ConfigError) as problem:
         read_file(path, Setting)
-    assert str(problem.value).startswith(told)
+    assert str(problem.value).startswith(expected)
 
 
 def channel_config(folder: Path, text: str, view: str = "", **more: object) -> ChannelConfig | None:
@@ -339,7 +350,8 @@
     environment = {
         "GW_CONFIG": str(
             configure(
-                folder, **{"peers": [f"{HOST}:3"], "peer_listen": f"{HOST}:3", "settings": TELLING, **more}
+                folder,
+                **{"peers": [f"{HOST}:3"], "peer_listen": f"{HOST}:3", "settings": GOSSIP_SETTINGS, **more},
             )
         ),
         "SLIPBAY_CHANNEL": str(folder / "channel.toml"),
@@ -350,7 +362,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    "text, expected",
     [
         ("rate = 2000", "channel.toml: rate: Expected `float` <= 1000.0"),
         ("key_file = 'none'", "channel.toml: key_file: "),
@@ -359,31 +371,31 @@
         ("parts.nobody = 0.1", "channel.toml: parts.nobody: "),
     ],
 )
-def test_mistakes_in_channel_toml(tmp_path: Path, text: str, told: str) -> None:
+def test_errors_in_channel_toml(tmp_path: Path, text: str, expected: str) -> None:
     assert channel_config(tmp_path, text) is None
-    with pytest.raises(ConfigError, match=f"^{re.escape(told)}"):
+    with pytest.raises(ConfigError, match=f"^{re.escape(expected)}"):
         channel_config(tmp_path, f"enabled = true\n{text}")
     with pytest.raises(ConfigError, match="^channel.toml: enabled: .* allow no messages"):
         channel_config(tmp_path, "enabled = true", settings=SETTINGS)
 
 
-def test_the_views_keys_seal_the_channel_too_unless_it_has_its_own(tmp_path: Path) -> None:
-    view = "enabled = true\nkey_file = 'key'"
-    for text, on, keys_of in (
+def test_the_membership_keys_also_sign_the_channel_unless_it_has_its_own(tmp_path: Path) -> None:
+    enabled_fleet = "enabled = true\nkey_file = 'key'"
+    for text, fleet_text, keys_of in (
         ("", "", ""),
-        ("", view, "fleet.toml"),
-        ("", view.replace("true", "false"), ""),
+        ("", enabled_fleet, "fleet.toml"),
+        ("", enabled_fleet.replace("true", "false"), ""),
         ("key_file = 'key'", "", "channel.toml"),
     ):
-        found = channel_config(tmp_path, f"enabled = true\n{text}", on)
-        assert found is not None
-        assert need_channel(found, "quota.toml") is found
-        assert (found.keys_of, found.key) == (keys_of, b"a key of sixteen bytes" if keys_of else b"")
+        channel = channel_config(tmp_path, f"enabled = true\n{text}", fleet_text)
+        assert channel is not None
+        assert need_channel(channel, "quota.toml") is channel
+        assert (channel.keys_of, channel.key) == (keys_of, b"a key of sixteen bytes" if keys_of else b"")
     with pytest.raises(ConfigError, match="^quota.toml: enabled: .*set enabled = true in channel.toml$"):
         need_channel(None, "quota.toml")
 
 
-def test_commands_on_this_machine_are_told_the_counters_and_others_nothing() -> None:
+def test_only_commands_on_the_same_host_get_the_counters() -> None:
     class Socket:
         fleet: Any = staticmethod(lambda *_: False)
         answered: list[bytes] = []
@@ -404,43 +416,43 @@
         lambda: 0,
     )
     link.topics[0] = lambda: {"name": "n0", **mux.status()}
-    for number, asked, address in (
+    for number, requested, address in (
         (None, 0, "127.0.0.9"),
         (None, 17, "127.0.0.9"),
         (None, 0, "10.0.0.9"),
         (1, 0, "127.0.0.9"),
     ):
-        assert peers.fleet(number, question(asked), (address, 5))
+        assert peers.fleet(number, question(requested), (address, 5))
         if peers.answered:
-            told = json.loads(b"".join(page[7:] for page in peers.answered))
+            reply = json.loads(b"".join(page[7:] for page in peers.answered))
             peers.answered.clear()
     assert mux.counts["garbled"] == 3
-    assert told["kinds"] == {
-        "quota": {"part": 0.2, "sent": 2, "bytes": told["bytes"], "over_budget": 0, "received": 1}
+    assert reply["kinds"] == {
+        "quota": {"part": 0.2, "sent": 2, "bytes": reply["bytes"], "over_budget": 0, "received": 1}
     }
-    assert told["skipped"] == 1
-    lines = exposition(told).splitlines()
+    assert reply["skipped"] == 1
+    lines = exposition(reply).splitlines()
     assert 'slipbay_channel_sent_total{kind="quota",router="n0"} 2.0' in lines
     assert 'slipbay_channel_dropped_total{reason="skipped",router="n0"} 1.0' in lines
 
 
-class Counting:
-    """A gate that turns away what it is told to."""
+class CountingGate:
+    """An admission gate with a fixed answer that counts its calls."""
 
     def __init__(self, wait: int | None) -> None:
         self.wait = wait
-        self.asked = 0
-        self.over = 0
+        self.admit_calls = 0
+        self.release_calls = 0
 
     def admit(self, request: Request) -> int | None:
-        self.asked += 1
+        self.admit_calls += 1
         return self.wait
 
     def release(self, request: Request) -> None:
-        self.over += 1
+        self.release_calls += 1
 
 
-def test_gates_are_asked_in_order_and_told_once_of_what_they_admitted() -> None:
+def test_gates_are_called_in_order_and_release_each_admitted_request_once() -> None:
     later: list[tuple[Any, ...]] = []
     loop = SimpleNamespace(call_soon=lambda *call: later.append(call))
     clock = SimpleNamespace(now=lambda: 0)
@@ -450,26 +462,26 @@
     core = Dispatcher(
         cast(Any, loop), cast(Any, clock), cast(Any, timers), Controller(settings, 1), settings, 10, 1_000_000
     )
-    first = Counting(None)
-    second = Counting(None)
-    third = Counting(70_000)
+    first = CountingGate(None)
+    second = CountingGate(None)
+    third = CountingGate(70_000)
     answers: list[object] = []
     client = SimpleNamespace(answered=lambda request, answer: answers.append(answer))
 
-    def ask() -> Request:
+    def submit_request() -> Request:
         request = Request("lookup", 0, 2_500_000, None, cast(Any, client), cast(Any, None))
         core.submit(request)
         return request
 
     core.admission_gates = [first, second, third]
-    ask()
+    submit_request()
     for call, *rest in later:
         call(*rest)
     assert answers == [Rejected(70_000)]
     assert not core.requests
-    assert [(g.asked, g.over) for g in (first, second, third)] == [(1, 1), (1, 1), (1, 0)]
+    assert [(g.admit_calls, g.release_calls) for g in (first, second, third)] == [(1, 1), (1, 1), (1, 0)]
     core.admission_gates = [first, second]
-    request = ask()
+    request = submit_request()
     core.client_disconnected(request)
     core.client_disconnected(request)
-    assert [(g.asked, g.over) for g in (first, second)] == [(2, 2), (2, 2)]
+    assert [(g.admit_calls, g.release_calls) for g in (first, second)] == [(2, 2), (2, 2)]
--- a/tests/test_channel_processes.py
+++ b/tests/test_channel_processes.py
@@ -1,4 +1,4 @@
-"""Routers as processes that say all they can on the channel, beside some of earlier releases."""
+"""Router processes that send as much as the channel allows, in a fleet with routers of earlier releases."""
 
 from __future__ import annotations
 
@@ -7,49 +7,54 @@
 import sys
 from pathlib import Path
 
-from channel_play import play
+from channel_play import run_scenario
 from loopback import HOST
-from test_channel import TELLING
+from test_channel import GOSSIP_SETTINGS
 from test_process import ROOT, configure
 
 ON = "enabled = true\n"
-KEYED = ON + 'key_file = "key"\n'
+ON_WITH_KEY = ON + 'key_file = "key"\n'
 RATE = 1_000
 
 
-def test_old_and_new_releases_serve_together_and_each_keeps_to_its_rate() -> None:
-    """Router 0 knows neither view nor channel, 1 only the view. What is over at any time is what one window
-    holds. All messages are also doubled and replayed, garbled, and sent by a stranger."""
-    verdict, heard = play({2: ON, 3: KEYED}, {1: ON, 2: ON, 3: ON})
+def test_old_and_new_releases_serve_together_and_each_keeps_its_rate() -> None:
+    """Router 0 supports neither membership nor the channel, router 1 only membership. At any time a router
+    may exceed its rate by the bytes of one window. All messages are also duplicated, replayed, garbled, and
+    sent from an address that no router has."""
+    verdict, traffic = run_scenario({2: ON, 3: ON_WITH_KEY}, {1: ON, 2: ON, 3: ON})
     assert verdict.good, (verdict.faults, verdict.timeline)
     assert verdict.outcomes["lookup served"] > 100
-    assert not heard.framed[0]
-    assert not heard.framed[1]
-    assert min(heard.framed[2], heard.framed[3]) > 10
+    assert not traffic.framed[0]
+    assert not traffic.framed[1]
+    assert min(traffic.framed[2], traffic.framed[3]) > 10
     for number in (2, 3):
-        assert sum(size for _, size in heard.sent[number]) > 6 * RATE / 2
-        assert heard.worst(number) <= RATE, heard.most(number)
-        told = heard.status[number]
-        assert told["bytes"] >= heard.at_status[number] > 0  # nothing left it uncounted
-        assert told["kinds"]["quota"]["over_budget"] > 100
-        assert told["kinds"]["view"]["sent"] > 10
-        assert told["garbled"] > 0
-        assert not told["received"]
+        assert sum(size for _, size in traffic.sent[number]) > 6 * RATE / 2
+        assert traffic.max_excess(number) <= RATE, traffic.max_bytes(number)
+        counters = traffic.status[number]
+        assert (
+            counters["bytes"] >= traffic.at_status[number] > 0
+        )  # the router counts every byte that it sends
+        assert counters["kinds"]["quota"]["over_budget"] > 100
+        assert counters["kinds"]["view"]["sent"] > 10
+        assert counters["garbled"] > 0
+        assert not counters["received"]
 
 
-def test_a_router_without_a_budget_is_found() -> None:
-    verdict, heard = play(
+def test_the_check_finds_a_router_without_a_byte_budget() -> None:
+    verdict, traffic = run_scenario(
         {0: ON, 1: ON}, {0: ON, 1: ON}, "boundless", routers=2, seconds=3, do=[], settle_s=0
     )
     assert verdict.good
-    assert min(heard.worst(number) for number in (0, 1)) > 10 * RATE
+    assert min(traffic.max_excess(number) for number in (0, 1)) > 10 * RATE
 
 
 def resident(folder: Path, **files: str) -> tuple[int, set[str]]:
-    """KiB that a router takes once it listens, and the packages of extras that it has loaded."""
+    """Resident KiB of a router once it listens, and the optional packages that it has imported."""
     environment = {
         **os.environ,
-        "GW_CONFIG": str(configure(folder, peers=[f"{HOST}:3"], peer_listen=f"{HOST}:0", settings=TELLING)),
+        "GW_CONFIG": str(
+            configure(folder, peers=[f"{HOST}:3"], peer_listen=f"{HOST}:0", settings=GOSSIP_SETTINGS)
+        ),
     }
     for name in ("channel", "fleet", "store", "comeback", "quota"):
         (folder / f"{name}.toml").write_text(files.get(name, "enabled = false\n"))
@@ -68,10 +73,10 @@
                 if "listens at" in line:
                     break
                 loaded.add(line.rpartition("|")[2].strip().partition(".")[0])
-            status = Path(f"/proc/{process.pid}/status").read_text()
+            proc_status = Path(f"/proc/{process.pid}/status").read_text()
         finally:
             process.kill()
-    return int(status.partition("VmRSS:")[2].split()[0]), loaded & {
+    return int(proc_status.partition("VmRSS:")[2].split()[0]), loaded & {
         "msgspec",
         "msgpack",
         "zstandard",
@@ -81,7 +86,7 @@
     }
 
 
-def test_an_idle_router_is_small_and_loads_only_what_is_on(tmp_path: Path) -> None:
+def test_an_idle_router_is_small_and_imports_only_what_enabled_features_need(tmp_path: Path) -> None:
     kib, loaded = resident(tmp_path)
     assert kib < 34 * 1024
     assert not loaded
