--- a/tests/explore_view.py
+++ b/tests/explore_view.py
@@ -1,10 +1,11 @@
-"""Explores the membership machine of three routers: all orders of delivery and loss, crashes and restarts,
-within a bound. ``python tests/explore_view.py --depth 11 --states 400000`` covers more than CI does.
-
-Properties, in every state: (1) a router that runs holds itself alive; (2) what is held of a number never
-falls back to an outweighed claim; (3) nobody holds an earlier process of a number after it held a later one;
-(4) every router sends within its rate. And from every state at the bound: (5) once faults stop, all views
-come to hold just those that run.
+"""Explores the membership state machines of three routers: all orders of delivery, loss, crashes and
+restarts, within a bound. ``python tests/explore_view.py --depth 11 --states 400000`` covers more than CI
+does.
+
+Properties in every state: (1) a running router is ALIVE in its own table; (2) an entry is never replaced by
+an update of lower precedence; (3) no table returns to an earlier process of a number after a later one; (4)
+every router sends within its rate. From the states at the bound: (5) after faults end, all tables converge to
+the set of running routers.
 """
 
 from __future__ import annotations
@@ -24,8 +25,8 @@
 SIZE = 3
 START = 1_700_000_000 * SECOND
 STEP = 150_000
-# What takes a second in service takes few moves here.
-QUICK = Timing(
+# Short intervals, so that protocol rounds take few moves.
+FAST_TIMING = Timing(
     probe_us=STEP,
     answer_us=STEP // 2,
     tries=1,
@@ -37,11 +38,11 @@
     sync_us=2 * STEP,
     reach_us=2 * STEP,
 )
-HEALED_STEPS = 200  # within which views must be right: 30 s
+CONVERGENCE_STEPS = 200  # 30 s, within which all tables must converge
 
 
 class SmallRandom(Random):
-    """A generator whose whole state is one number, as each move copies it."""
+    """A generator whose state is one number, which makes the copies for each move cheap."""
 
     def __init__(self, value: int) -> None:
         self.value = value
@@ -59,45 +60,48 @@
 
 @dataclass
 class World:
-    """Three routers, what flies between them, and which faults are left."""
+    """Three routers, the datagrams in transit, and the number of faults that may still occur."""
 
     now: int = START
     members: list[MembershipStateMachine | None] = field(default_factory=list)
-    flying: list[tuple[int, int, bytes]] = field(default_factory=list)
+    in_transit: list[tuple[int, int, bytes]] = field(default_factory=list)
     faults: int = 2
     starts: list[int] = field(default_factory=lambda: [0] * SIZE)
-    newest: dict[tuple[int, int], int] = field(default_factory=dict)  # holder, number: the last start held
-    marks: list[bytes] = field(default_factory=lambda: [b""] * SIZE)  # members as they were last marked
+    # (owner of the table, number): latest start in that table
+    newest: dict[tuple[int, int], int] = field(default_factory=dict)
+    pickled: list[bytes] = field(default_factory=lambda: [b""] * SIZE)  # pickled members
 
     def copy(self) -> World:
-        """Members are shared until they are touched."""
+        """A copy that shares the members until ``copy_members``."""
         return replace(
             self,
             members=list(self.members),
-            flying=list(self.flying),
+            in_transit=list(self.in_transit),
             starts=list(self.starts),
             newest=dict(self.newest),
-            marks=list(self.marks),
+            pickled=list(self.pickled),
         )
 
-    def touch(self, *numbers: int) -> None:
-        """Members of its own, as they are to change."""
+    def copy_members(self, *numbers: int) -> None:
+        """Replace members by copies, before they change."""
         for me in numbers:
             if self.members[me] is not None:
-                self.members[me] = pickle.loads(self.marks[me])
+                self.members[me] = pickle.loads(self.pickled[me])
 
-    def mark(self, *numbers: int) -> None:
-        """They have changed."""
+    def pickle_members(self, *numbers: int) -> None:
+        """Pickle members after they changed."""
         for me in numbers:
-            self.marks[me] = pickle.dumps(self.members[me])
+            self.pickled[me] = pickle.dumps(self.members[me])
 
     def start(self, me: int) -> None:
         self.starts[me] += 1
         start_id = 100 * me + self.starts[me]
-        self.members[me] = MembershipStateMachine(me, SIZE, start_id, SmallRandom(me), self.now, timing=QUICK)
+        self.members[me] = MembershipStateMachine(
+            me, SIZE, start_id, SmallRandom(me), self.now, timing=FAST_TIMING
+        )
 
     def send(self, me: int, sends: list[tuple[int, bytes]]) -> None:
-        self.flying += [(me, to, data) for to, data in sends]
+        self.in_transit += [(me, to, data) for to, data in sends]
 
     def step(self) -> None:
         self.now += STEP
@@ -106,26 +110,26 @@
                 self.send(me, member.tick(self.now))
 
     def deliver(self, place: int) -> None:
-        source, target, data = self.flying.pop(place)
+        source, target, data = self.in_transit.pop(place)
         member = self.members[target]
         if member is not None:
             self.send(target, member.receive(self.now, data, source))
 
     def key(self) -> bytes:
-        rest = pickle.dumps((self.now, sorted(self.flying), self.faults))
-        return blake2b(b"".join((*self.marks, rest)), digest_size=12).digest()
+        rest = pickle.dumps((self.now, sorted(self.in_transit), self.faults))
+        return blake2b(b"".join((*self.pickled, rest)), digest_size=12).digest()
 
 
-def moves(world: World, most_flying: int) -> Iterator[tuple[str, int]]:
-    """What may happen next; with much in flight it has to arrive or be lost first."""
+def moves(world: World, max_in_transit: int) -> Iterator[tuple[str, int]]:
+    """The possible moves. Time only advances while at most ``max_in_transit`` datagrams are in transit."""
     seen = set()
-    for place, message in enumerate(world.flying):
+    for place, message in enumerate(world.in_transit):
         if message not in seen:
             seen.add(message)
             yield "deliver", place
             if world.faults:
                 yield "lose", place
-    if len(world.flying) <= most_flying:
+    if len(world.in_transit) <= max_in_transit:
         yield "step", 0
     for me in range(SIZE):
         if world.members[me] is not None and world.faults:
@@ -134,21 +138,21 @@
             yield "start", me
 
 
-def make(world: World, move: tuple[str, int]) -> World:
+def apply_move(world: World, move: tuple[str, int]) -> World:
     after, (what, number) = world.copy(), move
     touched = (
         [number]
         if what in ("kill", "start")
         else list(range(SIZE))
         if what == "step"
-        else [target for _, target, _ in world.flying[number : number + 1] if what == "deliver"]
+        else [target for _, target, _ in world.in_transit[number : number + 1] if what == "deliver"]
     )
-    after.touch(*touched)
+    after.copy_members(*touched)
     match what:
         case "deliver":
             after.deliver(number)
         case "lose":
-            del after.flying[number]
+            del after.in_transit[number]
             after.faults -= 1
         case "step":
             after.step()
@@ -157,40 +161,40 @@
             after.faults -= 1
         case "start":
             after.start(number)
-    after.mark(*touched)
+    after.pickle_members(*touched)
     return after
 
 
-def broken(before: World, after: World) -> str | None:
-    """The property that a move broke."""
+def violated_property(before: World, after: World) -> str | None:
+    """The property that a move violates, or None."""
     for me, member in enumerate(after.members):
         if member is None:
             continue
         if member.table.state(me) is not MemberState.ALIVE:
-            return f"1: {me} does not hold itself alive"
+            return f"1: {me} is not ALIVE in its own table"
         if min(member.budget.available) < 0:
-            return f"4: {me} sent beyond its rate"
+            return f"4: {me} exceeded its rate"
         old = before.members[me]
         for number, held in member.table.members.items():
             order = held.start_id - 100 * number if held.start_id >= 0 else 0
             newest = after.newest.get((me, number), 0)
             if old is not None and old.start_id == member.start_id and order < newest:
-                return f"3: {me} holds start {order} of {number} after {newest}"
+                return f"3: {me} has start {order} of {number} after {newest}"
             same = old is not None and old.start_id == member.start_id
             after.newest[me, number] = max(newest, order) if same else order
             known = old.table.members.get(number) if old is not None and same else None
             if known is not None and (held.incarnation, held.state) < (known.incarnation, known.state):
-                return f"2: {me} fell back on {number}"
+                return f"2: {me} has an update of lower precedence of {number}"
     return None
 
 
-def heals(world: World) -> bool:
-    """Whether views come right once nothing more goes wrong."""
+def converges(world: World) -> bool:
+    """Whether all tables converge without further faults."""
     world = world.copy()
-    world.touch(*range(SIZE))
-    for _ in range(HEALED_STEPS):
+    world.copy_members(*range(SIZE))
+    for _ in range(CONVERGENCE_STEPS):
         world.step()
-        while world.flying:
+        while world.in_transit:
             world.deliver(0)
         running = [me for me in range(SIZE) if world.members[me] is not None]
         if all(member.living == running and not member.table.suspects for member in world.members if member):
@@ -199,43 +203,43 @@
 
 
 @dataclass
-class Found:
+class Exploration:
     states: int = 0
     leaves: int = 0
     moves: Counter[str] = field(default_factory=Counter)
     violations: list[str] = field(default_factory=list)
 
 
-def explore(depth: int, most_states: int, most_flying: int = 2, check_leaves: int = 500) -> Found:
-    """Breadth first, so that within the bound every order is tried; stops at the first violation."""
+def explore(depth: int, max_states: int, max_in_transit: int = 2, check_leaves: int = 500) -> Exploration:
+    """Search breadth first, so that every order within the bound is tried; stops at the first violation."""
     world = World(members=[None] * SIZE)
     for me in range(SIZE):
         world.start(me)
-    world.mark(*range(SIZE))
-    found = Found()
+    world.pickle_members(*range(SIZE))
+    result = Exploration()
     seen = {world.key()}
     edge = [world]
     for _ in range(depth):
         following: list[World] = []
         for one in edge:
-            for move in moves(one, most_flying):
-                after = make(one, move)
-                found.moves[move[0]] += 1
-                if problem := broken(one, after):
-                    found.violations.append(f"{problem} after {move}")
-                    return found
+            for move in moves(one, max_in_transit):
+                after = apply_move(one, move)
+                result.moves[move[0]] += 1
+                if problem := violated_property(one, after):
+                    result.violations.append(f"{problem} after {move}")
+                    return result
                 key = after.key()
-                if key not in seen and len(seen) < most_states:
+                if key not in seen and len(seen) < max_states:
                     seen.add(key)
                     following.append(after)
         edge = following
-    found.states = len(seen)
-    found.leaves = len(edge)
+    result.states = len(seen)
+    result.leaves = len(edge)
     for leaf in edge[:: max(1, len(edge) // check_leaves)]:
-        if not heals(leaf):
-            found.violations.append("5: views do not come right once faults stop")
+        if not converges(leaf):
+            result.violations.append("5: tables do not converge after faults end")
             break
-    return found
+    return result
 
 
 def main() -> None:
@@ -243,10 +247,10 @@
     parser.add_argument("--depth", type=int, default=9)
     parser.add_argument("--states", type=int, default=100_000)
     chosen = parser.parse_args()
-    found = explore(chosen.depth, chosen.states)
+    result = explore(chosen.depth, chosen.states)
     print(
-        f"{found.states} states, {found.leaves} at the bound, moves {dict(found.moves)}; "
-        f"{len(found.violations)} violations {found.violations}"
+        f"{result.states} states, {result.leaves} at the bound, moves {dict(result.moves)}; "
+        f"{len(result.violations)} violations {result.violations}"
     )
 
 
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -94,7 +94,7 @@
     assert [budget.room(WINDOW_US, kind) for kind in kinds] == [900, 600, 800, 300, 200]
 
 
-@pytest.mark.parametrize("greedy", [10_000, 37_000, 90_000])
+@pytest.mark.parametrize("step_us", [10_000, 37_000, 90_000])
 def test_greedy_kinds_leave_each_kind_its_share_and_the_longest_message(step_us: int) -> None:
     """Guards against starvation, with the default shares. Two kinds whose messages can be truncated take all
     available bytes, and two kinds request the longest message all the time. A kind without a share requests
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: its messages, its state machine under faults in simulated time, and the shares it gives."""
+"""Membership: its messages, its state machine under faults in simulated time, and the division of limits."""
 
 from __future__ import annotations
 
@@ -64,12 +64,12 @@
 
 @given(MESSAGES, st.sampled_from([b"", b"k" * 16]))
 @hypothesis_settings(derandomize=True, deadline=None)
-def test_a_message_decodes_to_itself_and_is_no_message_of_the_decisions(message: Message, key: bytes) -> None:
+def test_a_message_decodes_to_itself_and_is_not_policy_gossip(message: Message, key: bytes) -> None:
     data = codec.encode(message, key)
     assert len(data) <= frame.MOST_BYTES
     assert frame.is_ours(data)
     assert codec.decode(data, [key] if key else []) == message
-    assert (len(data) - DECISIONS_HEAD.size) % DECISIONS_ITEM.size  # a router of before takes nothing from it
+    assert (len(data) - DECISIONS_HEAD.size) % DECISIONS_ITEM.size  # an earlier release finds no item in it
     assert not PeerLoads().receive(data, [])
     assert not frame.is_ours(DECISIONS_HEAD.pack(int.from_bytes(b"slb\1", "little"), 1))
 
@@ -81,7 +81,7 @@
     )
 )
 @hypothesis_settings(derandomize=True, deadline=None)
-def test_corrupt_datagrams_change_nothing_that_others_see(data: bytes) -> None:
+def test_corrupt_datagrams_do_not_change_what_peers_receive(data: bytes) -> None:
     member = MembershipStateMachine(0, 4, 7, Random(1), EPOCH)
     before = member.living, member.digest
     member.receive(EPOCH, data, 3)
@@ -92,7 +92,7 @@
         assert member.counts["garbled"] == 1
 
 
-def test_keys_keep_foreign_senders_out_and_rotate_without_a_pause() -> None:
+def test_messages_without_a_valid_key_are_dropped_and_keys_rotate_without_interruption() -> None:
     ping = Message(MessageType.PING, 1, 0, 3, 0, 9)
     member = MembershipStateMachine(0, 3, 7, Random(1), EPOCH, keys=MessageKeys(b"n" * 16, b"o" * 16))
     assert not member.receive(EPOCH, codec.encode(ping), 1)
@@ -108,17 +108,15 @@
 def test_kinds_and_versions_of_later_releases_are_skipped() -> None:
     data = bytearray(codec.encode(Message(MessageType.PING, 1, 1, 3, 0, 9)))
     member = MembershipStateMachine(0, 3, 7, Random(1), EPOCH)
-    for place, value in ((4, frame.FLAG | 99), (3, 1), (3, 3)):
-        later = bytes(data[:place]) + bytes([value]) + bytes(data[place + 1 : -frame.SUM_BYTES])
+    for offset, value in ((4, frame.FLAG | 99), (3, 1), (3, 3)):
+        later = bytes(data[:offset]) + bytes([value]) + bytes(data[offset + 1 : -frame.SUM_BYTES])
         assert not member.receive(EPOCH, later + frame.seal(later, b""), 1)
     assert member.counts["skipped"] == 3
     assert not member.counts["garbled"]
 
 
 @pytest.mark.parametrize(("size", "seed"), [(3, 1), (24, 1), (24, 2), (60, 3)])
-def test_a_killed_router_is_declared_gone_by_all_within_3_s_and_no_running_one_is(
-    size: int, seed: int
-) -> None:
+def test_all_declare_a_killed_router_gone_within_3_s_and_no_running_one(size: int, seed: int) -> None:
     fleet = MembershipModel(size, seed, weather=LOSSY)
     fleet.run(20)
     assert fleet.settled()
@@ -129,7 +127,7 @@
     assert fleet.until_settled(5) <= 5
 
 
-def test_seven_in_ten_die_and_return_as_new_processes() -> None:
+def test_seven_in_ten_routers_are_killed_and_restarted() -> None:
     fleet = MembershipModel(24, 4, weather=LOSSY)
     fleet.run(3)
     fleet.kill(range(17))
@@ -139,23 +137,23 @@
     assert fleet.until_settled(5) <= 5
 
 
-@pytest.mark.parametrize("speaks", [True, False])
-def test_an_earlier_release_counts_as_alive_while_its_gossip_is_received(speaks: bool) -> None:
-    """Guards against shares that grow as if routers were dead that only know nothing of membership."""
+@pytest.mark.parametrize("sends_gossip", [True, False])
+def test_an_earlier_release_counts_as_alive_while_its_gossip_is_received(sends_gossip: bool) -> None:
+    """Guards against shares that grow because routers without membership count as dead."""
     view = MembershipStateMachine(0, 3, 1, Random(1), 0, grace_us=3 * SECOND)
     now = 0
     grace = 3 * SECOND
     while now < 10 * SECOND:
         now += 50_000
-        if speaks and now % SECOND == 0:
+        if sends_gossip and now % SECOND == 0:
             view.detector.record_other_message(now, 1)
         view.tick(now)
         assert 1 in view.living or now > grace
-    assert (1 in view.living) == speaks
+    assert (1 in view.living) == sends_gossip
     assert 2 not in view.living
 
 
-def test_a_partition_by_zone_heals_and_each_side_holds_its_own_members() -> None:
+def test_a_partition_by_zone_heals_and_each_side_has_its_own_members_alive() -> None:
     fleet = MembershipModel(16, 5, weather=LOSSY, zones=2)
     even = range(0, 16, 2)
     odd = range(1, 16, 2)
@@ -168,7 +166,7 @@
     assert fleet.until_settled(5) <= 5
 
 
-def test_a_stopped_router_accuses_nobody_and_rejoins_at_once() -> None:
+def test_a_suspended_router_accuses_no_other_and_rejoins_at_once() -> None:
     fleet = MembershipModel(24, 6, weather=LOSSY)
     fleet.run(5)
     fleet.stop(7)
@@ -181,7 +179,7 @@
     assert fleet.until_settled(5) <= 5
 
 
-def test_a_one_way_cut_is_bridged_by_indirect_probes() -> None:
+def test_indirect_probes_bridge_a_link_that_fails_in_one_direction() -> None:
     fleet = MembershipModel(12, 7, weather=LOSSY)
     fleet.run(2)
     fleet.network.cut([0], [1], both=False)
@@ -189,7 +187,7 @@
     assert fleet.settled()
 
 
-def test_a_router_that_leaves_is_held_left() -> None:
+def test_a_router_that_announces_its_shutdown_is_left() -> None:
     fleet = MembershipModel(12, 8, weather=LOSSY)
     fleet.run(2)
     fleet.leave(3)
@@ -199,16 +197,17 @@
 
 
 def test_late_datagrams_of_an_earlier_process_do_not_revive_it() -> None:
-    """Two processes of one number: datagrams of the old one come late, and again."""
+    """Datagrams of the earlier process of a number arrive late, before and after the start of its next
+    process."""
     fleet = MembershipModel(6, 9)
     old: list[bytes] = []
     send = fleet.network.send
 
-    def kept(source: int, target: int, data: bytes) -> None:
+    def record_and_send(source: int, target: int, data: bytes) -> None:
         old.extend([data] * (source == 2))
         send(source, target, data)
 
-    fleet.network.send = kept  # type: ignore[method-assign]
+    fleet.network.send = record_and_send  # type: ignore[method-assign]
     fleet.run(3)
     fleet.network.send = send  # type: ignore[method-assign]
     fleet.kill([2])
@@ -229,7 +228,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_tables_agree_once_faults_stop_and_messages_stay_within_their_rate(seed: int) -> None:
-    """Random histories of deaths, returns, stops and cuts."""
+    """Random histories of kills, restarts, suspensions and partitions."""
     random = Random(seed)
     size = 10
     fleet = MembershipModel(size, seed, weather=LinkConditions(loss=0.2, double=0.1))
@@ -262,12 +261,13 @@
 
 
 def test_two_processes_at_one_incarnation_do_not_alternate() -> None:
-    """The next process began before anyone missed the one before, whose datagrams still come late."""
+    """A process starts before any router detects the end of the previous one, whose datagrams still
+    arrive."""
     member = MembershipStateMachine(0, 4, 7, Random(1), EPOCH)
     member.receive(EPOCH, codec.encode(Message(MessageType.PING, 1, 0, 50, 0, 1)), 1)
     answers = member.receive(EPOCH + 1, codec.encode(Message(MessageType.PING, 1, 0, 60, 0, 1)), 1)
-    told = [update for _, data in answers for update in codec.decode(data).updates]  # type: ignore[union-attr]
-    assert [(n.number, n.state, n.incarnation) for n in told] == [(1, MemberState.SUSPECT, 0)]
+    sent_updates = [update for _, data in answers for update in codec.decode(data).updates]  # type: ignore[union-attr]
+    assert [(n.number, n.state, n.incarnation) for n in sent_updates] == [(1, MemberState.SUSPECT, 0)]
     assert member.table.members[1].start_id == 50
     assert member.table.state(1) is MemberState.ALIVE
     member.receive(EPOCH + 2, codec.encode(Message(MessageType.PING, 1, 1, 60, 0, 2)), 1)
@@ -276,7 +276,7 @@
     assert member.table.members[1].incarnation == 1
 
 
-def test_a_router_that_only_others_reach_is_reported_cut_off() -> None:
+def test_a_router_that_only_others_reach_is_reported_as_unreachable() -> None:
     fleet = MembershipModel(6, 12)
     fleet.run(1)
     fleet.network.cut([1], [0], both=False)
@@ -288,17 +288,17 @@
 
 
 def test_equal_seeds_give_equal_bytes() -> None:
-    def play() -> tuple[int, dict[int, int]]:
+    def run_fleet() -> tuple[int, dict[int, int]]:
         fleet = MembershipModel(12, 11, weather=LOSSY)
         fleet.run(3)
         fleet.kill([4])
         fleet.run(3)
         return fleet.network.messages, dict(fleet.network.bytes_from)
 
-    assert play() == play()
+    assert run_fleet() == run_fleet()
 
 
-def test_fair_share_shrinks_at_once_and_grows_late() -> None:
+def test_the_count_of_a_fair_share_grows_at_once_and_falls_after_a_delay() -> None:
     shares = FairShare(10, 3 * SECOND)
     assert shares.count(1 * SECOND, 10) == 10
     assert shares.count(2 * SECOND, 3) == 10
@@ -312,17 +312,18 @@
 def test_the_controller_divides_capacity_by_the_fleet_size() -> None:
     controller = Controller(settings(SAFE, router_count=8), 1)
     controller.handle(SECOND, [EngineList(ListKind.CACHED, (EngineEntry(engine(0)),))])
-    whole = controller.engines.thread_share
+    initial_share = controller.engines.thread_share
     controller.handle(SECOND, [FleetSize(2)])
     controller.update_share(SECOND)
-    assert controller.engines.thread_share == 4 * whole
+    assert controller.engines.thread_share == 4 * initial_share
 
 
-def test_an_update_from_far_ahead_cannot_hold_a_router_gone_for_good() -> None:
-    """A message cut short and garbled made all hold a router gone at an incarnation that it never refuted."""
+def test_an_update_with_a_far_higher_incarnation_is_not_applied() -> None:
+    """A garbled message once made all routers declare a router gone at an incarnation that it never
+    refuted."""
     member = MembershipStateMachine(0, 3, 7, Random(1), EPOCH)
-    far = Update(1, MemberState.GONE, 2**22)
-    member.receive(EPOCH, codec.encode(Message(MessageType.UPDATES, 2, 0, 3, 0, updates=(far,))), 2)
+    far_update = Update(1, MemberState.GONE, 2**22)
+    member.receive(EPOCH, codec.encode(Message(MessageType.UPDATES, 2, 0, 3, 0, updates=(far_update,))), 2)
     assert member.table.state(1) is MemberState.ALIVE
     assert member.counts["garbled"] == 1
     changed = bytearray(
@@ -342,9 +343,9 @@
         name="n0",
         zones=["east", "west"],
     )
-    view = MembershipConfig(Timing(), 1, b"", b"", True, True)
-    nothing = cast(Any, SimpleNamespace())
-    service = MembershipService(config, view, nothing, lambda: EPOCH, nothing, lambda count: None)
+    membership = MembershipConfig(Timing(), 1, b"", b"", True, True)
+    unused = cast(Any, SimpleNamespace())
+    service = MembershipService(config, membership, unused, lambda: EPOCH, unused, lambda count: None)
     service.machine.receive(EPOCH, codec.encode(Message(MessageType.PING, 1, 0, 5, 0, 9, zone=1)), 1)
     service.machine.receive(
         EPOCH,
@@ -352,9 +353,9 @@
         1,
     )
     monkeypatch.setattr("slipbay.membership.status_client.ask", lambda target, seconds: service.status())
-    shown = CliRunner().invoke(cli, ["fleet", "status", "127.0.0.1:7946"])
-    assert shown.exit_code == 0
-    assert "living     2 of 3, by zone: east 1, west 1" in shown.output
+    result = CliRunner().invoke(cli, ["fleet", "status", "127.0.0.1:7946"])
+    assert result.exit_code == 0
+    assert "living     2 of 3, by zone: east 1, west 1" in result.output
     lines = CliRunner().invoke(cli, ["fleet", "metrics", "127.0.0.1:7946"]).output.splitlines()
     assert 'slipbay_fleet_living{router="n0"} 2.0' in lines
     assert 'slipbay_fleet_routers{router="n0",state="gone"} 1.0' in lines
