--- a/tests/contracts/test_channel_contract.py
+++ b/tests/contracts/test_channel_contract.py
@@ -1,5 +1,5 @@
-"""What carries the channel between routers must keep (docs/contracts.md, C1 to C7), and carriers that break
-one obligation each."""
+"""Contract of the transports of the channel (docs/contracts.md, C1 to C7), and transports that violate one
+obligation each."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
 
 SIZE = 3
 KEY = b"a key of sixteen"
-FENCE = FrameKind.COMEBACK  # says that what was sent before it has come
+FENCE = FrameKind.COMEBACK  # a message of this kind shows that all earlier ones have arrived
 
 
-class Ear:
-    """Keeps what comes."""
+class RecordingEndpoint:
+    """Records received messages."""
 
     def __init__(self) -> None:
-        self.heard: list[tuple[int, int, bytes]] = []
+        self.received: list[tuple[int, int, bytes]] = []
 
     def receive(self, now: int, sender: int, life: int, body: bytes) -> list[Send]:
-        self.heard.append((sender, life, body))
+        self.received.append((sender, life, body))
         return []
 
     def tick(self, now: int) -> list[Send]:
@@ -50,64 +50,64 @@
         return 2**60
 
 
-class Carrier:
-    """Three routers with an ear each, and what lies between them."""
+class TransportUnderTest:
+    """Three routers with a recording endpoint each, and the network between them."""
 
     mux: list[Multiplexer]
-    weather = (0.0, 0.0)  # loss, double; set by ``blow``
+    weather = (0.0, 0.0)  # fractions of lost and duplicated datagrams, set by ``set_faults``
 
-    def ears(self, kind: int) -> list[list[tuple[int, int, bytes]]]:
-        return [cast(Ear, mux.parties[kind]).heard for mux in self.mux]
+    def received_by_router(self, kind: int) -> list[list[tuple[int, int, bytes]]]:
+        return [cast(RecordingEndpoint, mux.parties[kind]).received for mux in self.mux]
 
-    def say(self, me: int, to: int, body: bytes) -> None: ...
+    def send_message(self, me: int, to: int, body: bytes) -> None: ...
 
-    def raw(self, me: int, to: int, data: bytes) -> None:
-        """A datagram from a router's address, past its channel."""
+    def send_raw(self, me: int, to: int, data: bytes) -> None:
+        """Send a datagram from the address of a router, without its channel."""
 
-    def stranger(self, to: int, data: bytes) -> None:
-        """One from an address that no router has."""
+    def send_from_unknown_address(self, to: int, data: bytes) -> None:
+        """Send a datagram from an address that no router has."""
 
-    def blow(self, loss: float, double: float) -> None: ...
+    def set_faults(self, loss: float, double: float) -> None: ...
 
     def cut(self, me: int, to: int) -> None:
-        """One way."""
+        """Interrupt the link from ``me`` to ``to``, in this direction only."""
 
     def heal(self) -> None: ...
 
-    def left(self, me: int) -> tuple[int, int]:
-        """Bytes that have left a router since the start, and for how long it has run, in us."""
+    def traffic(self, me: int) -> tuple[int, int]:
+        """Bytes that a router has sent since its start, and the time since then in us."""
         raise NotImplementedError
 
-    def settle(self) -> None:
-        """What has left has come."""
+    def wait_until_delivered(self) -> None:
+        """Wait until all datagrams sent so far have arrived."""
 
     def close(self) -> None: ...
 
 
-def parties() -> dict[int, ChannelEndpoint]:
-    return {FrameKind.QUOTA: Ear(), FENCE: Ear()}
+def make_endpoints() -> dict[int, ChannelEndpoint]:
+    return {FrameKind.QUOTA: RecordingEndpoint(), FENCE: RecordingEndpoint()}
 
 
-class Emulated(Carrier):
+class Emulated(TransportUnderTest):
     network: type[Network] = Network
 
     def __init__(self) -> None:
-        self.routers = ChannelFleet(SIZE, lambda me, life, now: parties(), key=KEY)
+        self.routers = ChannelFleet(SIZE, lambda me, life, now: make_endpoints(), key=KEY)
         old = self.routers.network
         self.routers.network = self.network(old.agenda, old.random, old.deliver)
         self.routers.start()
         self.mux = [cast(Multiplexer, mux) for mux in self.routers.muxes]
 
-    def say(self, me: int, to: int, body: bytes) -> None:
+    def send_message(self, me: int, to: int, body: bytes) -> None:
         self.routers.say(me, FrameKind.QUOTA, [(to, body)])
 
-    def raw(self, me: int, to: int, data: bytes) -> None:
+    def send_raw(self, me: int, to: int, data: bytes) -> None:
         self.routers.network.send(me, to, data)
 
-    def stranger(self, to: int, data: bytes) -> None:
+    def send_from_unknown_address(self, to: int, data: bytes) -> None:
         self.routers.network.send(99, to, data)
 
-    def blow(self, loss: float, double: float) -> None:
+    def set_faults(self, loss: float, double: float) -> None:
         self.routers.network.weather.loss = loss
         self.routers.network.weather.double = double
 
@@ -117,27 +117,27 @@
     def heal(self) -> None:
         self.routers.network.heal()
 
-    def left(self, me: int) -> tuple[int, int]:
-        return self.mux[me].counts["bytes"], self.routers.now - self.began
+    def traffic(self, me: int) -> tuple[int, int]:
+        return self.mux[me].counts["bytes"], self.routers.now - self.started_us
 
     @property
-    def began(self) -> int:
+    def started_us(self) -> int:
         from slipbay.emulator.channel_fleet import EPOCH
 
         return EPOCH
 
-    def settle(self) -> None:
+    def wait_until_delivered(self) -> None:
         self.routers.run(0.05)
 
 
-class Sockets(Carrier):
-    """Routers' own sockets and timers on a real loop, with nothing between them."""
+class Sockets(TransportUnderTest):
+    """The sockets and timers of real routers on an event loop, without relays."""
 
     link: type[UdpLink] = UdpLink
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
-        net, self._kept = own_net()
+        net, self._reserved_socket = own_net()
         self.real = [(f"127.{net}.0.{n + 1}", PEER_PORT) for n in range(SIZE)]
         self.sent = Counter[int]()
         self.loop.run_until_complete(self._open())
@@ -148,18 +148,18 @@
         self.peers = list[PeerSocket]()
         self.links = list[UdpLink]()
         self.mux = []
-        self.began = clock.fresh()
+        self.started_us = clock.fresh()
         for me in range(SIZE):
-            told = await self._told(me)
+            addresses = await self._peer_addresses(me)
             config = SimpleNamespace(
-                peers=told,
+                peers=addresses,
                 peer_listen=self.real[me],
                 peers_all=None,
                 settings=SimpleNamespace(router_number=me, may_gossip=True),
             )
             peers = PeerSocket(cast(Any, config), lambda number, data: None)
             mux = Multiplexer(me, SIZE, 300 + me, clock.now(), key=KEY)
-            for kind, party in parties().items():
+            for kind, party in make_endpoints().items():
                 mux.add(kind, party)
             link = self.link(mux, peers, timers, clock.now)
             await peers.start()
@@ -168,25 +168,26 @@
             self.links.append(link)
             self.mux.append(mux)
 
-    async def _told(self, me: int) -> list[tuple[str, int]]:
+    async def _peer_addresses(self, me: int) -> list[tuple[str, int]]:
         return self.real
 
-    def say(self, me: int, to: int, body: bytes) -> None:
+    def send_message(self, me: int, to: int, body: bytes) -> None:
         self.links[me].send(FrameKind.QUOTA, [(to, body)])
 
-    def raw(self, me: int, to: int, data: bytes) -> None:
+    def send_raw(self, me: int, to: int, data: bytes) -> None:
         self.peers[me].send(data, to)
 
-    def stranger(self, to: int, data: bytes) -> None:
-        self._kept.sendto(data, self.real[to])
+    def send_from_unknown_address(self, to: int, data: bytes) -> None:
+        self._reserved_socket.sendto(data, self.real[to])
 
-    def left(self, me: int) -> tuple[int, int]:
-        return self.mux[me].counts["bytes"], self.clock.fresh() - self.began
+    def traffic(self, me: int) -> tuple[int, int]:
+        return self.mux[me].counts["bytes"], self.clock.fresh() - self.started_us
 
-    def settle(self) -> None:
-        """A mark on every way, which nothing overtakes there; the system may drop one, so there are more."""
-        fences = self.ears(FENCE)
-        before = [Counter(sender for sender, _, _ in heard) for heard in fences]
+    def wait_until_delivered(self) -> None:
+        """Send a fence message on every link until one has arrived: no datagram overtakes it, but it may be
+        lost."""
+        fences = self.received_by_router(FENCE)
+        before = [Counter(sender for sender, _, _ in messages) for messages in fences]
 
         async def marked() -> None:
             while not all(
@@ -197,7 +198,7 @@
             ):
                 for me in range(SIZE):
                     for to in {*range(SIZE)} - {me}:
-                        self.raw(me, to, frame.encode(Frame(FENCE, me, 300 + me, b""), KEY))
+                        self.send_raw(me, to, frame.encode(Frame(FENCE, me, 300 + me, b""), KEY))
                 for _ in range(20):
                     await asyncio.sleep(0)
 
@@ -206,32 +207,33 @@
     def close(self) -> None:
         for peers in self.peers:
             peers.close()
-        self._kept.close()
+        self._reserved_socket.close()
         self.loop.run_until_complete(asyncio.sleep(0))
         self.loop.close()
 
 
 class Relayed(Sockets):
-    """The same, through the rig's relays."""
+    """The same sockets, with the relays of the rig between them."""
 
-    async def _told(self, me: int) -> list[tuple[str, int]]:
+    async def _peer_addresses(self, me: int) -> list[tuple[str, int]]:
         if not me:
             self.relays = UdpProxy(self.real, Random(1), Marks())
             await self.relays.open()
-        told = self.relays.peers(me, self.real[me])
-        return [(host, int(port)) for host, _, port in (address.partition(":") for address in told)]
+        addresses = self.relays.peers(me, self.real[me])
+        return [(host, int(port)) for host, _, port in (address.partition(":") for address in addresses)]
 
-    def say(self, me: int, to: int, body: bytes) -> None:
+    def send_message(self, me: int, to: int, body: bytes) -> None:
         before = self.mux[me].counts["sent"]
-        super().say(me, to, body)
-        self._taken(self.mux[me].counts["sent"] - before)
+        super().send_message(me, to, body)
+        self._wait_for_relays(self.mux[me].counts["sent"] - before)
 
-    def raw(self, me: int, to: int, data: bytes) -> None:
-        super().raw(me, to, data)
-        self._taken(len(data) <= frame.MOST_BYTES)
+    def send_raw(self, me: int, to: int, data: bytes) -> None:
+        super().send_raw(me, to, data)
+        self._wait_for_relays(len(data) <= frame.MOST_BYTES)
 
-    def _taken(self, count: int) -> None:
-        """Relays have what left: what they do with it is decided by how things are now."""
+    def _wait_for_relays(self, count: int) -> None:
+        """Wait until the relays have processed ``count`` more datagrams, under the faults that are set
+        now."""
         self.carried += count
 
         async def until() -> None:
@@ -243,7 +245,7 @@
 
     carried = 0
 
-    def blow(self, loss: float, double: float) -> None:
+    def set_faults(self, loss: float, double: float) -> None:
         self.relays.loss = loss
         self.relays.double = double
 
@@ -259,58 +261,59 @@
 
 
 NUMBERS = st.integers(0, SIZE - 1)
-FARS = st.integers(-1, SIZE)
+RECEIVERS = st.integers(-1, SIZE)
 FORGERIES = ("flipped", "cut", "other key", "no key", "lying sender", "stranger", "unknown kind", "noise")
 
 
 class ChannelContract(RuleBasedStateMachine):
-    make: type[Carrier]
+    make: type[TransportUnderTest]
 
     def __init__(self) -> None:
         super().__init__()
         self.net = self.make()
         self.random = Random(1)
         self.count = 0
-        self.said: dict[bytes, tuple[int, int, str]] = {}  # from, to, and what must become of it
-        self.doubled: set[bytes] = set()
+        # sender, receiver and expected outcome by body
+        self.sent_messages: dict[bytes, tuple[int, int, str]] = {}
+        self.may_duplicate: set[bytes] = set()
         self.bytes = Counter[int]()
         self.cuts: set[tuple[int, int]] = set()
         self.loss = self.double = 0.0
 
-    @rule(me=NUMBERS, to=FARS, size=st.integers(4, 236))
-    def say(self, me: int, to: int, size: int) -> None:
+    @rule(me=NUMBERS, to=RECEIVERS, size=st.integers(4, 236))
+    def send_message(self, me: int, to: int, size: int) -> None:
         self.count += 1
         body = self.count.to_bytes(4, "little") + self.random.randbytes(size - 4)
-        self.net.say(me, to, body)
-        after, until = self.net.left(me)
+        self.net.send_message(me, to, body)
+        after, until = self.net.traffic(me)
         self.bytes[me] += size + 20
-        fate = "may"
+        expected = "optional"
         if to == me or not 0 <= to < SIZE:
-            fate = "nowhere"
+            expected = "no receiver"
         elif (me, to) in self.cuts or self.loss == 1.0:
-            fate = "lost"
+            expected = "lost"
         elif not self.loss and self.bytes[me] < RATE // 2:
-            fate = "comes"
+            expected = "delivered"
         if self.double:
-            self.doubled.add(body)
-        self.said[body] = me, to, fate
+            self.may_duplicate.add(body)
+        self.sent_messages[body] = me, to, expected
         held(after <= RATE * (until // WINDOW_US + 1), "C6", f"{after} bytes after {until} us")
 
     @rule(me=NUMBERS, size=st.sampled_from((200, 236)))
     def burst(self, me: int, size: int) -> None:
         for _ in range(12):
-            self.say(me, (me + 1) % SIZE, size)
+            self.send_message(me, (me + 1) % SIZE, size)
 
     @rule(loss=st.sampled_from((0.0, 0.3, 1.0)), double=st.sampled_from((0.0, 0.5)))
-    def blow(self, loss: float, double: float) -> None:
-        if type(self.net).blow is not Carrier.blow:
-            self.net.blow(loss, double)
+    def apply_loss(self, loss: float, double: float) -> None:
+        if type(self.net).set_faults is not TransportUnderTest.set_faults:
+            self.net.set_faults(loss, double)
             self.loss = loss
             self.double = double
 
     @rule(me=NUMBERS, to=NUMBERS)
     def cut(self, me: int, to: int) -> None:
-        if type(self.net).cut is not Carrier.cut:
+        if type(self.net).cut is not TransportUnderTest.cut:
             self.net.cut(me, to)
             self.cuts.add((me, to))
 
@@ -319,67 +322,75 @@
         self.net.heal()
         self.cuts.clear()
 
-    @rule(me=NUMBERS, to=NUMBERS, how=st.sampled_from(FORGERIES))
-    def forge(self, me: int, to: int, how: str) -> None:
-        """None of these is ever heard, as nobody said their body."""
+    @rule(me=NUMBERS, to=NUMBERS, forgery=st.sampled_from(FORGERIES))
+    def forge(self, me: int, to: int, forgery: str) -> None:
+        """No endpoint may receive any of these, as no endpoint sent their body."""
         if me == to:
             return
         body = b"never said"
         sender = me
         kind = int(FrameKind.QUOTA)
         key = KEY
-        if how == "other key":
+        if forgery == "other key":
             key = b"another key of 16"
-        elif how == "no key":
+        elif forgery == "no key":
             key = b""
-        elif how == "lying sender":
-            sender = SIZE - me - to  # the third
-        elif how == "unknown kind":
+        elif forgery == "lying sender":
+            sender = SIZE - me - to  # the third router
+        elif forgery == "unknown kind":
             kind = FrameKind.LATER
         data = frame.encode(Frame(kind, sender, 300 + sender, body), key)
-        if how == "flipped":
+        if forgery == "flipped":
             at = self.random.randrange(5, len(data))
             data = data[:at] + bytes([data[at] ^ 1 << self.random.randrange(8)]) + data[at + 1 :]
-        elif how == "cut":
+        elif forgery == "cut":
             data = data[: self.random.randrange(5, len(data))]
-        elif how == "noise":
+        elif forgery == "noise":
             data = data[:5] + self.random.randbytes(60)
-        if how == "stranger":
-            self.net.stranger(to, data)
+        if forgery == "stranger":
+            self.net.send_from_unknown_address(to, data)
         else:
-            self.net.raw(me, to, data)
+            self.net.send_raw(me, to, data)
 
     @rule(me=NUMBERS, to=NUMBERS)
-    def too_long(self, me: int, to: int) -> None:
-        """A whole message behind which more stands: it must be dropped, not cut to what fits."""
+    def send_too_long(self, me: int, to: int) -> None:
+        """A valid message followed by more bytes: it must be dropped, not truncated to the valid part."""
         if me != to:
             good = frame.encode(Frame(FrameKind.QUOTA, me, 300 + me, b"too long" * 29), KEY)
-            self.net.raw(me, to, good + bytes(frame.MOST_BYTES + 1 - len(good)))
+            self.net.send_raw(me, to, good + bytes(frame.MOST_BYTES + 1 - len(good)))
 
     @rule()
     def check(self) -> None:
-        self.net.blow(0.0, 0.0)
+        self.net.set_faults(0.0, 0.0)
         self.net.heal()
-        self.net.settle()
+        self.net.wait_until_delivered()
         self.loss = self.double = 0.0
         self.cuts.clear()
-        came = Counter[bytes]()
-        for me, heard in enumerate(self.net.ears(FrameKind.QUOTA)):
-            for sender, life, body in heard:
-                held(not body.startswith(b"too long"), "C2", "a message over 256 bytes was heard")
-                held(body in self.said, "C5", f"{body[:12]!r} was never said")
-                source, target, fate = self.said[body]
-                held(fate != "nowhere", "C7", f"said to {target} by {source}, and heard by {me}")
+        received_counts = Counter[bytes]()
+        for me, messages in enumerate(self.net.received_by_router(FrameKind.QUOTA)):
+            for sender, life, body in messages:
+                held(not body.startswith(b"too long"), "C2", "a message over 256 bytes was received")
+                held(body in self.sent_messages, "C5", f"{body[:12]!r} was never sent")
+                source, target, expected = self.sent_messages[body]
+                held(expected != "no receiver", "C7", f"sent to {target} by {source}, and received by {me}")
                 held(
                     (sender, me, life) == (source, target, self.net.mux[source].life),
                     "C1",
-                    "another sender, receiver or life",
+                    "another sender, receiver or incarnation",
                 )
-                came[body] += 1
-        for body, (_, _, fate) in self.said.items():
-            held(fate != "comes" or came[body], "C1", "within the budget and unharmed, and it did not come")
-            held(fate != "lost" or not came[body], "C3", "it came over a cut")
-            held(came[body] <= (2 if body in self.doubled else 1), "C4", f"it came {came[body]} times")
+                received_counts[body] += 1
+        for body, (_, _, expected) in self.sent_messages.items():
+            held(
+                expected != "delivered" or received_counts[body],
+                "C1",
+                "within the budget and without faults, but not received",
+            )
+            held(expected != "lost" or not received_counts[body], "C3", "received over an interrupted link")
+            held(
+                received_counts[body] <= (2 if body in self.may_duplicate else 1),
+                "C4",
+                f"received {received_counts[body]} times",
+            )
 
     def teardown(self) -> None:
         try:
@@ -388,48 +399,48 @@
             self.net.close()
 
 
-CARRIERS: dict[str, tuple[type[Carrier], int]] = {  # and how many histories
+TRANSPORTS: dict[str, tuple[type[TransportUnderTest], int]] = {  # transport and number of histories
     "emulator": (Emulated, 60),
     "sockets": (Sockets, 25),
     "relays": (Relayed, 25),
 }
 
 
-# Broken carriers
+# Transports that violate one obligation
 
 
-class Swaps(Network):
-    """C1: it delivers to the neighbour."""
+class WrongReceiver(Network):
+    """C1: delivers to the next router."""
 
     def send(self, source: int, target: int, data: bytes) -> None:
         super().send(source, (target + 1) % SIZE, data)
 
 
-class AnyLength(Sockets):
-    """C2: it cuts what is too long to what fits."""
+class TruncatesLongDatagrams(Sockets):
+    """C2: truncates a datagram that is too long."""
 
-    def raw(self, me: int, to: int, data: bytes) -> None:
+    def send_raw(self, me: int, to: int, data: bytes) -> None:
         good = frame.HEAD.size + 29 * 8 + frame.DIGEST_BYTES
-        super().raw(me, to, data[: good + (good - 5) % 3 // 3] if len(data) > frame.MOST_BYTES else data)
+        super().send_raw(me, to, data[: good + (good - 5) % 3 // 3] if len(data) > frame.MOST_BYTES else data)
 
 
-class Tunnels(Network):
-    """C3: cuts do not cut."""
+class IgnoresCuts(Network):
+    """C3: does not interrupt links."""
 
     def cut(self, sources: Any, targets: Any, both: bool = True) -> None:
         pass
 
 
-class Stutters(Network):
-    """C4: it delivers twice in the best weather."""
+class AlwaysDuplicates(Network):
+    """C4: duplicates without a fault being set."""
 
     def send(self, source: int, target: int, data: bytes) -> None:
         super().send(source, target, data)
         super().send(source, target, data)
 
 
-class Trusting(Multiplexer):
-    """C5: it believes who a message says that it is from."""
+class TrustsSender(Multiplexer):
+    """C5: accepts the sender that a message names, whatever its source address is."""
 
     def receive(self, now: int, data: bytes, sender: int | None) -> list[Send]:
         try:
@@ -439,27 +450,27 @@
         return super().receive(now, data, found.sender if found is not None else sender)
 
 
-class Unbounded(Multiplexer):
-    """C6: it has no budget."""
+class UnlimitedRate(Multiplexer):
+    """C6: has no byte budget."""
 
     def own(self, now: int, kind: int, sends: Any) -> list[Send]:
         self.budget.rate = 1e9
         return super().own(now, kind, sends)
 
 
-class Wraps(Multiplexer):
-    """C7: numbers that there are not come out at others."""
+class WrapsNumbers(Multiplexer):
+    """C7: maps numbers that no router has to other routers."""
 
     def own(self, now: int, kind: int, sends: Any) -> list[Send]:
         return super().own(now, kind, [(to % SIZE, body) for to, body in sends])
 
 
-def broken(part: type) -> type[Carrier]:
-    """A carrier with a broken part."""
+def broken(part: type) -> type[TransportUnderTest]:
+    """A transport with a part that violates an obligation."""
     if issubclass(part, Network):
         return type(part.__name__, (Emulated,), {"network": part})
     if not issubclass(part, Multiplexer):
-        return cast(type[Carrier], part)
+        return cast(type[TransportUnderTest], part)
 
     class WithMux(Emulated):
         def __init__(self) -> None:
@@ -470,8 +481,16 @@
     return WithMux
 
 
-BROKEN = (Swaps, AnyLength, Tunnels, Stutters, Trusting, Unbounded, Wraps)
+BROKEN = (
+    WrongReceiver,
+    TruncatesLongDatagrams,
+    IgnoresCuts,
+    AlwaysDuplicates,
+    TrustsSender,
+    UnlimitedRate,
+    WrapsNumbers,
+)
 
-test_a_carrier_keeps_its_contract, test_the_contract_finds_the_broken_obligation = suite(
-    ChannelContract, CARRIERS, BROKEN, broken=broken
+test_a_transport_keeps_its_contract, test_the_contract_finds_the_broken_obligation = suite(
+    ChannelContract, TRANSPORTS, BROKEN, broken=broken
 )
