--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -53,7 +53,7 @@
         fleet.run(0.05)
         for view in fleet.views():
             if view.table.state(victim) in (MemberState.GONE, None):
-                held.setdefault(view.me, (fleet.now - start) / SECOND)
+                held.setdefault(view.local_number, (fleet.now - start) / SECOND)
     return sorted(held.values())
 
 
--- a/slipbay/membership/anti_entropy.py
+++ b/slipbay/membership/anti_entropy.py
@@ -10,7 +10,7 @@
 from slipbay.membership.outbox import Outbox
 from slipbay.membership.table_hashes import BUCKETS, TableHashes
 from slipbay.membership.timing import SECOND
-from slipbay.peer_channel.frame import MOST_BYTES
+from slipbay.peer_channel.frame import MAX_BYTES
 
 BUSY_FACTOR = 4  # longer interval while updates are queued: those usually make the tables equal
 
@@ -58,7 +58,7 @@
         start = self._random.randrange(len(updates) + 1)
         updates = updates[start:] + updates[:start]
         self._budget.refill(now_us)
-        space = int(min(MOST_BYTES, self._budget.free_bytes(Share.UPDATES)))
+        space = int(min(MAX_BYTES, self._budget.free_bytes(Share.UPDATES)))
         chosen, used = fit_updates(updates, space - self._outbox.base_bytes_by_kind[MessageType.UPDATES])
         if chosen:
             self._outbox.send(now_us, message.sender, MessageType.UPDATES, updates=chosen, update_bytes=used)
--- a/slipbay/membership/codec.py
+++ b/slipbay/membership/codec.py
@@ -20,16 +20,16 @@
 
 from slipbay.membership.varint import decode_varint, encode_varint, varint_bytes
 from slipbay.peer_channel.frame import (
+    CRC_BYTES,
     DIGEST_BYTES,
     FLAG,
     MAGIC,
-    MOST_BYTES,
-    SUM_BYTES,
+    MAX_BYTES,
     VERSION,
     CorruptFrameError,
-    is_ours,
-    seal,
-    unseal,
+    checksum,
+    is_peer_message,
+    remove_checksum,
 )
 
 HEAD = Struct("<3sBBBBHHHII")
@@ -108,7 +108,7 @@
 
 def base_bytes(fixed: int, keyed: bool) -> int:
     """Length of a message without updates. ``fixed``: bytes of the fields of its kind."""
-    return 1 + HEAD.size + fixed + (DIGEST_BYTES if keyed else SUM_BYTES)
+    return 1 + HEAD.size + fixed + (DIGEST_BYTES if keyed else CRC_BYTES)
 
 
 class _GroupSize(NamedTuple):
@@ -169,9 +169,9 @@
         data += bytes([len(message.hashes)]) + b"".join(map(NUMBER.pack, message.hashes))
     if message.updates:
         data += b"".join(_encode_groups(message.updates))
-    if (len(data) + (DIGEST_BYTES if key else SUM_BYTES) - 5) % 3 == 0:
+    if (len(data) + (DIGEST_BYTES if key else CRC_BYTES) - 5) % 3 == 0:
         data += bytes([PADDING])  # avoids the lengths of policy gossip; earlier releases skip it
-    return data + seal(data, key)
+    return data + checksum(data, key)
 
 
 def decode(data: bytes, keys: Sequence[bytes] = ()) -> Message | None:
@@ -179,9 +179,9 @@
 
     ``keys``: any of them may have signed it. Raises ``CorruptFrameError``.
     """
-    if not is_ours(data) or len(data) > MOST_BYTES:
+    if not is_peer_message(data) or len(data) > MAX_BYTES:
         raise CorruptFrameError("not a membership message")
-    data = unseal(data, keys)
+    data = remove_checksum(data, keys)
     if data[3] != VERSION or data[4] & ~FLAG not in KINDS:
         return None
     try:
--- a/slipbay/membership/outbox.py
+++ b/slipbay/membership/outbox.py
@@ -21,7 +21,7 @@
 from slipbay.membership.environment import Environment
 from slipbay.membership.member_table import MemberTable
 from slipbay.membership.table_hashes import BUCKETS, TableHashes
-from slipbay.peer_channel.frame import MOST_BYTES
+from slipbay.peer_channel.frame import MAX_BYTES
 
 Send: TypeAlias = tuple[int, bytes]
 """The number of the receiver and the datagram."""
@@ -132,7 +132,7 @@
         space = min(
             self._budget.available[Share.UPDATES],
             self._budget.host_limit - base,
-            MOST_BYTES - base,
+            MAX_BYTES - base,
         )
         chosen, _ = self._updates.select(self._table, space)
         self._updates.record_sent(chosen, len(self._table.alive))
--- a/slipbay/membership/reconciliation.py
+++ b/slipbay/membership/reconciliation.py
@@ -20,7 +20,7 @@
 from slipbay.membership.outbox import Outbox
 from slipbay.membership.table_hashes import TableHashes
 from slipbay.membership.timing import SECOND
-from slipbay.peer_channel.frame import MOST_BYTES
+from slipbay.peer_channel.frame import MAX_BYTES
 
 # Largest difference of an update's incarnation from the table. A larger one is corrupt, because each
 # increment takes a refutation.
@@ -126,7 +126,7 @@
     def _notify_number_taken(self, now_us: int, member: Member) -> None:
         state = max(member.state, MemberState.SUSPECT)
         update = Update(member.number, state, member.incarnation, self._table.local_number)
-        _, update_bytes = fit_updates([update], MOST_BYTES)
+        _, update_bytes = fit_updates([update], MAX_BYTES)
         self._outbox.send(
             now_us, member.number, MessageType.UPDATES, updates=[update], update_bytes=update_bytes
         )
--- a/slipbay/membership/service.py
+++ b/slipbay/membership/service.py
@@ -68,7 +68,7 @@
         self._may_be_disconnected = False
         self._timer: Timer | None = None
         self.mux: Multiplexer | None = None  # of the channel, whose byte budget includes membership messages
-        peers.fleet = self._received
+        peers.datagram_handler = self._received
 
     def start(self) -> None:
         """Start to send probes and gossip."""
@@ -97,7 +97,7 @@
 
         ``number``: of the peer that has the source address; None if no peer has it.
         """
-        if not frame.is_ours(data):
+        if not frame.is_peer_message(data):
             if number is not None:
                 self.machine.detector.record_other_message(self._now(), number)
             return False
@@ -106,7 +106,7 @@
             self._send(now, self.machine.receive(now, data, number))
         elif self._is_status_request(data, address):
             for page in pages(self.status()):
-                self._peers.answer(page, address)
+                self._peers.send_to(page, address)
         else:
             self.machine.counts["foreign"] += 1
         return True
@@ -163,7 +163,7 @@
         live_count = len(machine.living)
         return {
             "name": self._config.name,
-            "number": machine.me,
+            "number": machine.local_number,
             "version": machine.version,
             "life": machine.start_id,
             "incarnation": machine.table.local_member.incarnation,
--- a/slipbay/membership/state_machine.py
+++ b/slipbay/membership/state_machine.py
@@ -34,7 +34,7 @@
 from slipbay.membership.reconnect import Reconnector
 from slipbay.membership.table_hashes import TableHashes
 from slipbay.membership.timing import SECOND, Timing
-from slipbay.peer_channel.frame import MOST_BYTES, CorruptFrameError
+from slipbay.peer_channel.frame import MAX_BYTES, CorruptFrameError
 
 MIN_TICK_US = 10_000
 CLEANUP_US = SECOND  # between removals of expired entries
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        me: int,
+        local_number: int,
         size: int,
         start_id: int,
         random: Random,
@@ -64,7 +64,7 @@
         timing: Timing | None = None,
         keys: MessageKeys | None = None,
     ) -> None:
-        self.me = me
+        self.local_number = local_number
         self.size = size
         self.timing = timing or Timing()
         self.start_id = start_id % 2**16
@@ -75,7 +75,7 @@
         self._accepted_keys = keys.accepted
         environment = Environment(self.timing, random, self.counts, now_us)
         sender = Sender(self.start_id, build, zone % MAX_ZONES, keys.current)
-        self.table = table = MemberTable(me, size, now_us)
+        self.table = table = MemberTable(local_number, size, now_us)
         table.local_member.start_id = sender.start_id
         table.local_member.zone = sender.zone
         table.local_member.build = sender.build
@@ -148,7 +148,7 @@
         """Announce the shutdown of this router, so that the others need no probes to detect it; returns the
         datagrams to send."""
         self._reconciler.store_update(
-            now_us, Update(self.me, MemberState.LEFT, self.table.local_member.incarnation + 1)
+            now_us, Update(self.local_number, MemberState.LEFT, self.table.local_member.incarnation + 1)
         )
         self._gossip(now_us, 2 * self.timing.fan)
         if self._reconciler.changes:
@@ -188,7 +188,7 @@
         if message is None or message.kind >= MessageType.STATUS:
             self.counts["skipped"] += 1
             return None
-        if message.sender != sender or sender == self.me or sender >= self.size:
+        if message.sender != sender or sender == self.local_number or sender >= self.size:
             self.counts["foreign"] += 1
             return None
         return message
@@ -210,14 +210,14 @@
     def _end_suspicions(self, now_us: int) -> None:
         members = self.table.members
         for number in [number for number in self.table.suspects if now_us >= members[number].deadline_us]:
-            is_local_accusation = self.me in members[number].accusers
+            is_local_accusation = self.local_number in members[number].accusers
             self._reconciler.apply_update(now_us, self._reconciler.local_update(number, MemberState.GONE))
             if not is_local_accusation:  # its accusers spread the update
                 self.updates.add_reduced(number, len(self.table.alive))
 
     def _gossip(self, now_us: int, fan: int) -> None:
         """Send queued updates to ``fan`` routers, as far as the budget allows."""
-        space = min(MOST_BYTES, self.budget.capacity[Share.UPDATES])
+        space = min(MAX_BYTES, self.budget.capacity[Share.UPDATES])
         updates, update_bytes = self.updates.select(
             self.table, space - self._outbox.base_bytes_by_kind[MessageType.UPDATES]
         )
--- a/slipbay/membership/table_hashes.py
+++ b/slipbay/membership/table_hashes.py
@@ -5,7 +5,7 @@
 from zlib import crc32
 
 from slipbay.membership.codec import NUMBER
-from slipbay.peer_channel.frame import SUM
+from slipbay.peer_channel.frame import CRC
 
 BUCKETS = 16  # of the table; their hashes are compared when digests differ
 
@@ -29,4 +29,4 @@
     def salted(self, salt: int) -> tuple[int, ...]:
         """Hashes of the buckets, 16 bits each. The salt makes an accidental collision unlikely to recur with
         the next message."""
-        return tuple(crc32(SUM.pack(value), salt) % 2**16 for value in self._buckets)
+        return tuple(crc32(CRC.pack(value), salt) % 2**16 for value in self._buckets)
--- a/slipbay/peer_channel/external_traffic.py
+++ b/slipbay/peer_channel/external_traffic.py
@@ -5,7 +5,7 @@
 from slipbay.policy.gossip_codec import HEAD, ITEM
 
 
-def cut(body: bytes, room: int) -> bytes:
+def truncate_gossip(body: bytes, room: int) -> bytes:
     """Truncate a gossip message of the routing policy to at most ``room`` bytes.
 
     Its items are sorted by threads, most first, so whole items are dropped from the end. Returns an empty
--- a/slipbay/peer_channel/frame.py
+++ b/slipbay/peer_channel/frame.py
@@ -19,15 +19,15 @@
 
 from slipbay.errors import SlipbayError
 
-MOST_BYTES = 256
+MAX_BYTES = 256
 VERSION = 2
 MAGIC = b"slb"
 FLAG = 0x80
 HEAD = Struct("<3sBBHHB")
-SUM = Struct("<I")
+CRC = Struct("<I")
 # length of the checksum with a key, and without
 DIGEST_BYTES = 8
-SUM_BYTES = 4
+CRC_BYTES = 4
 FIRST_KIND = 16  # lower kinds are membership messages
 MIN_BYTES = 5  # up to and including the kind
 
@@ -45,25 +45,25 @@
     body: bytes
 
 
-def is_ours(data: bytes) -> bool:
+def is_peer_message(data: bytes) -> bool:
     """Whether a datagram is a channel frame or a membership message; all others are gossip of the policy."""
     return len(data) >= MIN_BYTES and bool(data[4] & FLAG) and data[:3] == MAGIC
 
 
 def is_framed(data: bytes) -> bool:
-    """Whether a datagram is a channel frame; if not, and ``is_ours``, it is a membership message."""
-    return is_ours(data) and data[4] & ~FLAG >= FIRST_KIND
+    """Whether a datagram is a channel frame; if not, and ``is_peer_message``, it is a membership message."""
+    return is_peer_message(data) and data[4] & ~FLAG >= FIRST_KIND
 
 
 def encode(frame: Frame, key: bytes = b"") -> bytes:
     """The datagram of a frame. Raises ``ValueError`` for a body that is too long."""
     kind, sender, life, body = frame
-    seal_bytes = DIGEST_BYTES if key else SUM_BYTES
-    padded = (HEAD.size + len(body) + seal_bytes - 5) % 3 == 0  # a length of policy gossip
+    checksum_bytes = DIGEST_BYTES if key else CRC_BYTES
+    padded = (HEAD.size + len(body) + checksum_bytes - 5) % 3 == 0  # a length of policy gossip
     data = HEAD.pack(MAGIC, VERSION, FLAG | kind, sender, life, padded) + body + bytes(padded)
-    if len(data) + seal_bytes > MOST_BYTES:
+    if len(data) + checksum_bytes > MAX_BYTES:
         raise ValueError(f"a body of {len(body)} bytes is too long")
-    return data + seal(data, key)
+    return data + checksum(data, key)
 
 
 def decode(data: bytes, keys: Sequence[bytes] = ()) -> Frame | None:
@@ -71,9 +71,9 @@
 
     ``keys``: any of them may have signed it; none: it has a CRC-32. Raises ``CorruptFrameError``.
     """
-    if not is_framed(data) or len(data) > MOST_BYTES:
+    if not is_framed(data) or len(data) > MAX_BYTES:
         raise CorruptFrameError("not a frame of the channel")
-    data = unseal(data, keys)
+    data = remove_checksum(data, keys)
     if data[3] != VERSION:
         return None
     if len(data) < HEAD.size:
@@ -84,23 +84,23 @@
     return Frame(kind & ~FLAG, sender, life, data[HEAD.size : len(data) - padded])
 
 
-def unseal(data: bytes, keys: Sequence[bytes]) -> bytes:
+def remove_checksum(data: bytes, keys: Sequence[bytes]) -> bytes:
     """The bytes before a valid checksum. Raises ``CorruptFrameError``."""
     if keys:
         found = data[-DIGEST_BYTES:]
         data = data[:-DIGEST_BYTES]
-        is_valid = any(hmac.compare_digest(found, seal(data, key)) for key in keys)
+        is_valid = any(hmac.compare_digest(found, checksum(data, key)) for key in keys)
     else:
-        found = data[-SUM_BYTES:]
-        data = data[:-SUM_BYTES]
-        is_valid = found == SUM.pack(crc32(data))
+        found = data[-CRC_BYTES:]
+        data = data[:-CRC_BYTES]
+        is_valid = found == CRC.pack(crc32(data))
     if not is_valid:
         raise CorruptFrameError("the checksum matches none of the keys, or the datagram is damaged")
     return data
 
 
-def seal(data: bytes, key: bytes) -> bytes:
+def checksum(data: bytes, key: bytes) -> bytes:
     """The checksum. Without a key it detects accidental damage but does not authenticate the sender."""
     if not key:
-        return SUM.pack(crc32(data))
+        return CRC.pack(crc32(data))
     return blake2s(data, key=key, digest_size=DIGEST_BYTES).digest()
--- a/slipbay/peer_channel/multiplexer.py
+++ b/slipbay/peer_channel/multiplexer.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping, Sequence
 
 from slipbay.peer_channel.budget import ByteBudget
-from slipbay.peer_channel.external_traffic import cut
+from slipbay.peer_channel.external_traffic import truncate_gossip
 from slipbay.peer_channel.frame import FIRST_KIND, CorruptFrameError, Frame, decode, encode
 from slipbay.peer_channel.interfaces import ChannelEndpoint, FrameKind, Send
 
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        me: int,
+        local_number: int,
         size: int,
         life: int,
         now: int,
@@ -34,11 +34,11 @@
     ) -> None:
         """Create a channel without endpoints.
 
-        ``me``: number of this router. ``size``: how many routers are configured. ``life``: the incarnation, a
-        number that is new with each start. ``parts``: guaranteed fraction of the rate by kind, in effect for
-        an endpoint once it is added. Kinds without one share the rest.
+        ``local_number``: of this router. ``size``: how many routers are configured. ``life``: the
+        incarnation, a number that is new with each start. ``parts``: guaranteed fraction of the rate by kind,
+        in effect for an endpoint once it is added. Kinds without one share the rest.
         """
-        self.me = me
+        self.local_number = local_number
         self.size = size
         self.life = life % 2**16
         self._key = key
@@ -50,9 +50,9 @@
         self.unsent: dict[int, Callable[[int, int, bytes], None]] = {}
         """By kind, a callback for messages that the budget had no room for: time, receiver and body."""
 
-    def add(self, kind: int, party: ChannelEndpoint) -> None:
+    def add(self, kind: int, endpoint: ChannelEndpoint) -> None:
         """Add an endpoint. Its guaranteed fraction of the rate is in effect from now on."""
-        self.parties[kind] = party
+        self.parties[kind] = endpoint
         if kind in self._parts:
             self.budget.hold(kind, self._parts[kind])
 
@@ -69,7 +69,7 @@
         if frame is None or frame.kind not in self.parties:
             self.counts["skipped"] += 1
             return []
-        if sender is None or frame.sender != sender or sender == self.me or sender >= self.size:
+        if sender is None or frame.sender != sender or sender == self.local_number or sender >= self.size:
             self.counts["foreign"] += 1
             return []
         self.counts["received"] += 1
@@ -81,14 +81,14 @@
     def tick(self, now: int) -> list[Send]:
         """Call ``tick`` of the endpoints that are due; returns the datagrams to send."""
         sends: list[Send] = []
-        for kind, party in self.parties.items():
-            if party.next_tick() <= now:
-                sends += self._encode_frames(now, kind, party.tick(now))
+        for kind, endpoint in self.parties.items():
+            if endpoint.next_tick() <= now:
+                sends += self._encode_frames(now, kind, endpoint.tick(now))
         return sends
 
     def next_tick(self) -> int | None:
         """When ``tick`` is due; None if there are no endpoints."""
-        return min((party.next_tick() for party in self.parties.values()), default=None)
+        return min((endpoint.next_tick() for endpoint in self.parties.values()), default=None)
 
     def own(self, now: int, kind: int, sends: Sequence[Send]) -> list[Send]:
         """The datagrams for messages that an endpoint sends outside of ``receive`` and ``tick``, for example
@@ -107,7 +107,7 @@
     def told(self, now: int, body: bytes) -> bytes | None:
         """A gossip message of the routing policy, truncated to what the budget allows now; None if it has no
         room for the header. The engines with most threads are kept. The message is counted as sent."""
-        body = cut(body, self.budget.room(now, FrameKind.DECISIONS))
+        body = truncate_gossip(body, self.budget.room(now, FrameKind.DECISIONS))
         return body if body and self._spend(now, FrameKind.DECISIONS, len(body)) else None
 
     def status(self) -> dict[str, object]:
@@ -143,8 +143,8 @@
     def _encode_frames(self, now: int, kind: int, sends: Sequence[Send]) -> list[Send]:
         datagrams: list[Send] = []
         for to, body in sends:
-            data = encode(Frame(kind, self.me, self.life, body), self._key)
-            if to == self.me or not 0 <= to < self.size:
+            data = encode(Frame(kind, self.local_number, self.life, body), self._key)
+            if to == self.local_number or not 0 <= to < self.size:
                 continue
             if self._spend(now, kind, len(data)):
                 self.counts["sent"] += 1
--- a/slipbay/peer_channel/settings.py
+++ b/slipbay/peer_channel/settings.py
@@ -10,7 +10,7 @@
 from slipbay.config.model import Config
 from slipbay.config.validation import DEPLOY_FOLDER, ConfigError, convert, need_msgspec, read_key, switched_on
 from slipbay.membership.settings import MembershipConfig, check_peers
-from slipbay.peer_channel.frame import MOST_BYTES
+from slipbay.peer_channel.frame import MAX_BYTES
 
 CHANNEL_FILE = DEPLOY_FOLDER / "channel.toml"
 
@@ -55,7 +55,7 @@
     except ConfigError as problem:
         raise ConfigError(f"{path.name}: {problem}") from None
     parts = {name: getattr(table.parts, name) for name in table.parts.__struct_fields__}
-    max_sum = 1 - MOST_BYTES / table.rate
+    max_sum = 1 - MAX_BYTES / table.rate
     if sum(parts.values()) > max_sum:
         raise ConfigError(
             f"{path.name}: parts: want at most {max_sum:.3f} together, so that the longest "
--- a/slipbay/peer_channel/status_pages.py
+++ b/slipbay/peer_channel/status_pages.py
@@ -14,11 +14,11 @@
 
 from slipbay.address import Address
 from slipbay.errors import SlipbayError
-from slipbay.peer_channel.frame import FLAG, MAGIC, MOST_BYTES, VERSION, is_ours
+from slipbay.peer_channel.frame import FLAG, MAGIC, MAX_BYTES, VERSION, is_peer_message
 
 PAGE_BYTES = 200
 PAGE_HEAD_BYTES = 7
-MOST_PAGES = 255
+MAX_PAGES = 255
 QUESTION_BYTES = 6
 PAGE = 7  # the kind of a page, a membership message type
 STATUS = 126  # the frame kind of a status request; the topic follows
@@ -41,7 +41,7 @@
 def pages(status: dict[str, object]) -> list[bytes]:
     """The datagrams of a status. Each has the kind, the number of the page, the count of pages, and text."""
     text = json.dumps(status).encode()
-    parts = [text[at : at + PAGE_BYTES] for at in range(0, len(text), PAGE_BYTES)][:MOST_PAGES]
+    parts = [text[at : at + PAGE_BYTES] for at in range(0, len(text), PAGE_BYTES)][:MAX_PAGES]
     return [
         MAGIC + bytes([VERSION, FLAG | PAGE, number, len(parts)]) + part for number, part in enumerate(parts)
     ]
@@ -58,10 +58,10 @@
         while (remaining_s := deadline - time.monotonic()) > 0:
             sock.settimeout(remaining_s)
             try:
-                data = sock.recv(MOST_BYTES)
+                data = sock.recv(MAX_BYTES)
             except (TimeoutError, ConnectionRefusedError):
                 break
-            if len(data) < PAGE_HEAD_BYTES or not is_ours(data) or data[4] & ~FLAG != PAGE:
+            if len(data) < PAGE_HEAD_BYTES or not is_peer_message(data) or data[4] & ~FLAG != PAGE:
                 continue
             received_pages[data[5]] = data[PAGE_HEAD_BYTES:]
             if len(received_pages) == data[6]:
--- a/slipbay/peer_channel/udp_link.py
+++ b/slipbay/peer_channel/udp_link.py
@@ -24,8 +24,8 @@
         self._timer: Timer | None = None
         self.topics: dict[int, Callable[[], dict[str, object]]] = {}
         """Status functions for commands on this host, by topic: 0 or the kind of an endpoint."""
-        self._next_handler = peers.fleet
-        peers.fleet = self._received
+        self._next_handler = peers.datagram_handler
+        peers.datagram_handler = self._received
 
     def start(self) -> None:
         """Start the timer. Called once, after all endpoints are added and the socket is open."""
@@ -69,7 +69,7 @@
         if requested is None or requested not in self.topics or not address[0].startswith("127."):
             return False
         for page in pages(self.topics[requested]()):
-            self._peers.answer(page, address)
+            self._peers.send_to(page, address)
         return True
 
     def _send(self, sends: list[Send]) -> None:
--- a/slipbay/peers/udp.py
+++ b/slipbay/peers/udp.py
@@ -10,7 +10,7 @@
 from slipbay.config.model import Config
 from slipbay.log import log
 
-MOST_BYTES = 256
+MAX_BYTES = 256
 
 
 class PeerSocket(asyncio.DatagramProtocol):
@@ -21,7 +21,9 @@
         self._on_gossip = on_gossip
         self._numbers = {peer: number for number, peer in enumerate(config.peers)}
         self._transport: asyncio.DatagramTransport | None = None
-        self.fleet: Callable[[int | None, bytes, Address], bool] = lambda _number, _data, _address: False
+        self.datagram_handler: Callable[[int | None, bytes, Address], bool] = (
+            lambda _number, _data, _address: False
+        )
 
     async def start(self) -> None:
         """Open the socket if the configuration has a peer address and allows gossip.
@@ -41,11 +43,11 @@
     def datagram_received(self, data: bytes, addr: Address) -> None:
         """Called by asyncio with a datagram and its source address."""
         number = self._numbers.get((addr[0], addr[1]))
-        if self.fleet(number, data, addr):
+        if self.datagram_handler(number, data, addr):
             return  # it was a message of the channel or of membership
         if number is None:
             log("peers", "datagram from an address that is not in the list of peers")
-        elif number != self._config.settings.router_number and len(data) <= MOST_BYTES:
+        elif number != self._config.settings.router_number and len(data) <= MAX_BYTES:
             self._on_gossip(number, data)
 
     def error_received(self, exc: Exception) -> None:
@@ -59,11 +61,11 @@
             else (self._config.peers[to] if to < len(self._config.peers) else None)
         )
         if target is not None:
-            self.answer(body, target)
+            self.send_to(body, target)
 
-    def answer(self, body: bytes, address: Address) -> None:
-        """Send a datagram to an address; one of more than ``MOST_BYTES`` is dropped."""
-        if self._transport is not None and len(body) <= MOST_BYTES:
+    def send_to(self, body: bytes, address: Address) -> None:
+        """Send a datagram to an address; one of more than ``MAX_BYTES`` is dropped."""
+        if self._transport is not None and len(body) <= MAX_BYTES:
             self._transport.sendto(body, address)
 
     def close(self) -> None:
--- a/slipbay/warmup/limits.py
+++ b/slipbay/warmup/limits.py
@@ -18,8 +18,10 @@
     """Computes the limits from the plan, the time since the start and the survey. Times are in us of one
     clock."""
 
-    def __init__(self, me: int, size: int, started: int, plan: WarmupPlan, survey: FleetSurvey) -> None:
-        self._me = me
+    def __init__(
+        self, local_number: int, size: int, started: int, plan: WarmupPlan, survey: FleetSurvey
+    ) -> None:
+        self._local_number = local_number
         self._size = size
         self._started = started
         self._plan = plan
@@ -57,13 +59,13 @@
         if self._size == 1:
             return 0
         span = min(self._plan.max_slot_us, int(self._size / self._plan.list_calls_per_s * SECOND))
-        return span * self._me // self._size
+        return span * self._local_number // self._size
 
     def connection_limits(self, now: int) -> WarmupChanged:
         """The limits for the policy until the next update: the rate of new connections, and whether queries
         need an idle connection. The routers of a fleet stop needing one at different times.
         """
-        offset = self._me * GOLDEN_SECTION % 1.0
+        offset = self._local_number * GOLDEN_SECTION % 1.0
         limited_until = self._started + self._plan.leftover_us + int(offset * self._plan.limit_spread_us)
         return WarmupChanged(now < limited_until, self.connections_per_s())
 
--- a/slipbay/warmup/service.py
+++ b/slipbay/warmup/service.py
@@ -71,7 +71,7 @@
         machine = self.machine
         threads = machine.limits.threads(now, self._all_cores())
         return {
-            "number": machine.me,
+            "number": machine.local_number,
             "configured": machine.size,
             **machine.status(now),
             "threads": self._threads,
--- a/slipbay/warmup/state_machine.py
+++ b/slipbay/warmup/state_machine.py
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        me: int,
+        local_number: int,
         size: int,
         seed: int,
         now: int,
@@ -43,7 +43,7 @@
         """``own_estimates``: returns the estimates of this router's policy at a time, and the retries that it
         counts. ``free_retries``: retries that the policy allows before any request.
         """
-        self.me = me
+        self.local_number = local_number
         self.size = size
         self.started = now
         self.plan = plan or WarmupPlan()
@@ -55,9 +55,9 @@
         self._own_estimates = own_estimates
         self._nonce = seed % NONCES
         self._next = now
-        order = _order(me, size, seed)
+        order = _order(local_number, size, seed)
         self.survey = FleetSurvey(size, order[: self.plan.survey_size])
-        self.limits = WarmupLimits(me, size, now, self.plan, self.survey)
+        self.limits = WarmupLimits(local_number, size, now, self.plan, self.survey)
         self.collector = EstimateCollector(self.plan, self.survey, order, free_retries)
 
     def set_engine_count(self, count: int) -> None:
@@ -111,7 +111,7 @@
         """Process a message of another router with incarnation ``life``; returns the messages to send."""
         del life  # the nonce distinguishes replies to this incarnation from those to an earlier one
         message = codec.decode(body)
-        if message is None or sender == self.me:
+        if message is None or sender == self.local_number:
             return []
         in_full_service = self.phase is Phase.FULL
         match message.message_type:
@@ -204,9 +204,9 @@
     return round(us / SECOND, 3)
 
 
-def _order(me: int, size: int, seed: int) -> list[int]:
+def _order(local_number: int, size: int, seed: int) -> list[int]:
     """All other routers, in an order with a start and a stride that depend on the seed."""
-    others = [n for n in range(size) if n != me]
+    others = [n for n in range(size) if n != local_number]
     start = (seed >> 16) % max(1, len(others))
     stride = _stride(len(others), seed >> 32)
     return [others[(start + n * stride) % len(others)] for n in range(len(others))]
--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -216,7 +216,7 @@
 
 
 def cut_to(body: bytes, room: int) -> bytes:
-    return external_traffic.cut(body, room)
+    return external_traffic.truncate_gossip(body, room)
 
 
 def store_lives(me: int, life: int) -> witnesses.StoreWitnesses:
--- a/tests/contracts/test_channel_contract.py
+++ b/tests/contracts/test_channel_contract.py
@@ -229,7 +229,7 @@
 
     def send_raw(self, me: int, to: int, data: bytes) -> None:
         super().send_raw(me, to, data)
-        self._wait_for_relays(len(data) <= frame.MOST_BYTES)
+        self._wait_for_relays(len(data) <= frame.MAX_BYTES)
 
     def _wait_for_relays(self, count: int) -> None:
         """Wait until the relays have processed ``count`` more datagrams, under the faults that are set
@@ -357,7 +357,7 @@
         """A valid message followed by more bytes: it must be dropped, not truncated to the valid part."""
         if me != to:
             good = frame.encode(Frame(FrameKind.QUOTA, me, 300 + me, b"too long" * 29), KEY)
-            self.net.send_raw(me, to, good + bytes(frame.MOST_BYTES + 1 - len(good)))
+            self.net.send_raw(me, to, good + bytes(frame.MAX_BYTES + 1 - len(good)))
 
     @rule()
     def check(self) -> None:
@@ -421,7 +421,7 @@
 
     def send_raw(self, me: int, to: int, data: bytes) -> None:
         good = frame.HEAD.size + 29 * 8 + frame.DIGEST_BYTES
-        super().send_raw(me, to, data[: good + (good - 5) % 3 // 3] if len(data) > frame.MOST_BYTES else data)
+        super().send_raw(me, to, data[: good + (good - 5) % 3 // 3] if len(data) > frame.MAX_BYTES else data)
 
 
 class IgnoresCuts(Network):
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -28,7 +28,7 @@
 from slipbay.peer_channel import frame
 from slipbay.peer_channel.budget import WINDOW_US, ByteBudget
 from slipbay.peer_channel.config_schema import BudgetShares
-from slipbay.peer_channel.external_traffic import cut
+from slipbay.peer_channel.external_traffic import truncate_gossip
 from slipbay.peer_channel.frame import Frame
 from slipbay.peer_channel.interfaces import MOST_BODY, ChannelEndpoint, FrameKind, Send
 from slipbay.peer_channel.leases import ClockBounds, GrantedLease, HeldLease, wait_after_start
@@ -51,7 +51,7 @@
 ) -> None:
     key = KEY if keyed else b""
     data = frame.encode(Frame(kind, 513, 65_535, body), key)
-    assert len(data) <= frame.MOST_BYTES
+    assert len(data) <= frame.MAX_BYTES
     assert frame.is_framed(data)
     assert (len(data) - 5) % 3
     assert frame.decode(data, [key] if key else []) == Frame(kind, 513, 65_535, body)
@@ -138,10 +138,10 @@
     engines = [SimpleNamespace(digest=n, threads=n, peer_threads=0) for n in range(1, 90)]
     body = loads.begin(7, cast(Any, engines))
     assert len(body) == 254
-    assert [len(cut(body, room)) for room in (256, 253, 100, 5, 4, 0)] == [254, 251, 98, 5, 0, 0]
+    assert [len(truncate_gossip(body, room)) for room in (256, 253, 100, 5, 4, 0)] == [254, 251, 98, 5, 0, 0]
     other = PeerLoads()
     other.begin(7, [])
-    assert not other.receive(cut(body, 100), [])
+    assert not other.receive(truncate_gossip(body, 100), [])
     assert other.reports == 2
     assert sorted(other.sums) == list(range(59, 90))
     mux = Multiplexer(0, 3, 7, 0, parts={FrameKind.DECISIONS: 0.2, FrameKind.VIEW: 0.8})
@@ -397,10 +397,10 @@
 
 def test_only_commands_on_the_same_host_get_the_counters() -> None:
     class Socket:
-        fleet: Any = staticmethod(lambda *_: False)
+        datagram_handler: Any = staticmethod(lambda *_: False)
         answered: list[bytes] = []
 
-        def answer(self, page: bytes, address: object) -> None:
+        def send_to(self, page: bytes, address: object) -> None:
             self.answered.append(page)
 
     mux = Multiplexer(0, 3, 7, 0, parts={FrameKind.QUOTA: 0.2})
@@ -422,7 +422,7 @@
         (None, 0, "10.0.0.9"),
         (1, 0, "127.0.0.9"),
     ):
-        assert peers.fleet(number, question(requested), (address, 5))
+        assert peers.datagram_handler(number, question(requested), (address, 5))
         if peers.answered:
             reply = json.loads(b"".join(page[7:] for page in peers.answered))
             peers.answered.clear()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -54,7 +54,7 @@
     updates=st.lists(CLAIMS, max_size=300, unique_by=lambda item: item.number).map(
         lambda items: tuple(
             sorted(
-                codec.fit_updates(items, frame.MOST_BYTES - codec.base_bytes(0, True))[0],
+                codec.fit_updates(items, frame.MAX_BYTES - codec.base_bytes(0, True))[0],
                 key=lambda item: (item.state, item.incarnation, item.number),
             )
         )
@@ -66,12 +66,12 @@
 @hypothesis_settings(derandomize=True, deadline=None)
 def test_a_message_decodes_to_itself_and_is_not_policy_gossip(message: Message, key: bytes) -> None:
     data = codec.encode(message, key)
-    assert len(data) <= frame.MOST_BYTES
-    assert frame.is_ours(data)
+    assert len(data) <= frame.MAX_BYTES
+    assert frame.is_peer_message(data)
     assert codec.decode(data, [key] if key else []) == message
     assert (len(data) - DECISIONS_HEAD.size) % DECISIONS_ITEM.size  # an earlier release finds no item in it
     assert not PeerLoads().receive(data, [])
-    assert not frame.is_ours(DECISIONS_HEAD.pack(int.from_bytes(b"slb\1", "little"), 1))
+    assert not frame.is_peer_message(DECISIONS_HEAD.pack(int.from_bytes(b"slb\1", "little"), 1))
 
 
 @given(
@@ -87,7 +87,7 @@
     member.receive(EPOCH, data, 3)
     assert len(member.living) >= 3
     assert member.table.state(0) is MemberState.ALIVE
-    if not frame.is_ours(data):
+    if not frame.is_peer_message(data):
         assert (member.living, member.digest) == before
         assert member.counts["garbled"] == 1
 
@@ -109,8 +109,8 @@
     data = bytearray(codec.encode(Message(MessageType.PING, 1, 1, 3, 0, 9)))
     member = MembershipStateMachine(0, 3, 7, Random(1), EPOCH)
     for offset, value in ((4, frame.FLAG | 99), (3, 1), (3, 3)):
-        later = bytes(data[:offset]) + bytes([value]) + bytes(data[offset + 1 : -frame.SUM_BYTES])
-        assert not member.receive(EPOCH, later + frame.seal(later, b""), 1)
+        later = bytes(data[:offset]) + bytes([value]) + bytes(data[offset + 1 : -frame.CRC_BYTES])
+        assert not member.receive(EPOCH, later + frame.checksum(later, b""), 1)
     assert member.counts["skipped"] == 3
     assert not member.counts["garbled"]
 
@@ -161,7 +161,7 @@
     fleet.network.cut(even, odd)
     fleet.run(8)
     for view in fleet.views():
-        assert view.living == list(even if view.me % 2 == 0 else odd)
+        assert view.living == list(even if view.local_number % 2 == 0 else odd)
     fleet.network.heal()
     assert fleet.until_settled(5) <= 5
 
@@ -171,7 +171,7 @@
     fleet.run(5)
     fleet.stop(7)
     fleet.run(5)
-    assert all(view.table.state(7) is MemberState.GONE for view in fleet.views() if view.me != 7)
+    assert all(view.table.state(7) is MemberState.GONE for view in fleet.views() if view.local_number != 7)
     fleet.go_on(7)
     stopped = fleet.members[7]
     assert stopped is not None
@@ -192,7 +192,9 @@
     fleet.run(2)
     fleet.leave(3)
     fleet.run(0.7)
-    assert sum(view.table.state(3) is MemberState.LEFT for view in fleet.views() if view.me != 3) >= 10
+    assert (
+        sum(view.table.state(3) is MemberState.LEFT for view in fleet.views() if view.local_number != 3) >= 10
+    )
     assert fleet.until_settled(5) <= 5
 
 
