--- a/slipbay/membership/codec.py
+++ b/slipbay/membership/codec.py
@@ -3,11 +3,11 @@
 Integers are little-endian. The header is: 3 bytes ``slb``, version (2), kind with its top bit set, build,
 zone, number of the sender (u16), start id (u16), token (u16), incarnation (u32), digest of its table (u32).
 The fields of the kind follow, then updates in groups with the same state and incarnation. A group is: a tag
-(state in two bits, 4 for a bitmap), the incarnation (LEB128), and either a list or a bitmap. A list is the
-count (u8) and the difference of each number from the one before (LEB128; for suspects each followed by the
-accuser, u16). A bitmap is the index of its first byte (LEB128), the count of bytes (u8), and one bit for each
-number. The checksum ends the datagram: with a key 8 bytes of keyed BLAKE2s over all bytes before it, without
-a key 4 bytes of CRC-32. Gossip messages of the routing policy differ: they have 0 or 1 in byte 4.
+(state in two bits, plus 4 for a bitmap), the incarnation (LEB128), and either a list or a bitmap. A list is
+the count (u8) and the difference of each number from the one before (LEB128; for suspects each followed by
+the accuser, u16). A bitmap is the index of its first byte (LEB128), the count of bytes (u8), and one bit for
+each number. The checksum ends the datagram: with a key 8 bytes of keyed BLAKE2s over all bytes before it,
+without a key 4 bytes of CRC-32. Gossip messages of the routing policy differ: they have 0 or 1 in byte 4.
 """
 
 from __future__ import annotations
--- a/slipbay/membership/fair_share.py
+++ b/slipbay/membership/fair_share.py
@@ -20,9 +20,8 @@
     def __init__(self, configured: int, hold_us: int) -> None:
         self._hold_us = max(hold_us, MIN_HOLD_US)
         self._configured = configured
-        self._counts: deque[tuple[int, int]] = deque(
-            [(0, configured)]
-        )  # (time in us, count), counts descending
+        # (time in us, count), counts descending
+        self._counts: deque[tuple[int, int]] = deque([(0, configured)])
 
     def count(self, now_us: int, live_count: int) -> int:
         """The greatest number of live routers within ``hold_us``, between 1 and the configured number."""
--- a/slipbay/membership/local_health.py
+++ b/slipbay/membership/local_health.py
@@ -47,7 +47,7 @@
             self.score = min(WORST_SCORE, self.score + 1)
 
     def record_accusation(self, now_us: int) -> None:
-        """Record that other routers held this one suspect or gone."""
+        """Record that another router declared this one suspect or gone."""
         self._accusations_us = [*self._accusations_us[-(KEPT_ACCUSATIONS - 1) :], now_us]
         self.score = min(WORST_SCORE, self.score + 1)
 
--- a/slipbay/membership/outbox.py
+++ b/slipbay/membership/outbox.py
@@ -123,10 +123,10 @@
 
     def _update_about_receiver(self, to: int, space: int) -> tuple[list[Update], int]:
         """The update about the receiver that it should refute, if any, and its bytes."""
-        held = self._table.members.get(to)
-        if held is None or held.state is MemberState.ALIVE:
+        member = self._table.members.get(to)
+        if member is None or member.state is MemberState.ALIVE:
             return [], 0
-        return fit_updates([held.update], space)
+        return fit_updates([member.update], space)
 
     def _piggyback(self, to: int, base: int) -> list[Update]:
         space = min(
--- a/slipbay/warmup/peer_estimates.py
+++ b/slipbay/warmup/peer_estimates.py
@@ -4,7 +4,7 @@
 are medians within ``MAX_RATIO`` times the assumption of a router without estimates (none, or a correction of
 1). An engine counts as unhealthy only if more than half of the reports agree, and never more than
 ``MAX_UNHEALTHY`` of all engines do; probe requests and the first good answer make an engine healthy again.
-Groups only order the engines with warm data. At most half of the free retries count as spent.
+Groups only seed the frequency counts of affinity. At most half of the free retries count as spent.
 """
 
 from __future__ import annotations
--- a/tests/channel_play.py
+++ b/tests/channel_play.py
@@ -124,14 +124,14 @@
 
 def main() -> None:
     on = "enabled = true\n"
-    verdict, traffic = run_scenario({2: on, 3: on}, {1: on, 2: on, 3: on}, without_view=[0])
+    report, traffic = run_scenario({2: on, 3: on}, {1: on, 2: on, 3: on}, without_view=[0])
     for number in range(4):
         size = sum(size for _, size in traffic.sent[number])
         print(
             f"router {number}: {size} bytes in {len(traffic.sent[number])} datagrams, "
             f"at most {traffic.max_bytes(number)} in 1 s"
         )
-    print(dict(verdict.outcomes), verdict.faults)
+    print(dict(report.outcomes), report.faults)
 
 
 if __name__ == "__main__":
--- a/tests/explore_view.py
+++ b/tests/explore_view.py
@@ -174,16 +174,23 @@
             return f"1: {me} is not ALIVE in its own table"
         if min(member.budget.available) < 0:
             return f"4: {me} exceeded its rate"
-        old = before.members[me]
-        for number, held in member.table.members.items():
-            order = held.start_id - 100 * number if held.start_id >= 0 else 0
+        earlier_member = before.members[me]
+        for number, entry in member.table.members.items():
+            order = entry.start_id - 100 * number if entry.start_id >= 0 else 0
             newest = after.newest.get((me, number), 0)
-            if old is not None and old.start_id == member.start_id and order < newest:
+            if earlier_member is not None and earlier_member.start_id == member.start_id and order < newest:
                 return f"3: {me} has start {order} of {number} after {newest}"
-            same = old is not None and old.start_id == member.start_id
-            after.newest[me, number] = max(newest, order) if same else order
-            known = old.table.members.get(number) if old is not None and same else None
-            if known is not None and (held.incarnation, held.state) < (known.incarnation, known.state):
+            is_same_process = earlier_member is not None and earlier_member.start_id == member.start_id
+            after.newest[me, number] = max(newest, order) if is_same_process else order
+            earlier_entry = (
+                earlier_member.table.members.get(number)
+                if earlier_member is not None and is_same_process
+                else None
+            )
+            if earlier_entry is not None and (entry.incarnation, entry.state) < (
+                earlier_entry.incarnation,
+                earlier_entry.state,
+            ):
                 return f"2: {me} has an update of lower precedence of {number}"
     return None
 
--- a/tests/test_channel_processes.py
+++ b/tests/test_channel_processes.py
@@ -21,9 +21,9 @@
     """Router 0 supports neither membership nor the channel, router 1 only membership. At any time a router
     may exceed its rate by the bytes of one window. All messages are also duplicated, replayed, garbled, and
     sent from an address that no router has."""
-    verdict, traffic = run_scenario({2: ON, 3: ON_WITH_KEY}, {1: ON, 2: ON, 3: ON})
-    assert verdict.good, (verdict.faults, verdict.timeline)
-    assert verdict.outcomes["lookup served"] > 100
+    report, traffic = run_scenario({2: ON, 3: ON_WITH_KEY}, {1: ON, 2: ON, 3: ON})
+    assert report.good, (report.faults, report.timeline)
+    assert report.outcomes["lookup served"] > 100
     assert not traffic.framed[0]
     assert not traffic.framed[1]
     assert min(traffic.framed[2], traffic.framed[3]) > 10
@@ -31,9 +31,8 @@
         assert sum(size for _, size in traffic.sent[number]) > 6 * RATE / 2
         assert traffic.max_excess(number) <= RATE, traffic.max_bytes(number)
         counters = traffic.status[number]
-        assert (
-            counters["bytes"] >= traffic.at_status[number] > 0
-        )  # the router counts every byte that it sends
+        # the router counts every byte that it sends
+        assert counters["bytes"] >= traffic.at_status[number] > 0
         assert counters["kinds"]["quota"]["over_budget"] > 100
         assert counters["kinds"]["view"]["sent"] > 10
         assert counters["garbled"] > 0
@@ -41,10 +40,10 @@
 
 
 def test_the_check_finds_a_router_without_a_byte_budget() -> None:
-    verdict, traffic = run_scenario(
+    report, traffic = run_scenario(
         {0: ON, 1: ON}, {0: ON, 1: ON}, "boundless", routers=2, seconds=3, do=[], settle_s=0
     )
-    assert verdict.good
+    assert report.good
     assert min(traffic.max_excess(number) for number in (0, 1)) > 10 * RATE
 
 
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -499,9 +499,9 @@
             ),
             tmp_path / str(len(text)),
         )
-        verdict = asyncio.run(rig.play())
-        assert verdict.good, verdict.faults
-        assert verdict.outcomes["lookup served"]
+        report = asyncio.run(rig.play())
+        assert report.good, report.faults
+        assert report.outcomes["lookup served"]
         # no router is in full service before that time
         opened[text] = rig.events_after_restart("connects", WarmupPlan.leftover_us / SECOND)
     # 4 per second for the fleet, up to one initial connection of each, and a few for queries that are running
@@ -529,8 +529,8 @@
         ),
         tmp_path,
     )
-    verdict = asyncio.run(rig.play())
-    assert verdict.good, verdict.faults
+    report = asyncio.run(rig.play())
+    assert report.good, report.faults
     assert len([r for r in rig.routers if len(r.lives) == 2]) == 7
 
 
@@ -550,8 +550,8 @@
         ),
         tmp_path,
     )
-    verdict = asyncio.run(rig.play())
-    assert verdict.good, verdict.faults
+    report = asyncio.run(rig.play())
+    assert report.good, report.faults
     snapshot_lines = [line for line in rig.routers[0].lines if "s old" in line]
     assert (
         len(snapshot_lines) == 2
