--- a/benchmarks/channel_cuts.py
+++ b/benchmarks/channel_cuts.py
@@ -29,10 +29,10 @@
                 len(self.routers),
                 0,
                 self.now,
-                parts={FrameKind.DECISIONS: self.part, FrameKind.VIEW: 1 - self.part},
+                shares={FrameKind.DECISIONS: self.part, FrameKind.VIEW: 1 - self.part},
             ),
         )
-        found = mux.told(self.now, body)
+        found = mux.fit_gossip(self.now, body)
         self.counts["asked"] += len(body)
         self.counts["left"] += len(found or b"")
         if found is not None:
--- a/slipbay/emulator/channel_fleet.py
+++ b/slipbay/emulator/channel_fleet.py
@@ -82,7 +82,7 @@
             self.lives[me] += 1
             life = self.random.randrange(2**16)
             now = self.clock(me)
-            mux = self.muxes[me] = Multiplexer(me, self.size, life, now, key=self.key, parts=self.parts)
+            mux = self.muxes[me] = Multiplexer(me, self.size, life, now, key=self.key, shares=self.parts)
             for kind, party in self.make(me, life, now).items():
                 mux.add(kind, party)
             self.views[me] = self.view(me, life, now) if self.view is not None else None
@@ -112,7 +112,7 @@
     def party(self, me: int, kind: int) -> ChannelEndpoint | None:
         """None for a router that is dead."""
         mux = self.muxes[me]
-        return mux.parties.get(kind) if mux is not None else None
+        return mux.endpoints.get(kind) if mux is not None else None
 
     def running(self) -> list[int]:
         """Numbers that are not dead and not stopped."""
@@ -122,7 +122,7 @@
         """What a party sends outside of its ticks, as ``UdpLink.say``."""
         mux = self.muxes[me]
         if mux is not None:
-            self._send(me, mux.own(self.clock(me), kind, sends))
+            self._send(me, mux.encode_messages(self.clock(me), kind, sends))
             self._arm(me)
 
     def run(self, seconds: float) -> None:
@@ -153,10 +153,14 @@
         view = self.views[me]
         now = self.clock(me)
         if view is not None:
-            view.budget.host_limit = mux.room(now, FrameKind.VIEW)
+            view.budget.host_limit = mux.available_bytes(now, FrameKind.VIEW)
             self._send(
                 me,
-                [(to, data) for to, data in call(view, now) if mux.outside(now, FrameKind.VIEW, len(data))],
+                [
+                    (to, data)
+                    for to, data in call(view, now)
+                    if mux.spend_unframed(now, FrameKind.VIEW, len(data))
+                ],
             )
 
     def _arm(self, me: int) -> None:
--- a/slipbay/emulator/quota.py
+++ b/slipbay/emulator/quota.py
@@ -126,10 +126,10 @@
         machine.set_incarnation(life)
         mux = self.routers.muxes[me]
         assert mux is not None
-        machine.budget.channel_room = lambda now: mux.room(now, FrameKind.QUOTA)
-        mux.unsent[FrameKind.QUOTA] = machine.unsent
+        machine.budget.channel_room = lambda now: mux.available_bytes(now, FrameKind.QUOTA)
+        mux.drop_handlers[FrameKind.QUOTA] = machine.unsent
         for kind in (FrameKind.COMEBACK, FrameKind.LIVES) if self.news else ():
-            mux.budget.hold(kind, PARTS[kind])
+            mux.budget.guarantee_share(kind, PARTS[kind])
         return {FrameKind.QUOTA: machine}
 
     @property
@@ -165,8 +165,8 @@
                     (FrameKind.VIEW, self.news * FILL_US // SECOND),
                     (FrameKind.DECISIONS, 60),
                 ):
-                    room = min(size, mux.room(now, kind))
-                    if room >= LEAST and mux.outside(now, kind, room):
+                    room = min(size, mux.available_bytes(now, kind))
+                    if room >= LEAST and mux.spend_unframed(now, kind, room):
                         self.routers.sent(me, room)
         self.routers.agenda.at(self.now + FILL_US, self._fill)
 
--- a/slipbay/emulator/restart_model.py
+++ b/slipbay/emulator/restart_model.py
@@ -131,7 +131,7 @@
             machine.set_engine_count(len(self.entries))
             machine.on_phase_change = lambda phase, evidence: self._changed(me, phase)
             machine.collector.on_estimates = lambda merged: self._inherit(me, merged)
-            mux = Multiplexer(me, len(self.routers), seed, self.now, parts=PARTS)
+            mux = Multiplexer(me, len(self.routers), seed, self.now, shares=PARTS)
             mux.add(FrameKind.COMEBACK, machine)
         self.life[me] = RouterIncarnation(machine, mux)
         super().start(me)
--- a/slipbay/membership/service.py
+++ b/slipbay/membership/service.py
@@ -120,12 +120,12 @@
         """Return the time, after setting the bytes that the state machine may send in this call."""
         now = self._now()
         if self.mux is not None:
-            self.machine.budget.host_limit = self.mux.room(now, interfaces.FrameKind.VIEW)
+            self.machine.budget.host_limit = self.mux.available_bytes(now, interfaces.FrameKind.VIEW)
         return now
 
     def _send(self, now: int, sends: list[Send]) -> None:
         for to, data in sends:
-            if self.mux is None or self.mux.outside(now, interfaces.FrameKind.VIEW, len(data)):
+            if self.mux is None or self.mux.spend_unframed(now, interfaces.FrameKind.VIEW, len(data)):
                 self._peers.send(data, to)
 
     def _changed(self, now: int, changes: list[StateChange]) -> None:
--- a/slipbay/peer_channel/budget.py
+++ b/slipbay/peer_channel/budget.py
@@ -37,52 +37,55 @@
     that is longer than the share of its kind is sent, too (docs/channel.md).
     """
 
-    def __init__(self, rate: float, parts: Mapping[int, float], now: int) -> None:
-        """``rate``: bytes in any window. ``parts``: guaranteed fraction of the rate by kind; their sum is at
+    def __init__(self, rate: float, shares: Mapping[int, float], now: int) -> None:
+        """``rate``: bytes in any window. ``shares``: guaranteed fraction of the rate by kind; their sum is at
         most 1."""
-        if sum(parts.values()) > 1.0 + 1e-9 or min(parts.values(), default=0.0) < 0:
+        if sum(shares.values()) > 1.0 + 1e-9 or min(shares.values(), default=0.0) < 0:
             raise ValueError("parts: want at most 1 together, and none below 0")
         self.rate = rate
-        self.parts = {kind: rate * part for kind, part in parts.items()}  # guaranteed bytes in a window
-        self._sent = {kind: 0 for kind in parts}
+        self.guaranteed_bytes = {kind: rate * share for kind, share in shares.items()}  # in a window
+        self._sent = {kind: 0 for kind in shares}
         self._sends: deque[tuple[int, int, int]] = deque()  # time (us), kind, bytes; oldest first
         # by kind: bytes, time of the last request; oldest first
         self._claims: dict[int, tuple[int, int]] = {}
         self._now = now
 
-    def hold(self, kind: int, part: float) -> None:
+    def guarantee_share(self, kind: int, share: float) -> None:
         """Guarantee a kind a fraction of the rate, in effect after one window."""
-        self.parts[kind] = self.rate * part
+        self.guaranteed_bytes[kind] = self.rate * share
         self._sent.setdefault(kind, 0)
-        if sum(self.parts.values()) > self.rate * (1 + 1e-9):
+        if sum(self.guaranteed_bytes.values()) > self.rate * (1 + 1e-9):
             raise ValueError("parts: want at most 1 together")
 
-    def room(self, now: int, kind: int) -> int:
+    def available_bytes(self, now: int, kind: int) -> int:
         """Bytes that a kind may send at ``now`` (us)."""
         self._expire(now)
         oldest = next(iter(self._claims), None)
-        guaranteed = self.parts.get(kind, 0.0)
+        guaranteed = self.guaranteed_bytes.get(kind, 0.0)
         sent = self._sent.get(kind, 0)
         free = self.rate - sum(
-            max(count, self.parts.get(other, 0.0))
+            max(count, self.guaranteed_bytes.get(other, 0.0))
             for other, count in self._sent.items()
             if other not in (kind, oldest)
         )
         if oldest != kind:
             free -= (
-                (self.rate - sum(self.parts.values()))
+                (self.rate - sum(self.guaranteed_bytes.values()))
                 * PRIORITY_FRACTION
                 * PRIORITIES.get(kind, LOWEST_PRIORITY)
             )
             if oldest is not None:
-                free -= max(self._sent.get(oldest, 0) + self._claims[oldest][0], self.parts.get(oldest, 0.0))
+                free -= max(
+                    self._sent.get(oldest, 0) + self._claims[oldest][0],
+                    self.guaranteed_bytes.get(oldest, 0.0),
+                )
         limit = min(max(free, guaranteed) - sent, self.rate - sum(self._sent.values()))
         return max(0, int(limit + 1e-6))
 
-    def take(self, now: int, kind: int, size: int) -> bool:
+    def try_spend(self, now: int, kind: int, size: int) -> bool:
         """Whether ``size`` bytes of a kind may be sent now. If so, they count as sent."""
         claimed = self._claims.get(kind, (0, 0))[0]
-        if self.room(now, kind) < size:
+        if self.available_bytes(now, kind) < size:
             self._claims[kind] = max(claimed, size), self._now
             return False
         self._sent[kind] = self._sent.get(kind, 0) + size
@@ -91,7 +94,7 @@
             self._claims.pop(kind, None)
         return True
 
-    def spent(self, now: int) -> dict[int, int]:
+    def sent_bytes(self, now: int) -> dict[int, int]:
         """Bytes sent within the last window, by kind."""
         self._expire(now)
         return dict(self._sent)
--- a/slipbay/peer_channel/interfaces.py
+++ b/slipbay/peer_channel/interfaces.py
@@ -37,10 +37,10 @@
 class ChannelEndpoint(Protocol):
     """A state machine that sends and receives one kind of frame. It ignores a body that it cannot decode."""
 
-    def receive(self, now: int, sender: int, life: int, body: bytes) -> list[Send]:
+    def receive(self, now: int, sender: int, incarnation: int, body: bytes) -> list[Send]:
         """Process a message of this endpoint's kind, whose checksum is valid; returns the messages to send.
 
-        ``life``: incarnation of the sender; it only distinguishes incarnations and has no order. The message
+        ``incarnation``: of the sender; it only distinguishes incarnations and has no order. The message
         may be late, duplicated, out of order, or sent by an earlier incarnation.
         """
 
--- a/slipbay/peer_channel/udp_link.py
+++ b/slipbay/peer_channel/udp_link.py
@@ -33,13 +33,13 @@
 
     def send(self, kind: int, sends: list[Send]) -> None:
         """Send messages of an endpoint outside of its ``receive`` and ``tick``."""
-        self._send(self.mux.own(self._now(), kind, sends))
+        self._send(self.mux.encode_messages(self._now(), kind, sends))
         self._arm()
 
     def send_gossip(self, body: bytes, to: int | None) -> None:
         """Send a gossip message of the routing policy to a router by its number, or to all (None); used in
         place of ``PeerSocket.send``."""
-        message = self.mux.told(self._now(), body)
+        message = self.mux.fit_gossip(self._now(), body)
         if message is not None:
             self._peers.send(message, to)
 
--- a/slipbay/quota/service.py
+++ b/slipbay/quota/service.py
@@ -35,14 +35,14 @@
         random = Random(config.seed ^ SEED_SALT)
         number = config.settings.router_number
         self.machine = BorrowingStateMachine(number, len(config.peers), plan, random, clock.fresh())
-        self.machine.set_incarnation(link.mux.life)
+        self.machine.set_incarnation(link.mux.incarnation)
         self.gate = QuotaAdmissionGate(
             self.machine, config.tenants, config.classes, clock.fresh, config.settings.max_retry_after_us
         )
         core.admission_gates.append(self.gate)
         link.mux.add(FrameKind.QUOTA, self.machine)
-        self.machine.budget.channel_room = lambda now: link.mux.room(now, FrameKind.QUOTA)
-        link.mux.unsent[FrameKind.QUOTA] = self.machine.unsent
+        self.machine.budget.channel_room = lambda now: link.mux.available_bytes(now, FrameKind.QUOTA)
+        link.mux.drop_handlers[FrameKind.QUOTA] = self.machine.unsent
         if 0 in link.topics:  # the channel answers commands on this machine
             link.topics[FrameKind.QUOTA] = self.status
         self._events = QuotaEventLog(self.machine)
--- a/slipbay/router.py
+++ b/slipbay/router.py
@@ -157,7 +157,7 @@
             key=channel.key,
             old_key=channel.old_key,
             rate=channel.rate,
-            parts=parts,
+            shares=parts,
         )
         link = UdpLink(multiplexer, self.peers, self.timers, self.clock.fresh)  # leases stand on its time
         if channel.status:
@@ -254,7 +254,7 @@
         router_number = self.config.settings.router_number
         witnesses = StoreWitnesses(router_number, size, secrets.randbits(32), self.clock.now())
         channel.mux.add(FrameKind.LIVES, witnesses)
-        channel.mux.unsent[FrameKind.LIVES] = witnesses.unsent
+        channel.mux.drop_handlers[FrameKind.LIVES] = witnesses.unsent
         return witnesses, lambda sends: channel.send(FrameKind.LIVES, sends)
 
     def _make_scatter_gather(self, plan: ScatterGatherPlan) -> None:
--- a/slipbay/warmup/state_machine.py
+++ b/slipbay/warmup/state_machine.py
@@ -107,9 +107,9 @@
 
     # Messages
 
-    def receive(self, now: int, sender: int, life: int, body: bytes) -> list[Send]:
-        """Process a message of another router with incarnation ``life``; returns the messages to send."""
-        del life  # the nonce distinguishes replies to this incarnation from those to an earlier one
+    def receive(self, now: int, sender: int, incarnation: int, body: bytes) -> list[Send]:
+        """Process a message of another router with its ``incarnation``; returns the messages to send."""
+        del incarnation  # the nonce distinguishes replies to this incarnation from those to an earlier one
         message = codec.decode(body)
         if message is None or sender == self.local_number:
             return []
--- a/tests/chatty.py
+++ b/tests/chatty.py
@@ -37,7 +37,7 @@
 class UnlimitedBudget(ByteBudget):
     """A budget without a limit, a fault for tests; used if ``boundless`` is an argument."""
 
-    def room(self, now: int, kind: int) -> int:
+    def available_bytes(self, now: int, kind: int) -> int:
         return 1_000_000
 
 
--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -179,7 +179,7 @@
 
 def sent_by_channel(kind: str, body: bytes) -> bytes:
     """The datagram that leaves a router for a part's message."""
-    [(_, data)] = multiplexer.Multiplexer(3, 8, 70_000, SECOND, key=KEY).own(
+    [(_, data)] = multiplexer.Multiplexer(3, 8, 70_000, SECOND, key=KEY).encode_messages(
         SECOND, interfaces.FrameKind[kind], [(5, body)]
     )
     return data
--- a/tests/contracts/test_channel_contract.py
+++ b/tests/contracts/test_channel_contract.py
@@ -57,7 +57,7 @@
     weather = (0.0, 0.0)  # fractions of lost and duplicated datagrams, set by ``set_faults``
 
     def received_by_router(self, kind: int) -> list[list[tuple[int, int, bytes]]]:
-        return [cast(RecordingEndpoint, mux.parties[kind]).received for mux in self.mux]
+        return [cast(RecordingEndpoint, mux.endpoints[kind]).received for mux in self.mux]
 
     def send_message(self, me: int, to: int, body: bytes) -> None: ...
 
@@ -374,7 +374,7 @@
                 source, target, expected = self.sent_messages[body]
                 held(expected != "no receiver", "C7", f"sent to {target} by {source}, and received by {me}")
                 held(
-                    (sender, me, life) == (source, target, self.net.mux[source].life),
+                    (sender, me, life) == (source, target, self.net.mux[source].incarnation),
                     "C1",
                     "another sender, receiver or incarnation",
                 )
@@ -453,16 +453,16 @@
 class UnlimitedRate(Multiplexer):
     """C6: has no byte budget."""
 
-    def own(self, now: int, kind: int, sends: Any) -> list[Send]:
+    def encode_messages(self, now: int, kind: int, sends: Any) -> list[Send]:
         self.budget.rate = 1e9
-        return super().own(now, kind, sends)
+        return super().encode_messages(now, kind, sends)
 
 
 class WrapsNumbers(Multiplexer):
     """C7: maps numbers that no router has to other routers."""
 
-    def own(self, now: int, kind: int, sends: Any) -> list[Send]:
-        return super().own(now, kind, [(to % SIZE, body) for to, body in sends])
+    def encode_messages(self, now: int, kind: int, sends: Any) -> list[Send]:
+        return super().encode_messages(now, kind, [(to % SIZE, body) for to, body in sends])
 
 
 def broken(part: type) -> type[TransportUnderTest]:
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -74,7 +74,7 @@
         now += wait
         recent = [(k, s) for sent_us, k, s in granted if sent_us > now - WINDOW_US]
         free_share = 1_000 * parts.get(kind, 0.0) - sum(s for k, s in recent if k == kind)
-        if budget.take(now, kind, size):
+        if budget.try_spend(now, kind, size):
             granted.append((now, kind, size))
             assert sum(s for _, s in recent) + size <= 1_000
         else:
@@ -84,14 +84,14 @@
 def test_the_rate_without_a_guarantee_is_divided_by_priority() -> None:
     budget = ByteBudget(1_000, {FrameKind.VIEW: 0.2}, 0)
     kinds = (FrameKind.VIEW, FrameKind.QUOTA, FrameKind.GATHER, FrameKind.DECISIONS, 99)
-    assert [budget.room(0, kind) for kind in kinds] == [1_000, 700, 500, 400, 300]
-    assert all(budget.take(0, FrameKind.GATHER, 100) for _ in range(5))
-    assert budget.spent(0)[FrameKind.GATHER] == 500
-    assert [budget.room(0, kind) for kind in kinds] == [500, 200, 0, 0, 0]
+    assert [budget.available_bytes(0, kind) for kind in kinds] == [1_000, 700, 500, 400, 300]
+    assert all(budget.try_spend(0, FrameKind.GATHER, 100) for _ in range(5))
+    assert budget.sent_bytes(0)[FrameKind.GATHER] == 500
+    assert [budget.available_bytes(0, kind) for kind in kinds] == [500, 200, 0, 0, 0]
     # this claim reserves the rate without a guarantee
-    assert not budget.take(0, FrameKind.GATHER, 100)
-    assert [budget.room(0, kind) for kind in kinds] == [400, 100, 300, 0, 0]
-    assert [budget.room(WINDOW_US, kind) for kind in kinds] == [900, 600, 800, 300, 200]
+    assert not budget.try_spend(0, FrameKind.GATHER, 100)
+    assert [budget.available_bytes(0, kind) for kind in kinds] == [400, 100, 300, 0, 0]
+    assert [budget.available_bytes(WINDOW_US, kind) for kind in kinds] == [900, 600, 800, 300, 200]
 
 
 @pytest.mark.parametrize("step_us", [10_000, 37_000, 90_000])
@@ -107,13 +107,13 @@
     sent_us = list[int]()
     for now in range(0, 60_000_000, step_us):
         for kind in (FrameKind.DECISIONS, FrameKind.VIEW):
-            while size := min(256, budget.room(now, kind)):
-                assert budget.take(now, kind, size)
+            while size := min(256, budget.available_bytes(now, kind)):
+                assert budget.try_spend(now, kind, size)
                 sent_bytes[kind] += size
         for kind in (FrameKind.QUOTA, FrameKind.COMEBACK):
-            while budget.take(now, kind, 256):
+            while budget.try_spend(now, kind, 256):
                 sent_bytes[kind] += 256
-        if now % 200_000 < step_us and budget.take(now, FrameKind.GATHER, 256):
+        if now % 200_000 < step_us and budget.try_spend(now, FrameKind.GATHER, 256):
             sent_us.append(now)
     assert max(b - a for a, b in itertools.pairwise([0, *sent_us, 60_000_000])) <= 3 * (WINDOW_US + 200_000)
     assert sent_bytes[0] >= 72 * 60
@@ -123,14 +123,14 @@
 
 def test_a_kind_that_is_added_late_gets_its_share_after_a_window_and_no_rate_is_exceeded() -> None:
     budget = ByteBudget(1_000, {}, 0)
-    assert budget.take(0, FrameKind.VIEW, 1_000)
-    budget.hold(FrameKind.QUOTA, 0.3)
-    assert not budget.take(WINDOW_US - 1, FrameKind.QUOTA, 1)
-    assert budget.take(WINDOW_US, FrameKind.VIEW, 700)
-    assert not budget.take(WINDOW_US, FrameKind.VIEW, 1)
-    assert budget.take(WINDOW_US, FrameKind.QUOTA, 300)
+    assert budget.try_spend(0, FrameKind.VIEW, 1_000)
+    budget.guarantee_share(FrameKind.QUOTA, 0.3)
+    assert not budget.try_spend(WINDOW_US - 1, FrameKind.QUOTA, 1)
+    assert budget.try_spend(WINDOW_US, FrameKind.VIEW, 700)
+    assert not budget.try_spend(WINDOW_US, FrameKind.VIEW, 1)
+    assert budget.try_spend(WINDOW_US, FrameKind.QUOTA, 300)
     with pytest.raises(ValueError):
-        budget.hold(FrameKind.GATHER, 0.8)
+        budget.guarantee_share(FrameKind.GATHER, 0.8)
 
 
 def test_policy_gossip_is_truncated_to_complete_items_with_the_most_threads_first() -> None:
@@ -144,8 +144,8 @@
     assert not other.receive(truncate_gossip(body, 100), [])
     assert other.reports == 2
     assert sorted(other.sums) == list(range(59, 90))
-    mux = Multiplexer(0, 3, 7, 0, parts={FrameKind.DECISIONS: 0.2, FrameKind.VIEW: 0.8})
-    assert [len(mux.told(0, body) or b"") for _ in range(3)] == [200, 0, 0]
+    mux = Multiplexer(0, 3, 7, 0, shares={FrameKind.DECISIONS: 0.2, FrameKind.VIEW: 0.8})
+    assert [len(mux.fit_gossip(0, body) or b"") for _ in range(3)] == [200, 0, 0]
     assert mux.counts["over budget 0"] == 0
     assert mux.counts["bytes 0"] == 200
 
@@ -403,7 +403,7 @@
         def send_to(self, page: bytes, address: object) -> None:
             self.answered.append(page)
 
-    mux = Multiplexer(0, 3, 7, 0, parts={FrameKind.QUOTA: 0.2})
+    mux = Multiplexer(0, 3, 7, 0, shares={FrameKind.QUOTA: 0.2})
     peers = Socket()
     mux.add(FrameKind.QUOTA, Echo(0, 3, 0))
     mux.tick(0)
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -85,7 +85,7 @@
 
         def room(at: int) -> int:
             mux = self.routers.muxes[me]
-            return mux.room(at, FrameKind.QUOTA) if mux is not None else 0
+            return mux.available_bytes(at, FrameKind.QUOTA) if mux is not None else 0
 
         quotas.budget.channel_room = room
         return {FrameKind.QUOTA: quotas, FrameKind.COMEBACK: machine}
@@ -113,7 +113,7 @@
         """The decisions tell their threads, with as much as there is room for."""
         mux = self.routers.muxes[me]
         if mux is not None and me not in self.routers.stopped:
-            body = mux.told(self.routers.clock(me), pack("<IB", 1, me % 256) + bytes(3 * 60))
+            body = mux.fit_gossip(self.routers.clock(me), pack("<IB", 1, me % 256) + bytes(3 * 60))
             if body is not None:
                 self.routers.sent(me, len(body))
         self.routers.agenda.at(self.now + TOLD_US, lambda: self._tell(me))
--- a/tests/test_witnesses.py
+++ b/tests/test_witnesses.py
@@ -184,7 +184,7 @@
     found = [cast(StoreWitnesses, routers.party(me, FrameKind.LIVES)) for me in range(SIZE)]
     for witnesses, mux in zip(found, routers.muxes, strict=True):
         assert mux is not None
-        mux.unsent[FrameKind.LIVES] = witnesses.unsent
+        mux.drop_handlers[FrameKind.LIVES] = witnesses.unsent
     while took < 10 and not all(witnesses.is_open for witnesses in found):
         routers.run(0.05)
         took += 0.05
