--- a/slipbay/peer_channel/leases.py
+++ b/slipbay/peer_channel/leases.py
@@ -21,7 +21,7 @@
     drift_ppm: int = 500
     jump_us: int = 5_000
 
-    def surely(self, span_us: int) -> int:
+    def safe_wait_us(self, span_us: int) -> int:
         """The time in us to wait on the local clock so that at least ``span_us`` has passed on any other
         clock, even if that clock stood still for ``jump_us`` and the local clock jumped ahead."""
         span = span_us + self.jump_us
@@ -33,37 +33,37 @@
 class HeldLease:
     """A lease as its holder sees it. Times are in us of the holder's clock."""
 
-    asked: int  # not later than its request was sent
-    length: int
+    requested_us: int  # not later than its request was sent
+    length_us: int
 
     @property
-    def ends(self) -> int:
+    def ends_us(self) -> int:
         """When the lease ends for its holder."""
-        return self.asked + self.length
+        return self.requested_us + self.length_us
 
-    def valid(self, now: int) -> bool:
+    def is_valid(self, now: int) -> bool:
         """Whether the holder holds the lease at ``now``, which must be read from the clock at once: the
         process may have been suspended since the current turn of its event loop began."""
-        return self.asked <= now < self.ends
+        return self.requested_us <= now < self.ends_us
 
 
 @dataclass(frozen=True, slots=True)
 class GrantedLease:
     """A lease as its granter sees it. Times are in us of the granter's clock."""
 
-    granted: int  # not earlier than its grant was sent
-    length: int
+    granted_us: int  # not earlier than its grant was sent
+    length_us: int
 
-    def over(self, now: int, clocks: ClockBounds) -> bool:
+    def has_ended(self, now: int, clocks: ClockBounds) -> bool:
         """Whether the lease has ended for its holder in any case, even if that is down, stopped or
         unreachable."""
-        return now >= self.granted + clocks.surely(self.length)
+        return now >= self.granted_us + clocks.safe_wait_us(self.length_us)
 
 
-def wait_after_start(longest_us: int, clocks: ClockBounds) -> int:
+def startup_wait_us(longest_us: int, clocks: ClockBounds) -> int:
     """The time in us after its start for which a router without persistent state neither grants nor votes.
 
     After it, all leases that earlier incarnations of the router granted have ended: the last such grant was
     sent before this start.
     """
-    return clocks.surely(longest_us)
+    return clocks.safe_wait_us(longest_us)
--- a/slipbay/quota/borrow_requests.py
+++ b/slipbay/quota/borrow_requests.py
@@ -133,10 +133,10 @@
         even = self._quotas.even
         share = self._demand.own(account)[1]
         for lender, loan in account.shares.borrowed.items():
-            if loan.amount < MIN_LOAN * even or not loan.lease.valid(now):
+            if loan.amount < MIN_LOAN * even or not loan.lease.is_valid(now):
                 continue
             age = now - loan.requested_at
-            due = now >= loan.requested_at + loan.lease.length * RENEW_PART and age > RETRY_US
+            due = now >= loan.requested_at + loan.lease.length_us * RENEW_PART and age > RETRY_US
             back = min(loan.amount, max(0, surplus if due else surplus - bearable))
             if due or back > GIVE_BACK_LEAST * even + GIVE_BACK_PART * share * even:
                 surplus -= back
@@ -239,7 +239,8 @@
         for key, account in self._quotas.accounts.items():
             account.settle(now)
             loan = account.shares.borrowed.get(lender)
-            if loan is not None and loan.lease.valid(now):  # even if nothing is left: a message may be lost
+            # even if nothing is left: a message may be lost
+            if loan is not None and loan.lease.is_valid(now):
                 self._choice.avoid(key, lender, now + AVOID_LENDER_US)
                 self._asked_more.pop(key, None)
                 requests.setdefault(lender, {})[key] = BorrowEntry(key, 0, 0, 0.0, 0.0)
@@ -250,7 +251,7 @@
         requests: Requests = {}
         for key, account in self._quotas.accounts.items():
             for lender, loan in account.shares.borrowed.items():
-                if loan.amount and loan.lease.valid(now):
+                if loan.amount and loan.lease.is_valid(now):
                     requests.setdefault(lender, {})[key] = BorrowEntry(key, 0, 0, 0.0, 0.0)
         return requests
 
@@ -299,4 +300,4 @@
 
 
 def _kept(now: int, loan: BorrowedShare | None) -> int:
-    return loan.amount if loan is not None and loan.lease.valid(now) else 0
+    return loan.amount if loan is not None and loan.lease.is_valid(now) else 0
--- a/slipbay/quota/guarantees.py
+++ b/slipbay/quota/guarantees.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from slipbay.peer_channel.leases import wait_after_start
+from slipbay.peer_channel.leases import startup_wait_us
 from slipbay.quota.leases.groups import group_of, lease_length
 from slipbay.quota.plan import CLOCKS, EVEN_BURST, Quota, QuotaPlan
 
@@ -38,10 +38,10 @@
 
 def _explain_start(plan: QuotaPlan, routers: int) -> list[str]:
     if not plan.wardens:
-        wait = wait_after_start(plan.longest_ms * 1000, CLOCKS) / SECOND
+        wait = startup_wait_us(plan.longest_ms * 1000, CLOCKS) / SECOND
         return [f"a router that starts uses its reserve alone, and lends nothing, for {wait:.2f} s"]
     most = max(len(group_of(number, routers, plan.wardens)) for number in range(routers))
-    wait = wait_after_start(lease_length(plan.longest_ms * 1000), CLOCKS) / SECOND
+    wait = startup_wait_us(lease_length(plan.longest_ms * 1000), CLOCKS) / SECOND
     length = lease_length(plan.term_ms * 1000) / SECOND
     return [
         f"a router's part of the rest is used and lent by whom a majority of its {most} granters "
--- a/slipbay/quota/leases/granter.py
+++ b/slipbay/quota/leases/granter.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from slipbay.peer_channel.leases import ClockBounds, GrantedLease, wait_after_start
+from slipbay.peer_channel.leases import ClockBounds, GrantedLease, startup_wait_us
 from slipbay.quota.shares import later
 
 NOBODY = 2**16 - 1
@@ -25,7 +25,7 @@
     def __init__(self, clocks: ClockBounds, started: int, longest_us: int) -> None:
         """``longest_us``: the longest lease that any incarnation of this router may have granted."""
         self.clocks = clocks
-        self.waits_until = started + wait_after_start(longest_us, clocks)
+        self.waits_until = started + startup_wait_us(longest_us, clocks)
         self.records: dict[int, LeaseRecord] = {}
 
     def grant(self, now: int, owner: int, holder: tuple[int, int], tag: int, length: int) -> bool:
@@ -38,7 +38,7 @@
         if record is not None and record.holder == holder and not later(tag, record.tag):
             return False
         grant = GrantedLease(now, length)
-        if record is not None and not record.grant.over(now, self.clocks):
+        if record is not None and not record.grant.has_ended(now, self.clocks):
             if record.holder != holder:
                 return False
             grant = max(record.grant, grant, key=self._ends)
@@ -46,7 +46,7 @@
         return True
 
     def _ends(self, grant: GrantedLease) -> int:
-        return grant.granted + self.clocks.surely(grant.length)
+        return grant.granted_us + self.clocks.safe_wait_us(grant.length_us)
 
     def release(self, owner: int, holder: tuple[int, int], tag: int) -> None:
         """A holder gave its lease back. What it sent before its latest request changes nothing."""
@@ -66,6 +66,6 @@
         if now < self.waits_until:
             return NOBODY, self.waits_until - now
         record = self.records.get(owner)
-        if record is None or record.grant.over(now, self.clocks):
+        if record is None or record.grant.has_ended(now, self.clocks):
             return NOBODY, 0
         return record.holder[0], self._ends(record.grant) - now
--- a/slipbay/quota/leases/holder.py
+++ b/slipbay/quota/leases/holder.py
@@ -38,7 +38,7 @@
         for owner in owners:
             held = HeldLease(pending.sent_at, length)
             leases = self.leases.setdefault(owner, {})
-            if granter not in leases or held.ends > leases[granter].ends:
+            if granter not in leases or held.ends_us > leases[granter].ends_us:
                 leases[granter] = held
         return True
 
@@ -59,19 +59,21 @@
         leases = self.leases.get(owner, {})
         for granter, held in leases.items():
             self.pending.pop(granter, None)
-            leases[granter] = HeldLease(held.asked, max(0, min(held.length, until - held.asked)))
+            leases[granter] = HeldLease(
+                held.requested_us, max(0, min(held.length_us, until - held.requested_us))
+            )
 
     def ends_at(self, owner: int) -> int:
         """When the leases of a majority end; 0 if there never was one."""
         count = 0
         leases = self.leases.get(owner, {})
-        for granter, held in sorted(leases.items(), key=lambda lease: -lease[1].ends):
+        for granter, held in sorted(leases.items(), key=lambda lease: -lease[1].ends_us):
             count += groups.votes(owner, granter, self.group)
             if count >= groups.majority(self.group):
-                return held.ends
+                return held.ends_us
         return 0
 
     def requested_at(self, owner: int, granter: int) -> int:
         """When the request left that a granter granted; 0 if it never did."""
         held = self.leases.get(owner, {}).get(granter)
-        return held.asked if held is not None else 0
+        return held.requested_us if held is not None else 0
--- a/slipbay/quota/leases/manager.py
+++ b/slipbay/quota/leases/manager.py
@@ -72,9 +72,9 @@
         return max(spans, key=lambda one: one * sum(span >= one for span in spans), default=0)
 
     def _lendable(self, left: int, longest: int) -> int:
-        if self.clocks.surely(longest) <= left:
+        if self.clocks.safe_wait_us(longest) <= left:
             return longest
-        return max(0, left - (self.clocks.surely(left) - left)) // 1000 * 1000
+        return max(0, left - (self.clocks.safe_wait_us(left) - left)) // 1000 * 1000
 
     # Messages
 
@@ -118,7 +118,7 @@
                 self.returning.add(owner)
         if not self.granter.grant(now, owner, holder, tag, self.length):
             return MessageType.LEASE_LOCATION, self._location(now, owner)
-        self.takeover.granted(owner, now + self.clocks.surely(self.length))
+        self.takeover.granted(owner, now + self.clocks.safe_wait_us(self.length))
         wanted = holder[0] != owner and self.takeover.owner_waits(now, owner, self.length)
         return MessageType.LEASE_GRANT, LeaseEntry(owner, int(wanted), 0)
 
--- a/slipbay/quota/leases/takeover.py
+++ b/slipbay/quota/leases/takeover.py
@@ -85,7 +85,7 @@
         if now < self._not_before[owner] + turn:
             return False
         record = granter.records.get(owner)
-        if record is not None and not record.grant.over(now, granter.clocks):
+        if record is not None and not record.grant.has_ended(now, granter.clocks):
             return False
         recent = HEARD_LEASES * length if record is None else length // 4
         return now - self._last_heard.get(owner, -recent) >= recent
--- a/slipbay/quota/shares.py
+++ b/slipbay/quota/shares.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from slipbay.peer_channel.leases import ClockBounds, GrantedLease, HeldLease, wait_after_start
+from slipbay.peer_channel.leases import ClockBounds, GrantedLease, HeldLease, startup_wait_us
 
 WHOLE = 60_000
 FOREVER = 2**62
@@ -42,7 +42,9 @@
 
     def amount_out(self, now: int, clocks: ClockBounds) -> int:
         """The most that the borrower may use now."""
-        return max((amount for amount, granted in self.grants if not granted.over(now, clocks)), default=0)
+        return max(
+            (amount for amount, granted in self.grants if not granted.has_ended(now, clocks)), default=0
+        )
 
 
 def base_shares(size: int, holders: int, reserve: float, first: int) -> list[int]:
@@ -78,7 +80,7 @@
         self.clocks = clocks
         self.base = base
         self.reserve = reserve
-        self.waits_until = started + wait_after_start(longest_us, clocks)
+        self.waits_until = started + startup_wait_us(longest_us, clocks)
         self.bases: dict[int, BaseShare] = {}  # by owner
         if base > reserve:
             self.bases[SELF] = BaseShare(base - reserve, self.waits_until, FOREVER)
@@ -127,18 +129,18 @@
             until = min(until, self._drop_ended_grants(now))
             own = max(0, own - self.lent_out(now))
         for loan in self.borrowed.values():
-            if loan.amount and loan.lease.valid(now):
+            if loan.amount and loan.lease.is_valid(now):
                 own += loan.amount
-                until = min(until, loan.lease.ends)
+                until = min(until, loan.lease.ends_us)
         return own, until
 
     def _drop_ended_grants(self, now: int) -> int:
         """Returns when the next of those that are left ends."""
         until = FOREVER
         for lent in self.lent.values():
-            lent.grants = [grant for grant in lent.grants if not grant[1].over(now, self.clocks)]
+            lent.grants = [grant for grant in lent.grants if not grant[1].has_ended(now, self.clocks)]
             for _, granted in lent.grants:
-                until = min(until, granted.granted + self.clocks.surely(granted.length))
+                until = min(until, granted.granted_us + self.clocks.safe_wait_us(granted.length_us))
         return until
 
     # As a borrower
@@ -149,7 +151,7 @@
         Returns what the request may say is kept.
         """
         loan = self.borrowed.setdefault(lender, BorrowedShare())
-        loan.amount = min(loan.amount, keep) if loan.lease.valid(now) else 0
+        loan.amount = min(loan.amount, keep) if loan.lease.is_valid(now) else 0
         loan.tag = tag
         loan.requested_at = now
         loan.pending = True
@@ -181,7 +183,7 @@
         lent.grants = [
             (min(amount, keep), granted)
             for amount, granted in lent.grants
-            if not granted.over(now, self.clocks)
+            if not granted.has_ended(now, self.clocks)
         ]
         return True
 
@@ -193,7 +195,7 @@
         """What may be lent to a borrower in all for ``length`` us: of base shares that are leased to this
         router until that has surely ended, and of none before all is back that an earlier incarnation lent.
         """
-        end = now + self.clocks.surely(length)
+        end = now + self.clocks.safe_wait_us(length)
         lasting = sum(base.amount for base in self.bases.values() if base.begins <= now and end <= base.ends)
         return max(0, lasting - self.lent_out(now, borrower))
 
@@ -201,7 +203,7 @@
         """When all that is lent has surely ended."""
         return max(
             (
-                granted.granted + self.clocks.surely(granted.length)
+                granted.granted_us + self.clocks.safe_wait_us(granted.length_us)
                 for lent in self.lent.values()
                 for amount, granted in lent.grants
                 if amount
@@ -216,10 +218,10 @@
         not taken.
         """
         for who, lent in list(self.lent.items()):
-            if all(granted.over(now, self.clocks) for _, granted in lent.grants):
+            if all(granted.has_ended(now, self.clocks) for _, granted in lent.grants):
                 del self.lent[who]
         for lender, loan in list(self.borrowed.items()):
-            if not loan.lease.valid(now) and now - loan.requested_at > UNANSWERED_US:
+            if not loan.lease.is_valid(now) and now - loan.requested_at > UNANSWERED_US:
                 del self.borrowed[lender]
 
 
--- a/slipbay/quota/status.py
+++ b/slipbay/quota/status.py
@@ -49,7 +49,7 @@
         "borrowed": {
             str(lender): [_part(loan.amount), round((now - loan.requested_at) / SECOND, 2)]
             for lender, loan in shares.borrowed.items()
-            if loan.amount and loan.lease.valid(now)
+            if loan.amount and loan.lease.is_valid(now)
         },
     }
 
--- a/tests/explore_quota.py
+++ b/tests/explore_quota.py
@@ -485,7 +485,7 @@
     if world.asks and len(world.flying) < most_flying:
         for me, lender in ((1, 0), (2, 0)):  # two borrowers of one lender: the worst case of its books
             held = world.shares[me].borrowed.get(lender)
-            amount = held.amount if held is not None and held.lease.valid(world.clock(me)) else 0
+            amount = held.amount if held is not None and held.lease.is_valid(world.clock(me)) else 0
             if world.grants or amount:
                 yield "ask", me, lender
             if amount:
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -31,7 +31,7 @@
 from slipbay.peer_channel.external_traffic import truncate_gossip
 from slipbay.peer_channel.frame import Frame
 from slipbay.peer_channel.interfaces import MOST_BODY, ChannelEndpoint, FrameKind, Send
-from slipbay.peer_channel.leases import ClockBounds, GrantedLease, HeldLease, wait_after_start
+from slipbay.peer_channel.leases import ClockBounds, GrantedLease, HeldLease, startup_wait_us
 from slipbay.peer_channel.metrics import exposition
 from slipbay.peer_channel.multiplexer import Multiplexer
 from slipbay.peer_channel.settings import ChannelConfig, load_channel, need_channel
@@ -224,10 +224,12 @@
     lease = HeldLease(0, length)
     granted = GrantedLease(0, length)
     granter_rate = 1 + granter_ppm / 1e6
-    true_us = delay + (clocks.surely(length) - jump) / granter_rate + 1  # the first time at which it is over
-    assert granted.over(int((true_us - delay) * granter_rate) + jump, clocks)
-    assert not granted.over(int((true_us - delay - 3) * granter_rate) + jump, clocks)
-    assert not lease.valid(int(true_us * (1 + holder_ppm / 1e6)))
+    true_us = (
+        delay + (clocks.safe_wait_us(length) - jump) / granter_rate + 1
+    )  # the first time at which it is over
+    assert granted.has_ended(int((true_us - delay) * granter_rate) + jump, clocks)
+    assert not granted.has_ended(int((true_us - delay - 3) * granter_rate) + jump, clocks)
+    assert not lease.is_valid(int(true_us * (1 + holder_ppm / 1e6)))
 
 
 Step = tuple[int, int, int]  # duration in us of true time, and by how many ppm each of the two clocks is fast
@@ -260,7 +262,7 @@
     for number, (true_us, holder_ppm, granter_ppm) in enumerate(steps):
         holder += jumps[0] * (number == at[0]) + true_us * (1 + holder_ppm / 1e6)
         granter += jumps[1] * (number == at[1]) + true_us * (1 + granter_ppm / 1e6)
-        overlaps += granted.over(int(granter), clocks) and lease.valid(
+        overlaps += granted.has_ended(int(granter), clocks) and lease.is_valid(
             first_time if use_old_time else int(holder)
         )
     return overlaps
@@ -301,9 +303,9 @@
     """
     clocks = ClockBounds()
     longest = 3_000_000
-    wait_us = (wait_after_start(longest, clocks) - jump) / (1 + granter_ppm / 1e6)  # in true time
+    wait_us = (startup_wait_us(longest, clocks) - jump) / (1 + granter_ppm / 1e6)  # in true time
     lease = HeldLease(0, longest)
-    assert not lease.valid(int((before + wait_us) * (1 + holder_ppm / 1e6)))
+    assert not lease.is_valid(int((before + wait_us) * (1 + holder_ppm / 1e6)))
 
 
 class Part(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
--- a/tests/test_explore_quota.py
+++ b/tests/test_explore_quota.py
@@ -107,7 +107,7 @@
 
 
 def _over_without_drift(self: GrantedLease, now: int, clocks: ClockBounds) -> bool:
-    return now >= self.granted + self.length
+    return now >= self.granted_us + self.length_us
 
 
 def _no_wait(longest_us: int, clocks: ClockBounds) -> int:
@@ -115,7 +115,7 @@
 
 
 def _last_alone(self: LentShare, now: int, clocks: ClockBounds) -> int:
-    return self.grants[-1][0] if self.grants and not self.grants[-1][1].over(now, clocks) else 0
+    return self.grants[-1][0] if self.grants and not self.grants[-1][1].has_ended(now, clocks) else 0
 
 
 def _any_order(self: Shares, now: int, borrower: tuple[int, int], tag: int, keep: int) -> bool:
@@ -150,8 +150,8 @@
 @pytest.mark.parametrize(
     ("where", "name", "fault"),
     [
-        (shares, "wait_after_start", _no_wait),
-        (GrantedLease, "over", _over_without_drift),
+        (shares, "startup_wait_us", _no_wait),
+        (GrantedLease, "has_ended", _over_without_drift),
         (LentShare, "amount_out", _last_alone),
         (Shares, "take_request", _any_order),
         (Shares, "take_reply", _any_answer),
@@ -214,7 +214,7 @@
     """What is left of a grant is counted from now on: without the drift of what has gone by."""
     record = self.records.get(owner)
     if record is not None and record.holder == holder and shares.later(tag, record.tag):
-        left = record.grant.granted + record.grant.length - now
+        left = record.grant.granted_us + record.grant.length_us - now
         self.records[owner] = LeaseRecord(holder, tag, GrantedLease(now, max(0, min(length, left))))
 
 
@@ -234,8 +234,8 @@
         (LeaseGranter, "shorten", _shortened_at_any_time, (1, *LATE_END)),
         (LeaseGranter, "shorten", _counted_anew, (4, *LENT, *LATE_END[:2], LATE_END[1])),
         (groups, "majority", _half, None),
-        (granter, "wait_after_start", _no_wait, None),
-        (GrantedLease, "over", _over_without_drift, (4,)),
+        (granter, "startup_wait_us", _no_wait, None),
+        (GrantedLease, "has_ended", _over_without_drift, (4,)),
         (Shares, "lendable", _to_the_end_of_time, (4, *LENT)),
         (LeaseGranter, "grant", _granted_twice, None),
         (LeaseGranter, "release", _left_at_any_time, (5, *LATE)),
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -407,10 +407,10 @@
     with monkeypatch.context() as patch:  # loans that never end
         patch.setattr(DemandPool, "ratio", lambda self, account: 1.0)  # nor given back by who hears of none
         assert lender_is(restarted=False) <= most
-        patch.setattr(HeldLease, "ends", property(lambda self: self.asked + 20 * self.length))
+        patch.setattr(HeldLease, "ends_us", property(lambda self: self.requested_us + 20 * self.length_us))
         assert lender_is(restarted=False) > most
     with monkeypatch.context() as patch:  # a new incarnation lends what an earlier one lent
-        patch.setattr(shares, "wait_after_start", lambda longest, clocks: 0)
+        patch.setattr(shares, "startup_wait_us", lambda longest, clocks: 0)
         assert lender_is(restarted=True) > most
     with monkeypatch.context() as patch:  # the version of the plan is taken, and the plan ignored
         take = QuotaAccount.follow_plan
