--- a/benchmarks/lives.py
+++ b/benchmarks/lives.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from slipbay.peer_channel.status_pages import NoAnswerError, ask, question
+from slipbay.peer_channel.status_pages import NoAnswerError, encode_request, request_status
 from slipbay.rig.runner import Rig
 from slipbay.rig.scenario import from_table
 
@@ -36,7 +36,7 @@
         self.told: list[dict[str, Any]] = []
         for target in self.real:
             try:
-                self.told.append(await asyncio.to_thread(ask, target, question(0), 5.0))
+                self.told.append(await asyncio.to_thread(request_status, target, encode_request(0), 5.0))
             except (NoAnswerError, OSError) as problem:
                 self.say(f"{target}: {problem}")
 
--- a/slipbay/cli/queries.py
+++ b/slipbay/cli/queries.py
@@ -44,11 +44,11 @@
 
 def ask_view(target: str, seconds: float) -> dict[str, Any]:
     """The membership view of a running router."""
-    from slipbay.membership.status_client import ask
+    from slipbay.membership.status_client import request_status
     from slipbay.peer_channel.status_pages import NoAnswerError
 
     try:
-        return ask(address(target, "ADDRESS"), seconds)
+        return request_status(address(target, "ADDRESS"), seconds)
     except (ConfigError, NoAnswerError, OSError) as problem:
         fail(str(problem), NO_ANSWER)
 
@@ -57,10 +57,10 @@
     """Asks for the status of a part: ``topic`` is the kind of its frames, or ``CHANNEL_TOPIC``."""
 
     def ask_status(target: str, seconds: float) -> dict[str, Any]:
-        from slipbay.peer_channel.status_pages import NoAnswerError, ask, question
+        from slipbay.peer_channel.status_pages import NoAnswerError, encode_request, request_status
 
         try:
-            return ask(address(target, "ADDRESS"), question(topic), seconds)
+            return request_status(address(target, "ADDRESS"), encode_request(topic), seconds)
         except (ConfigError, NoAnswerError, OSError) as problem:
             fail(str(problem), NO_ANSWER)
 
--- a/slipbay/membership/service.py
+++ b/slipbay/membership/service.py
@@ -19,7 +19,7 @@
 from slipbay.membership.settings import MembershipConfig
 from slipbay.membership.state_machine import MembershipStateMachine
 from slipbay.peer_channel import frame, interfaces
-from slipbay.peer_channel.status_pages import pages
+from slipbay.peer_channel.status_pages import encode_pages
 from slipbay.peers.udp import PeerSocket
 
 if TYPE_CHECKING:
@@ -105,7 +105,7 @@
             now = self._prepare_call()
             self._send(now, self.machine.receive(now, data, number))
         elif self._is_status_request(data, address):
-            for page in pages(self.status()):
+            for page in encode_pages(self.status()):
                 self._peers.send_to(page, address)
         else:
             self.machine.counts["foreign"] += 1
--- a/slipbay/membership/status_client.py
+++ b/slipbay/membership/status_client.py
@@ -9,8 +9,8 @@
 from slipbay.peer_channel import frame, status_pages
 
 
-def ask(target: Address, seconds: float = 1.0) -> dict[str, Any]:
+def request_status(target: Address, seconds: float = 1.0) -> dict[str, Any]:
     """The membership status of the router with that peer address. Raises ``NoAnswerError`` and
     ``OSError``."""
     request = frame.MAGIC + bytes([frame.VERSION, frame.FLAG | MessageType.STATUS])
-    return status_pages.ask(target, request, seconds)
+    return status_pages.request_status(target, request, seconds)
--- a/slipbay/peer_channel/interfaces.py
+++ b/slipbay/peer_channel/interfaces.py
@@ -14,7 +14,9 @@
 
 from slipbay.address import Address
 
-MOST_BODY = 236  # bytes of an endpoint's message; with header and checksum a datagram of at most 256 bytes
+MAX_BODY_BYTES = (
+    236  # bytes of an endpoint's message; with header and checksum a datagram of at most 256 bytes
+)
 
 
 class FrameKind(IntEnum):
@@ -31,7 +33,7 @@
 
 
 Send: TypeAlias = tuple[int, bytes]
-"""The number of the receiving router and the body, at most ``MOST_BODY`` bytes."""
+"""The number of the receiving router and the body, at most ``MAX_BODY_BYTES`` bytes."""
 
 
 class ChannelEndpoint(Protocol):
--- a/slipbay/peer_channel/status_pages.py
+++ b/slipbay/peer_channel/status_pages.py
@@ -19,7 +19,7 @@
 PAGE_BYTES = 200
 PAGE_HEAD_BYTES = 7
 MAX_PAGES = 255
-QUESTION_BYTES = 6
+REQUEST_BYTES = 6
 PAGE = 7  # the kind of a page, a membership message type
 STATUS = 126  # the frame kind of a status request; the topic follows
 
@@ -28,17 +28,17 @@
     """No router sent a complete reply in time."""
 
 
-def question(topic: int) -> bytes:
+def encode_request(topic: int) -> bytes:
     """The request for a status. ``topic``: kind of the endpoint, or 0 for the channel."""
     return MAGIC + bytes([VERSION, FLAG | STATUS, topic])
 
 
-def topic(data: bytes) -> int | None:
+def requested_topic(data: bytes) -> int | None:
     """The topic that a datagram requests; None if it is not a status request."""
-    return data[5] if len(data) == QUESTION_BYTES and data[:5] == question(0)[:5] else None
+    return data[5] if len(data) == REQUEST_BYTES and data[:5] == encode_request(0)[:5] else None
 
 
-def pages(status: dict[str, object]) -> list[bytes]:
+def encode_pages(status: dict[str, object]) -> list[bytes]:
     """The datagrams of a status. Each has the kind, the number of the page, the count of pages, and text."""
     text = json.dumps(status).encode()
     parts = [text[at : at + PAGE_BYTES] for at in range(0, len(text), PAGE_BYTES)][:MAX_PAGES]
@@ -47,7 +47,7 @@
     ]
 
 
-def ask(target: Address, request: bytes, seconds: float = 1.0) -> dict[str, Any]:
+def request_status(target: Address, request: bytes, seconds: float = 1.0) -> dict[str, Any]:
     """Request the status of the router with that peer address. Raises ``NoAnswerError`` and ``OSError``."""
     received_pages: dict[int, bytes] = {}
     deadline = time.monotonic() + seconds
--- a/slipbay/peer_channel/udp_link.py
+++ b/slipbay/peer_channel/udp_link.py
@@ -9,7 +9,7 @@
 from slipbay.peer_channel.frame import is_framed
 from slipbay.peer_channel.interfaces import Send
 from slipbay.peer_channel.multiplexer import Multiplexer
-from slipbay.peer_channel.status_pages import pages, topic
+from slipbay.peer_channel.status_pages import encode_pages, requested_topic
 from slipbay.peers.udp import PeerSocket
 
 
@@ -65,10 +65,10 @@
     def _reply_to_status_request(self, data: bytes, address: Address) -> bool:
         """Reply to a status request from this host; returns whether the datagram was one with a known
         topic."""
-        requested = topic(data)
+        requested = requested_topic(data)
         if requested is None or requested not in self.topics or not address[0].startswith("127."):
             return False
-        for page in pages(self.topics[requested]()):
+        for page in encode_pages(self.topics[requested]()):
             self._peers.send_to(page, address)
         return True
 
--- a/slipbay/quota/codec.py
+++ b/slipbay/quota/codec.py
@@ -20,13 +20,13 @@
 from struct import Struct
 from typing import NamedTuple
 
-from slipbay.peer_channel.interfaces import MOST_BODY
+from slipbay.peer_channel.interfaces import MAX_BODY_BYTES
 
 HEAD = Struct("<BHBIH")
 BORROW_ENTRY = Struct("<HHHee")
 LEASE_ENTRY = Struct("<HHH")
-MAX_BORROW_ENTRIES = (MOST_BODY - HEAD.size) // BORROW_ENTRY.size
-MAX_LEASE_ENTRIES = (MOST_BODY - HEAD.size) // LEASE_ENTRY.size
+MAX_BORROW_ENTRIES = (MAX_BODY_BYTES - HEAD.size) // BORROW_ENTRY.size
+MAX_LEASE_ENTRIES = (MAX_BODY_BYTES - HEAD.size) // LEASE_ENTRY.size
 MAX_FLOAT = 60_000.0  # in even shares: below the largest 16-bit float
 MAX_SPAN_MS = 2**16 - 1
 
--- a/slipbay/rig/runner.py
+++ b/slipbay/rig/runner.py
@@ -249,7 +249,7 @@
 
     async def _settle(self) -> None:
         """Ask every router for its view until all are right."""
-        from slipbay.membership.status_client import ask
+        from slipbay.membership.status_client import request_status
         from slipbay.peer_channel.status_pages import NoAnswerError
 
         began = self.loop.time()
@@ -260,7 +260,7 @@
             wrong = {}
             for router in asked:
                 try:
-                    view = await asyncio.to_thread(ask, self._peer(router), 0.5)
+                    view = await asyncio.to_thread(request_status, self._peer(router), 0.5)
                     if view["living"] != len(living) or view["suspect"]:
                         wrong[router.number] = view["living"], view["gone"], view["suspect"]
                 except (NoAnswerError, OSError) as problem:
--- a/slipbay/scatter_gather/estimate_gossip.py
+++ b/slipbay/scatter_gather/estimate_gossip.py
@@ -20,7 +20,7 @@
 from struct import Struct, error
 from typing import NamedTuple
 
-from slipbay.peer_channel.interfaces import MOST_BODY, Send
+from slipbay.peer_channel.interfaces import MAX_BODY_BYTES, Send
 from slipbay.scatter_gather.interfaces import EngineCondition
 from slipbay.scatter_gather.latency_model import (
     BUCKETS,
@@ -66,7 +66,7 @@
 
 
 def encode(word: LatencyReport) -> bytes:
-    """At most ``MOST_BODY`` bytes; engines that don't fit are left out."""
+    """At most ``MAX_BODY_BYTES`` bytes; engines that don't fit are left out."""
     used = [n for n in range(BUCKETS) if word.came[n] or word.gone[n]]
     first = min(used, default=0)
     last = min(max(used, default=0), first + SPAN - 1)
@@ -83,7 +83,7 @@
         row = [*weights[first:last], sum(weights[last:])]
         most = max(row) or 1.0
         body += bytes(round(255 * weight / most) for weight in row)
-    room = (MOST_BODY - len(body)) // ENGINE.size
+    room = (MAX_BODY_BYTES - len(body)) // ENGINE.size
     return body + b"".join(
         ENGINE.pack(digest, shift // STEP, round(255 * chance))
         for digest, shift, chance in word.engines[:room]
--- a/slipbay/warmup/codec.py
+++ b/slipbay/warmup/codec.py
@@ -14,7 +14,7 @@
 from struct import Struct, error
 from typing import NamedTuple
 
-from slipbay.peer_channel.interfaces import MOST_BODY
+from slipbay.peer_channel.interfaces import MAX_BODY_BYTES
 from slipbay.policy.events import EstimatesRestored
 
 STEP_US = 10_000  # resolution of ages
@@ -56,13 +56,13 @@
 
 
 def encode(message: Message) -> bytes:
-    """The body of a message, at most ``MOST_BODY`` bytes; query groups that do not fit are left out."""
+    """The body of a message, at most ``MAX_BODY_BYTES`` bytes; query groups that do not fit are left out."""
     head = HEAD.pack(message.message_type, message.nonce)
     match message.message_type:
         case MessageType.SURVEY_REQUEST | MessageType.SURVEY_REPLY:
             return head + STATE.pack(_steps(message.age_us), message.phase)
         case MessageType.ESTIMATES:
-            return head + _encode_estimates(message.estimates, message.retries, MOST_BODY - len(head))
+            return head + _encode_estimates(message.estimates, message.retries, MAX_BODY_BYTES - len(head))
     return head
 
 
--- a/tests/channel_play.py
+++ b/tests/channel_play.py
@@ -16,7 +16,7 @@
 
 from slipbay.address import Address
 from slipbay.peer_channel.frame import is_framed
-from slipbay.peer_channel.status_pages import ask, question
+from slipbay.peer_channel.status_pages import encode_request, request_status
 from slipbay.rig.runner import Rig, Verdict
 from slipbay.rig.scenario import from_table
 from slipbay.rig.udp_proxy import UdpRelay
@@ -82,7 +82,9 @@
     async def _settle(self) -> None:
         for number in self.routers_with_channel:
             self.traffic.at_status[number] = sum(size for _, size in self.traffic.sent[number])
-            self.traffic.status[number] = await asyncio.to_thread(ask, self.real[number], question(0), 5.0)
+            self.traffic.status[number] = await asyncio.to_thread(
+                request_status, self.real[number], encode_request(0), 5.0
+            )
 
 
 def recording_relay(traffic: Traffic) -> type[UdpRelay]:
--- a/tests/compat/test_mixed_versions.py
+++ b/tests/compat/test_mixed_versions.py
@@ -113,13 +113,15 @@
     async def _ask(self, number: int) -> None:
         address = self.real[number]
         seen = self.seen
-        seen.views[number] = await asyncio.to_thread(status_client.ask, address)
-        seen.channels[number] = await asyncio.to_thread(status_pages.ask, address, status_pages.question(0))
+        seen.views[number] = await asyncio.to_thread(status_client.request_status, address)
+        seen.channels[number] = await asyncio.to_thread(
+            status_pages.request_status, address, status_pages.encode_request(0)
+        )
         seen.quotas[number] = await asyncio.to_thread(
-            status_pages.ask, address, status_pages.question(FrameKind.QUOTA)
+            status_pages.request_status, address, status_pages.encode_request(FrameKind.QUOTA)
         )
         seen.comebacks[number] = await asyncio.to_thread(
-            status_pages.ask, address, status_pages.question(FrameKind.COMEBACK)
+            status_pages.request_status, address, status_pages.encode_request(FrameKind.COMEBACK)
         )
         quota = seen.quotas[number]["quotas"]["fuel"]
         seen.borrowed |= {(number, int(lender)) for lender in quota["borrowed"]}
--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -186,23 +186,23 @@
 
 
 def status_question(topic: str) -> bytes:
-    return status_pages.question(interfaces.FrameKind[topic] if topic else 0)
+    return status_pages.encode_request(interfaces.FrameKind[topic] if topic else 0)
 
 
 def status_topic(data: bytes) -> int | None:
-    return status_pages.topic(data)
+    return status_pages.requested_topic(data)
 
 
 def pages_of(status: dict[str, object]) -> list[bytes]:
-    return status_pages.pages(status)
+    return status_pages.encode_pages(status)
 
 
 def ask_channel(port: int) -> dict[str, Any]:
-    return status_pages.ask(("127.0.0.1", port), status_pages.question(0), 5.0)
+    return status_pages.request_status(("127.0.0.1", port), status_pages.encode_request(0), 5.0)
 
 
 def ask_view(port: int) -> dict[str, Any]:
-    return status_client.ask(("127.0.0.1", port), 5.0)
+    return status_client.request_status(("127.0.0.1", port), 5.0)
 
 
 def peers_of(threads: dict[bytes, int]) -> tuple[gossip.PeerLoads, list[records.Engine]]:
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -30,12 +30,12 @@
 from slipbay.peer_channel.config_schema import BudgetShares
 from slipbay.peer_channel.external_traffic import truncate_gossip
 from slipbay.peer_channel.frame import Frame
-from slipbay.peer_channel.interfaces import MOST_BODY, ChannelEndpoint, FrameKind, Send
+from slipbay.peer_channel.interfaces import MAX_BODY_BYTES, ChannelEndpoint, FrameKind, Send
 from slipbay.peer_channel.leases import ClockBounds, GrantedLease, HeldLease, startup_wait_us
 from slipbay.peer_channel.metrics import exposition
 from slipbay.peer_channel.multiplexer import Multiplexer
 from slipbay.peer_channel.settings import ChannelConfig, load_channel, need_channel
-from slipbay.peer_channel.status_pages import question
+from slipbay.peer_channel.status_pages import encode_request
 from slipbay.peer_channel.udp_link import UdpLink
 from slipbay.policy.controller import Controller
 from slipbay.policy.gossip import PeerLoads
@@ -45,7 +45,7 @@
 GOSSIP_SETTINGS = {**SETTINGS, "policyLimits": {**SETTINGS["policyLimits"], "mayTell": True}}
 
 
-@given(st.binary(max_size=MOST_BODY), st.booleans(), st.integers(16, 127))
+@given(st.binary(max_size=MAX_BODY_BYTES), st.booleans(), st.integers(16, 127))
 def test_a_frame_decodes_to_itself_and_routers_without_a_channel_skip_it(
     body: bytes, keyed: bool, kind: int
 ) -> None:
@@ -424,7 +424,7 @@
         (None, 0, "10.0.0.9"),
         (1, 0, "127.0.0.9"),
     ):
-        assert peers.datagram_handler(number, question(requested), (address, 5))
+        assert peers.datagram_handler(number, encode_request(requested), (address, 5))
         if peers.answered:
             reply = json.loads(b"".join(page[7:] for page in peers.answered))
             peers.answered.clear()
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -19,7 +19,7 @@
 from slipbay.config.validation import ConfigError
 from slipbay.emulator.channel_fleet import ChannelFleet
 from slipbay.emulator.restart_model import RestartModel
-from slipbay.peer_channel.interfaces import MOST_BODY, ChannelEndpoint, FrameKind
+from slipbay.peer_channel.interfaces import MAX_BODY_BYTES, ChannelEndpoint, FrameKind
 from slipbay.policy.actions import Dispatch
 from slipbay.policy.connection_pacer import ConnectionPacer
 from slipbay.policy.controller import Controller
@@ -63,7 +63,7 @@
     sent_type: MessageType, nonce: int, age: int, sent: EstimatesRestored
 ) -> None:
     body = codec.encode(Message(sent_type, nonce, age, 2, 3, sent))
-    assert len(body) <= MOST_BODY
+    assert len(body) <= MAX_BODY_BYTES
     message = codec.decode(body)
     assert message is not None
     assert (message.message_type, message.nonce) == (sent_type, nonce)
@@ -80,7 +80,7 @@
         )
 
 
-@given(st.binary(max_size=MOST_BODY))
+@given(st.binary(max_size=MAX_BODY_BYTES))
 def test_decoding_any_body_raises_no_error_and_gives_no_nan(body: bytes) -> None:
     message = codec.decode(body)
     machine = WarmupStateMachine(0, 3, 1, 0, lambda now: (GOOD, 0))
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -21,7 +21,7 @@
     dropping,
     longer_never,
 )
-from slipbay.peer_channel.interfaces import MOST_BODY
+from slipbay.peer_channel.interfaces import MAX_BODY_BYTES
 from slipbay.scatter_gather import latency_model as learning
 from slipbay.scatter_gather.estimate_gossip import ASK, EVERY_US, EstimateGossip, decode
 from slipbay.scatter_gather.interfaces import (
@@ -268,7 +268,7 @@
             room.see(n, key, engine, engine.shift, took, True)
     now = EVERY_US
     bodies = tellers[0].bodies(now)
-    assert all(len(body) <= MOST_BODY and decode(body) for body in bodies)
+    assert all(len(body) <= MAX_BODY_BYTES and decode(body) for body in bodies)
     new = rooms[2].families["report"]
     for body in bodies * 3:  # doubled
         tellers[2].receive(now, 0, 1, body)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -354,7 +354,9 @@
         codec.encode(Message(MessageType.UPDATES, 1, 0, 5, 0, updates=(Update(2, MemberState.GONE, 0),))),
         1,
     )
-    monkeypatch.setattr("slipbay.membership.status_client.ask", lambda target, seconds: service.status())
+    monkeypatch.setattr(
+        "slipbay.membership.status_client.request_status", lambda target, seconds: service.status()
+    )
     result = CliRunner().invoke(cli, ["fleet", "status", "127.0.0.1:7946"])
     assert result.exit_code == 0
     assert "living     2 of 3, by zone: east 1, west 1" in result.output
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -20,7 +20,7 @@
 from slipbay.config.validation import ConfigError
 from slipbay.core.model import Request
 from slipbay.emulator.quota import QuotaFleet, worst_burst, zipf
-from slipbay.peer_channel.interfaces import MOST_BODY, Send
+from slipbay.peer_channel.interfaces import MAX_BODY_BYTES, Send
 from slipbay.peer_channel.leases import HeldLease
 from slipbay.quota import codec, shares
 from slipbay.quota.account import QuotaAccount
@@ -66,7 +66,7 @@
 ) -> None:
     message = BorrowMessage(sort, version, layout, tag, term_ms, entries)
     body = codec.encode(message)
-    assert len(body) <= MOST_BODY
+    assert len(body) <= MAX_BODY_BYTES
     assert codec.decode(body) == message
     lease_message = LeaseMessage(
         MessageType.LEASE_LOCATION,
@@ -84,7 +84,7 @@
     machine = BorrowingStateMachine(0, 3, plan_of(), Random(1), 0)
     machine.tick(3 * SECOND)
     for sends in (machine.receive(3 * SECOND, 1, 7, body), machine.tick(4 * SECOND)):
-        assert all(len(sent) <= MOST_BODY for _, sent in sends)
+        assert all(len(sent) <= MAX_BODY_BYTES for _, sent in sends)
     assert machine.accounts[key_of("q")].share <= WHOLE
 
 
