--- a/slipbay/cli/check.py
+++ b/slipbay/cli/check.py
@@ -11,13 +11,13 @@
 from slipbay.config.model import MysqlConfig
 from slipbay.config.router import load
 from slipbay.config.validation import ConfigError
-from slipbay.membership.settings import MembershipConfig, load_fleet
-from slipbay.peer_channel.settings import ChannelConfig, load_channel, need_channel
+from slipbay.membership.settings import MembershipConfig, load_membership
+from slipbay.peer_channel.settings import ChannelConfig, load_channel, require_channel
 from slipbay.quota.settings import load_quota
 from slipbay.scatter_gather.config_schema import ScatterGatherPlan
 from slipbay.scatter_gather.settings import load_gather
 from slipbay.warmup.plan import WarmupPlan
-from slipbay.warmup.settings import load_comeback
+from slipbay.warmup.settings import load_warmup
 
 FILES = {
     "config": "GW_CONFIG",
@@ -71,13 +71,13 @@
 def _read(environment: dict[str, str]) -> list[str]:
     """A line about each part, once all files are without mistakes."""
     config = load(environment)
-    membership = load_fleet(config, environment)
+    membership = load_membership(config, environment)
     channel = load_channel(config, environment, membership)
-    warmup = load_comeback(config, environment, channel)
+    warmup = load_warmup(config, environment, channel)
     quotas = load_quota(config, environment)
     scattered = load_gather(config, environment)
     if quotas is not None:
-        need_channel(channel, "quota.toml")
+        require_channel(channel, "quota.toml")
     return [
         f"{environment['GW_CONFIG']}: good; {config.name} listens at {config.listen[0]}:{config.listen[1]}",
         "the MySQL front is " + _mysql(config.mysql),
@@ -104,7 +104,7 @@
 def _channel(channel: ChannelConfig | None) -> str:
     if channel is None:
         return "off"
-    signed = f"signed with the keys of {channel.keys_of}" if channel.keys_of else "unsigned"
+    signed = f"signed with the keys of {channel.key_source}" if channel.key_source else "unsigned"
     return f"on, {channel.rate:g} bytes a second, {signed}"
 
 
--- a/slipbay/membership/settings.py
+++ b/slipbay/membership/settings.py
@@ -31,7 +31,7 @@
     shares: bool  # whether the limits are divided by the number of live routers
 
 
-def load_fleet(config: Config, environment: Mapping[str, str]) -> MembershipConfig | None:
+def load_membership(config: Config, environment: Mapping[str, str]) -> MembershipConfig | None:
     """The settings, or ``None`` if the file is absent or has ``enabled = false``. Raises ``ConfigError``."""
     path = Path(environment.get("SLIPBAY_FLEET") or FLEET_FILE)
     data = switched_on(path)
--- a/slipbay/peer_channel/settings.py
+++ b/slipbay/peer_channel/settings.py
@@ -24,9 +24,9 @@
     rate: float  # bytes in any second, for all kinds together
     parts: Mapping[str, float]  # guaranteed fraction of the rate by kind, named in lower case
     status: bool  # whether status requests from this host are answered
-    keys_of: str  # name of the file that names the keys; empty: there are no keys
+    key_source: str  # name of the file that names the keys; empty: there are no keys
 
-    def within(self, membership: MembershipConfig) -> MembershipConfig:
+    def limit_membership(self, membership: MembershipConfig) -> MembershipConfig:
         """Membership settings whose rate is at most the fraction of membership messages plus the rate without
         a guarantee."""
         rate = min(
@@ -75,7 +75,7 @@
     return ChannelConfig(key, old, table.rate, parts, table.status, path.name)
 
 
-def need_channel(channel: ChannelConfig | None, file: str) -> ChannelConfig:
+def require_channel(channel: ChannelConfig | None, file: str) -> ChannelConfig:
     """The channel, for a feature that needs it. ``file``: the file that enables the feature. Raises
     ``ConfigError`` if the channel is off."""
     if channel is None:
--- a/slipbay/process.py
+++ b/slipbay/process.py
@@ -11,12 +11,12 @@
 from slipbay.config.model import Config
 from slipbay.config.router import load
 from slipbay.config.validation import ConfigError
-from slipbay.membership.settings import load_fleet
-from slipbay.peer_channel.settings import load_channel, need_channel
+from slipbay.membership.settings import load_membership
+from slipbay.peer_channel.settings import load_channel, require_channel
 from slipbay.quota.settings import load_quota
 from slipbay.router import Router
 from slipbay.scatter_gather.settings import load_gather
-from slipbay.warmup.settings import load_comeback
+from slipbay.warmup.settings import load_warmup
 
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM)
 EXIT_CANNOT_START = 1
@@ -29,17 +29,17 @@
     Raises:
         ConfigError: with file, key and reason of a mistake in one of them.
     """
-    membership = load_fleet(config, os.environ)
+    membership = load_membership(config, os.environ)
     channel = load_channel(config, os.environ, membership)
     quotas = load_quota(config, os.environ)
     if quotas is not None:
-        need_channel(channel, "quota.toml")
+        require_channel(channel, "quota.toml")
     return Router(
         config,
         loop,
         membership,
         channel,
-        load_comeback(config, os.environ, channel),
+        load_warmup(config, os.environ, channel),
         quotas,
         load_gather(config, os.environ),
     )
--- a/slipbay/router.py
+++ b/slipbay/router.py
@@ -132,7 +132,7 @@
         from slipbay.membership.service import MembershipService
 
         if channel is not None:
-            membership = channel.within(membership)
+            membership = channel.limit_membership(membership)
         service = MembershipService(
             self.config, membership, self.timers, self.clock.now, self.peers, self._fleet_resized
         )
--- a/slipbay/warmup/settings.py
+++ b/slipbay/warmup/settings.py
@@ -9,26 +9,26 @@
 
 from slipbay.config.model import Config
 from slipbay.config.validation import DEPLOY_FOLDER, ConfigError, convert, switched_on
-from slipbay.peer_channel.settings import ChannelConfig, need_channel
+from slipbay.peer_channel.settings import ChannelConfig, require_channel
 
 if TYPE_CHECKING:
     from slipbay.warmup.plan import WarmupPlan
 
-COMEBACK_FILE = DEPLOY_FOLDER / "comeback.toml"
+WARMUP_FILE = DEPLOY_FOLDER / "comeback.toml"
 
 
-def load_comeback(
+def load_warmup(
     config: Config, environment: Mapping[str, str], channel: ChannelConfig | None
 ) -> WarmupPlan | None:
     """The plan, or None if the file is absent or has ``enabled = false``; then no module is imported for it.
 
     A fleet of one needs no channel. Raises ``ConfigError``.
     """
-    path = Path(environment.get("SLIPBAY_COMEBACK") or COMEBACK_FILE)
+    path = Path(environment.get("SLIPBAY_COMEBACK") or WARMUP_FILE)
     if (data := switched_on(path)) is None:
         return None
     if config.settings.router_count > 1:
-        need_channel(channel, path.name)
+        require_channel(channel, path.name)
     try:
         from slipbay.warmup.config_schema import WarmupFile
     except ImportError as problem:
--- a/tests/compat/test_configuration.py
+++ b/tests/compat/test_configuration.py
@@ -23,7 +23,7 @@
 from slipbay.config.model import Config, LossConfig, MysqlConfig, SpiffeConfig, StoreConfig
 from slipbay.config.router import load
 from slipbay.config.validation import ConfigError
-from slipbay.membership.settings import MembershipConfig, load_fleet
+from slipbay.membership.settings import MembershipConfig, load_membership
 from slipbay.peer_channel.settings import ChannelConfig, load_channel
 from slipbay.policy.settings import Effect, ServiceClass
 from slipbay.quota.plan import QuotaPlan
@@ -31,7 +31,7 @@
 from slipbay.scatter_gather.config_schema import ScatterGatherPlan
 from slipbay.scatter_gather.settings import load_gather
 from slipbay.warmup.plan import WarmupPlan as ComebackPlan
-from slipbay.warmup.settings import load_comeback
+from slipbay.warmup.settings import load_warmup
 
 DATA = Path(__file__).parent / "data" / "config"
 EXPECTED: dict[str, Any] = json.loads((DATA / "expected.json").read_text())
@@ -150,7 +150,7 @@
         "rate": settings.rate,
         "key": settings.key.decode(),
         "old key": settings.old_key.decode(),
-        "file of the keys": settings.keys_of,
+        "file of the keys": settings.key_source,
         "status": settings.status,
         "parts": dict(settings.parts),
     }
@@ -357,12 +357,12 @@
 
 
 def read_comeback(config: Config, environment: Mapping[str, str]) -> dict[str, object] | None:
-    found = load_comeback(config, environment, load_channel(config, environment))
+    found = load_warmup(config, environment, load_channel(config, environment))
     return comeback_values(found) if found is not None else None
 
 
 def read_fleet(config: Config, environment: Mapping[str, str]) -> dict[str, object] | None:
-    found = load_fleet(config, environment)
+    found = load_membership(config, environment)
     return fleet_values(found) if found is not None else None
 
 
@@ -443,12 +443,15 @@
 def test_a_channel_without_keys_takes_those_of_the_view_which_keeps_to_its_part_of_the_rate() -> None:
     environment = environment_for("fleet", DATA / "fleet-other.toml", "config-all.json")
     config = load(environment)
-    view = load_fleet(config, environment)
+    view = load_membership(config, environment)
     assert view is not None
     channel = load_channel(config, environment, view)
     assert channel is not None
     assert as_json(channel_values(channel)) == EXPECTED["channel-least.toml with fleet-other.toml"]
-    assert as_json(fleet_values(channel.within(view))) == EXPECTED["fleet-other.toml with channel-least.toml"]
+    assert (
+        as_json(fleet_values(channel.limit_membership(view)))
+        == EXPECTED["fleet-other.toml with channel-least.toml"]
+    )
 
 
 def test_a_quota_plan_that_is_off_can_be_read_for_a_look() -> None:
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -24,7 +24,7 @@
 from slipbay.core.model import Rejected, Request
 from slipbay.emulator.channel_fleet import ChannelFleet
 from slipbay.membership import codec
-from slipbay.membership.settings import load_fleet
+from slipbay.membership.settings import load_membership
 from slipbay.peer_channel import frame
 from slipbay.peer_channel.budget import WINDOW_US, ByteBudget
 from slipbay.peer_channel.config_schema import BudgetShares
@@ -34,7 +34,7 @@
 from slipbay.peer_channel.leases import ClockBounds, GrantedLease, HeldLease, startup_wait_us
 from slipbay.peer_channel.metrics import exposition
 from slipbay.peer_channel.multiplexer import Multiplexer
-from slipbay.peer_channel.settings import ChannelConfig, load_channel, need_channel
+from slipbay.peer_channel.settings import ChannelConfig, load_channel, require_channel
 from slipbay.peer_channel.status_pages import encode_request
 from slipbay.peer_channel.udp_link import UdpLink
 from slipbay.policy.controller import Controller
@@ -360,7 +360,7 @@
         "SLIPBAY_FLEET": str(folder / "fleet.toml"),
     }
     config = load(environment)
-    return load_channel(config, environment, load_fleet(config, environment))
+    return load_channel(config, environment, load_membership(config, environment))
 
 
 @pytest.mark.parametrize(
@@ -383,7 +383,7 @@
 
 def test_the_membership_keys_also_sign_the_channel_unless_it_has_its_own(tmp_path: Path) -> None:
     enabled_fleet = "enabled = true\nkey_file = 'key'"
-    for text, fleet_text, keys_of in (
+    for text, fleet_text, key_source in (
         ("", "", ""),
         ("", enabled_fleet, "fleet.toml"),
         ("", enabled_fleet.replace("true", "false"), ""),
@@ -391,10 +391,13 @@
     ):
         channel = channel_config(tmp_path, f"enabled = true\n{text}", fleet_text)
         assert channel is not None
-        assert need_channel(channel, "quota.toml") is channel
-        assert (channel.keys_of, channel.key) == (keys_of, b"a key of sixteen bytes" if keys_of else b"")
+        assert require_channel(channel, "quota.toml") is channel
+        assert (channel.key_source, channel.key) == (
+            key_source,
+            b"a key of sixteen bytes" if key_source else b"",
+        )
     with pytest.raises(ConfigError, match="^quota.toml: enabled: .*set enabled = true in channel.toml$"):
-        need_channel(None, "quota.toml")
+        require_channel(None, "quota.toml")
 
 
 def test_only_commands_on_the_same_host_get_the_counters() -> None:
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -43,7 +43,7 @@
 from slipbay.warmup.peer_estimates import MAX_RATIO, MAX_UNHEALTHY, MaximumAges, PeerReport, merge
 from slipbay.warmup.plan import SECOND, Phase, WarmupPlan
 from slipbay.warmup.service import WarmupService
-from slipbay.warmup.settings import load_comeback
+from slipbay.warmup.settings import load_warmup
 from slipbay.warmup.state_machine import WarmupStateMachine
 
 FIELD = st.floats(0, 2.0**40, width=32)
@@ -372,9 +372,9 @@
     file = tmp_path / "comeback.toml"
     file.write_text(f"enabled = true\n{text}\n")
     with pytest.raises(ConfigError, match=wanted):
-        load_comeback(config, {"SLIPBAY_COMEBACK": str(file)}, None)
+        load_warmup(config, {"SLIPBAY_COMEBACK": str(file)}, None)
     file.write_text("enabled = false\n")
-    assert load_comeback(config, {"SLIPBAY_COMEBACK": str(file)}, None) is None
+    assert load_warmup(config, {"SLIPBAY_COMEBACK": str(file)}, None) is None
 
 
 @given(REPORTED_ESTIMATES, st.integers(0, 255), st.integers(0, 100 * SECOND), st.integers(0, 2_000))
@@ -419,7 +419,7 @@
     config: Any = SimpleNamespace(settings=changed_settings)
     file = tmp_path / "comeback.toml"
     file.write_text(f"enabled = true\n{text}\n")
-    plan = load_comeback(config, {"SLIPBAY_COMEBACK": str(file)}, None)
+    plan = load_warmup(config, {"SLIPBAY_COMEBACK": str(file)}, None)
     machine = WarmupStateMachine(0, 1, 1, 0, lambda now: (GOOD, 0), plan, free_retries=8.0)
     machine.restore_snapshot(0, PeerReport(GOOD, 3, age * SECOND))
     machine.tick(0)
--- a/tests/test_reload_races.py
+++ b/tests/test_reload_races.py
@@ -25,11 +25,11 @@
 from slipbay.config.store import load_store
 from slipbay.config.validation import ConfigError
 from slipbay.discovery import endpoint_watch as journal_module
-from slipbay.membership.settings import load_fleet
+from slipbay.membership.settings import load_membership
 from slipbay.peer_channel.settings import load_channel
 from slipbay.quota.settings import load_quota
 from slipbay.scatter_gather.settings import load_gather
-from slipbay.warmup.settings import load_comeback
+from slipbay.warmup.settings import load_warmup
 
 # SIGHUP beside drains, cuts, connects and outages
 
@@ -463,8 +463,8 @@
     environment = {f"SLIPBAY_{name.upper()}": str(path)}
     loaders: dict[str, Callable[[Config], object]] = {
         "channel": lambda config: load_channel(config, environment),
-        "fleet": lambda config: load_fleet(config, environment),
-        "comeback": lambda config: load_comeback(config, environment, None),
+        "fleet": lambda config: load_membership(config, environment),
+        "comeback": lambda config: load_warmup(config, environment, None),
         "quota": lambda config: load_quota(config, environment),
         "gather": lambda config: load_gather(config, environment),
         "store": lambda config: load_store(config, path),
