--- a/slipbay/peer_channel/budget.py
+++ b/slipbay/peer_channel/budget.py
@@ -33,8 +33,8 @@
     order of requests.
 
     A message that finds no room leaves a claim. The rate without a guarantee is reserved for the oldest claim
-    until its kind has sent that many bytes, or has not requested them again for two windows. So a message
-    that is longer than the share of its kind is sent, too (docs/channel.md).
+    until its kind sends a message of at least that size, or does not request one for two windows. So a kind
+    can also send messages that are longer than its share (docs/channel.md).
     """
 
     def __init__(self, rate: float, shares: Mapping[int, float], now: int) -> None:
--- a/slipbay/peer_channel/frame.py
+++ b/slipbay/peer_channel/frame.py
@@ -22,7 +22,7 @@
 MAX_BYTES = 256
 VERSION = 2
 MAGIC = b"slb"
-FLAG = 0x80
+FLAG = 0x80  # top bit of the kind byte; gossip of the routing policy does not have it
 HEAD = Struct("<3sBBHHB")
 CRC = Struct("<I")
 # length of the checksum with a key, and without
@@ -59,7 +59,9 @@
     """The datagram of a frame. Raises ``ValueError`` for a body that is too long."""
     kind, sender, life, body = frame
     checksum_bytes = DIGEST_BYTES if key else CRC_BYTES
-    padded = (HEAD.size + len(body) + checksum_bytes - 5) % 3 == 0  # a length of policy gossip
+    padded = (
+        HEAD.size + len(body) + checksum_bytes - 5
+    ) % 3 == 0  # 5 + 3n bytes is a length of policy gossip
     data = HEAD.pack(MAGIC, VERSION, FLAG | kind, sender, life, padded) + body + bytes(padded)
     if len(data) + checksum_bytes > MAX_BYTES:
         raise ValueError(f"a body of {len(body)} bytes is too long")
--- a/slipbay/peer_channel/multiplexer.py
+++ b/slipbay/peer_channel/multiplexer.py
@@ -14,7 +14,7 @@
 from slipbay.peer_channel.interfaces import ChannelEndpoint, FrameKind, Send
 
 KNOWN_KINDS = frozenset(FrameKind)
-RATE = 1_000  # bytes that a router may send in any second, whatever the size of the fleet
+RATE = 1_000  # bytes that a router may send in any second, at any size of the fleet
 
 
 class Multiplexer:
