--- a/slipbay/quota/guarantees.py
+++ b/slipbay/quota/guarantees.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from slipbay.peer_channel.leases import wait_after_start
+from slipbay.peer_channel.leases import startup_wait_us
 from slipbay.quota.leases.groups import base_lease_us, granter_group
 from slipbay.quota.plan import CLOCKS, EVEN_BURST_FRACTION, Quota, QuotaPlan
 
@@ -39,12 +39,12 @@
 
 def _explain_start(plan: QuotaPlan, router_count: int) -> list[str]:
     if not plan.wardens:
-        wait_s = wait_after_start(plan.longest_ms * 1000, CLOCKS) / SECOND
+        wait_s = startup_wait_us(plan.longest_ms * 1000, CLOCKS) / SECOND
         return [f"a router that starts uses only its reserve, and lends nothing, for {wait_s:.2f} s"]
     granter_count = max(
         len(granter_group(number, router_count, plan.wardens)) for number in range(router_count)
     )
-    wait_s = wait_after_start(base_lease_us(plan.longest_ms * 1000), CLOCKS) / SECOND
+    wait_s = startup_wait_us(base_lease_us(plan.longest_ms * 1000), CLOCKS) / SECOND
     lease_s = base_lease_us(plan.term_ms * 1000) / SECOND
     return [
         f"a holder's share is used and lent by the router to which a majority of its {granter_count} "
--- a/slipbay/quota/leases/manager.py
+++ b/slipbay/quota/leases/manager.py
@@ -85,9 +85,9 @@
         return max(spans_us, key=lambda one: one * sum(span_us >= one for span_us in spans_us), default=0)
 
     def _max_span_within(self, remaining_us: int, max_us: int) -> int:
-        if self.clocks.surely(max_us) <= remaining_us:
+        if self.clocks.safe_wait_us(max_us) <= remaining_us:
             return max_us
-        return max(0, remaining_us - (self.clocks.surely(remaining_us) - remaining_us)) // 1000 * 1000
+        return max(0, remaining_us - (self.clocks.safe_wait_us(remaining_us) - remaining_us)) // 1000 * 1000
 
     # Messages
 
@@ -131,7 +131,7 @@
                 self.returning.add(owner)
         if not self.granter.grant(now, owner, holder, tag, self.lease_us):
             return MessageType.LEASE_LOCATION, self._location(now, owner)
-        self.takeover.record_grant(owner, now + self.clocks.surely(self.lease_us))
+        self.takeover.record_grant(owner, now + self.clocks.safe_wait_us(self.lease_us))
         wanted = holder[0] != owner and self.takeover.has_recent_request(now, owner, self.lease_us)
         return MessageType.LEASE_GRANT, LeaseEntry(owner, int(wanted), 0)
 
--- a/slipbay/quota/status.py
+++ b/slipbay/quota/status.py
@@ -52,7 +52,7 @@
                 round((now - borrowed_share.requested_at) / SECOND, 2),
             ]
             for lender, borrowed_share in shares.borrowed.items()
-            if borrowed_share.amount and borrowed_share.lease.valid(now)
+            if borrowed_share.amount and borrowed_share.lease.is_valid(now)
         },
     }
 
--- a/slipbay/router.py
+++ b/slipbay/router.py
@@ -133,7 +133,7 @@
         from slipbay.membership.service import MembershipService
 
         if channel is not None:
-            membership = channel.within(membership)
+            membership = channel.limit_membership(membership)
         service = MembershipService(
             self.config, membership, self.timers, self.clock.now, self.peers, self._fleet_size_changed
         )
@@ -158,7 +158,7 @@
             key=channel.key,
             old_key=channel.old_key,
             rate=channel.rate,
-            parts=parts,
+            shares=parts,
         )
         # leases need the time at which a message is handled, not that of the turn of the event loop
         link = UdpLink(multiplexer, self.peers, self.timers, self.clock.fresh)
@@ -256,7 +256,7 @@
         router_number = self.config.settings.router_number
         witnesses = StoreWitnesses(router_number, size, secrets.randbits(32), self.clock.now())
         channel.mux.add(FrameKind.LIVES, witnesses)
-        channel.mux.unsent[FrameKind.LIVES] = witnesses.unsent
+        channel.mux.drop_handlers[FrameKind.LIVES] = witnesses.unsent
         return witnesses, lambda sends: channel.send(FrameKind.LIVES, sends)
 
     def _make_scatter_gather(self, plan: ScatterGatherPlan) -> None:
--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -181,30 +181,30 @@
 
 def channel_datagram(kind: str, body: bytes) -> bytes:
     """The datagram that the channel sends for a message of an endpoint."""
-    [(_, data)] = multiplexer.Multiplexer(3, 8, 70_000, SECOND, key=KEY).own(
+    [(_, data)] = multiplexer.Multiplexer(3, 8, 70_000, SECOND, key=KEY).encode_messages(
         SECOND, interfaces.FrameKind[kind], [(5, body)]
     )
     return data
 
 
 def status_request(topic: str) -> bytes:
-    return status_pages.question(interfaces.FrameKind[topic] if topic else 0)
+    return status_pages.encode_request(interfaces.FrameKind[topic] if topic else 0)
 
 
 def status_topic(data: bytes) -> int | None:
-    return status_pages.topic(data)
+    return status_pages.requested_topic(data)
 
 
 def status_pages_of(status: dict[str, object]) -> list[bytes]:
-    return status_pages.pages(status)
+    return status_pages.encode_pages(status)
 
 
 def query_channel_status(port: int) -> dict[str, Any]:
-    return status_pages.ask(("127.0.0.1", port), status_pages.question(0), 5.0)
+    return status_pages.request_status(("127.0.0.1", port), status_pages.encode_request(0), 5.0)
 
 
 def query_view(port: int) -> dict[str, Any]:
-    return status_client.ask(("127.0.0.1", port), 5.0)
+    return status_client.request_status(("127.0.0.1", port), 5.0)
 
 
 def peers_of(threads: dict[bytes, int]) -> tuple[gossip.PeerLoads, list[records.Engine]]:
@@ -218,7 +218,7 @@
 
 
 def truncate(body: bytes, room: int) -> bytes:
-    return external_traffic.cut(body, room)
+    return external_traffic.truncate_gossip(body, room)
 
 
 def store_witnesses(me: int, incarnation: int) -> witnesses.StoreWitnesses:
--- a/tests/explore_quota.py
+++ b/tests/explore_quota.py
@@ -524,7 +524,7 @@
     if world.requests and len(world.in_flight) < max_in_flight:
         for router, lender in ((1, 0), (2, 0)):  # two borrowers of one lender: the worst case for its records
             held = world.shares[router].borrowed.get(lender)
-            amount = held.amount if held is not None and held.lease.valid(world.clock(router)) else 0
+            amount = held.amount if held is not None and held.lease.is_valid(world.clock(router)) else 0
             if world.grants or amount:
                 yield "request", router, lender
             if amount:
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -97,7 +97,7 @@
 
         def room(at: int) -> int:
             mux = self.routers.muxes[router]
-            return mux.room(at, FrameKind.QUOTA) if mux is not None else 0
+            return mux.available_bytes(at, FrameKind.QUOTA) if mux is not None else 0
 
         quotas.budget.channel_room = room
         return {FrameKind.QUOTA: quotas, FrameKind.COMEBACK: machine}
@@ -129,7 +129,7 @@
         """Send a message about decisions periodically, as large as the channel's room allows."""
         mux = self.routers.muxes[router]
         if mux is not None and router not in self.routers.stopped:
-            body = mux.told(self.routers.clock(router), pack("<IB", 1, router % 256) + bytes(3 * 60))
+            body = mux.fit_gossip(self.routers.clock(router), pack("<IB", 1, router % 256) + bytes(3 * 60))
             if body is not None:
                 self.routers.sent(router, len(body))
         self.routers.agenda.at(self.now + DECISION_INTERVAL_US, lambda: self._send_decisions(router))
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -20,7 +20,7 @@
 from slipbay.config.validation import ConfigError
 from slipbay.core.model import Request
 from slipbay.emulator.quota import QuotaFleet, worst_burst, zipf
-from slipbay.peer_channel.interfaces import MOST_BODY, Send
+from slipbay.peer_channel.interfaces import MAX_BODY_BYTES, Send
 from slipbay.peer_channel.leases import HeldLease
 from slipbay.quota import codec, shares
 from slipbay.quota.account import QuotaAccount
@@ -66,7 +66,7 @@
 ) -> None:
     message = BorrowMessage(message_type, version, layout, tag, term_ms, entries)
     body = codec.encode(message)
-    assert len(body) <= MOST_BODY
+    assert len(body) <= MAX_BODY_BYTES
     assert codec.decode(body) == message
     lease_message = LeaseMessage(
         MessageType.LEASE_LOCATION,
@@ -84,7 +84,7 @@
     machine = BorrowingStateMachine(0, 3, plan_of(), Random(1), 0)
     machine.tick(3 * SECOND)
     for sends in (machine.receive(3 * SECOND, 1, 7, body), machine.tick(4 * SECOND)):
-        assert all(len(sent) <= MOST_BODY for _, sent in sends)
+        assert all(len(sent) <= MAX_BODY_BYTES for _, sent in sends)
     assert machine.accounts[key_of("q")].share_units <= SHARE_UNITS
 
 
@@ -426,10 +426,10 @@
         # A borrower without reports of others returns nothing.
         patch.setattr(DemandPool, "share_per_demand", lambda self, account: 1.0)
         assert worst_after_lender_loss(restarted=False) <= max_worst
-        patch.setattr(HeldLease, "ends", property(lambda self: self.asked + 20 * self.length))
+        patch.setattr(HeldLease, "ends_us", property(lambda self: self.requested_us + 20 * self.length_us))
         assert worst_after_lender_loss(restarted=False) > max_worst
     with monkeypatch.context() as patch:  # a new incarnation lends shares that an earlier one lent
-        patch.setattr(shares, "wait_after_start", lambda longest, clocks: 0)
+        patch.setattr(shares, "startup_wait_us", lambda longest, clocks: 0)
         assert worst_after_lender_loss(restarted=True) > max_worst
     with monkeypatch.context() as patch:  # a new plan's version is applied, but not its rates
         original_apply_plan = QuotaAccount.apply_plan
--- a/tests/test_witnesses.py
+++ b/tests/test_witnesses.py
@@ -187,7 +187,7 @@
     found = [cast(StoreWitnesses, routers.party(me, FrameKind.LIVES)) for me in range(SIZE)]
     for witnesses, mux in zip(found, routers.muxes, strict=True):
         assert mux is not None
-        mux.unsent[FrameKind.LIVES] = witnesses.unsent
+        mux.drop_handlers[FrameKind.LIVES] = witnesses.unsent
     while elapsed_s < 10 and not all(witnesses.is_open for witnesses in found):
         routers.run(0.05)
         elapsed_s += 0.05
