--- a/benchmarks/gather.py
+++ b/benchmarks/gather.py
@@ -160,7 +160,7 @@
             began = time.process_time()
             for names, times in half:
                 now += 1_000 * case.parts
-                play_out(moments.begin(now, scattered, now + 10 * SECOND), now, names, times)
+                play_out(moments.start_query(now, scattered, now + 10 * SECOND), now, names, times)
             spent = time.process_time() - began
         best = min(best, spent / (queries - queries // 2) / case.parts * 1e6)
     began = time.process_time()
--- a/benchmarks/scatter.py
+++ b/benchmarks/scatter.py
@@ -88,20 +88,20 @@
         self._wait = WaitUntil(10**18)
         self._out = 0
 
-    def begin(self, now: int, scattered: ScatteredClass, deadline: int) -> Waits:
+    def start_query(self, now: int, scattered: ScatteredClass, deadline: int) -> Waits:
         self._out = len(scattered.groups)
         return self
 
-    def asked(self, *told: object) -> None: ...
+    def part_sent(self, *told: object) -> None: ...
 
-    def ended(self, *told: object) -> Any:
+    def part_ended(self, *told: object) -> Any:
         self._out -= 1
         return self._wait if self._out else self._enough
 
-    def look(self, now: int) -> Any:
+    def evaluate(self, now: int) -> Any:
         return self._wait
 
-    def closed(self, now: int) -> None: ...
+    def finish(self, now: int) -> None: ...
 
 
 def spent(moments: Callable[[int], StoppingRules] | None) -> float:
--- a/slipbay/emulator/gather.py
+++ b/slipbay/emulator/gather.py
@@ -31,17 +31,22 @@
 )
 from slipbay.scatter_gather.latency_model import (
     BUCKETS,
-    DOWN,
-    OCTAVE,
+    BUCKETS_PER_OCTAVE,
+    MAX_FASTER_SHIFT,
+    MAX_SLOWER_SHIFT,
     SECOND,
-    UP,
-    Key,
-    LatencyFamily,
+    ClassLatency,
+    GroupLatency,
     LatencyModel,
     SlownessFilter,
     survival,
 )
-from slipbay.scatter_gather.stopping_rule import LearnedStoppingRule, LearnedStoppingRules, Part, worths
+from slipbay.scatter_gather.stopping_rule import (
+    LearnedStoppingRule,
+    LearnedStoppingRules,
+    PendingPart,
+    utilities,
+)
 
 BASE_US = 80_000
 LATEST_US = 2 * SECOND
@@ -143,7 +148,7 @@
         for part in range(FINE):
             at = [0] * (BUCKETS + 1)
             for one in drawn:
-                at[min(max(int((log2(one) - 10) * OCTAVE + part / FINE), 0), BUCKETS)] += 1
+                at[min(max(int((log2(one) - 10) * BUCKETS_PER_OCTAVE + part / FINE), 0), BUCKETS)] += 1
             left = len(drawn)
             hazards = []
             for n in at[:BUCKETS]:
@@ -154,22 +159,22 @@
 
     def true(self, group: int, engine: int) -> tuple[list[float], int]:
         """A part's curve, and by how many buckets it is longer."""
-        fine = round(log2(self.factor(group, engine)) * OCTAVE * FINE)
+        fine = round(log2(self.factor(group, engine)) * BUCKETS_PER_OCTAVE * FINE)
         return self._curves[self.heavy][fine % FINE], fine // FINE
 
 
 class Told(LearnedStoppingRule):
     """One query's machine with the truth in place of what was learned."""
 
-    stride = 1  # all edges
+    edge_stride = 1  # all edges
     world: World
 
-    def asked(self, now: int, place: int, engine: str, state: EngineCondition) -> None:
-        super().asked(now, place, engine, state)
+    def part_sent(self, now: int, position: int, engine: str, condition: EngineCondition) -> None:
+        super().part_sent(now, position, engine, condition)
         world = self.world
-        curve, shift = world.true(self._scattered.groups[place], world.names.index(engine))
-        part = self._out[place]
-        short = max(-DOWN, min(shift, UP))
+        curve, shift = world.true(self._scattered.groups[position], world.names.index(engine))
+        part = self._pending[position]
+        short = max(-MAX_FASTER_SHIFT, min(shift, MAX_SLOWER_SHIFT))
         more = shift - short  # beyond what a factor has
         part.curve = (
             curve
@@ -179,9 +184,9 @@
             else (curve[-more:] + curve[-1:] * -more)
         )
         part.engine = SlownessFilter(now)
-        part.engine.few = [(short, 1.0)]
+        part.engine.plausible = [(short, 1.0)]
 
-    def _saw(self, now: int, part: Part, whole: bool) -> None:
+    def _record(self, now: int, part: PendingPart, is_complete: bool) -> None:
         pass
 
 
@@ -190,16 +195,16 @@
         super().__init__(0)
         self.world = world
 
-    def begin(self, now: int, scattered: ScatteredClass, deadline: int) -> LearnedStoppingRule:
-        known = super().begin(now, scattered, deadline)
-        moment = Told(self, now, scattered, known._shape, _SURE, deadline, False)
+    def start_query(self, now: int, scattered: ScatteredClass, deadline: int) -> LearnedStoppingRule:
+        known = super().start_query(now, scattered, deadline)
+        moment = Told(self, now, scattered, known._table, _SURE, deadline, False)
         moment.world = self.world
-        moment.patience = 1.0
+        moment.price_factor = 1.0
         return moment
 
 
-class _Sure(LatencyFamily):
-    def weight(self) -> float:
+class _Sure(ClassLatency):
+    def effective_sample_size(self) -> float:
         return 1e9
 
 
@@ -209,34 +214,40 @@
 def play_out(moment: LearnedStoppingRule, now: int, engines: Sequence[str], times: Sequence[int]) -> int:
     """Tell a query's machine all of its ends at their times; returns how long it waited."""
     for place, engine in enumerate(engines):
-        moment.asked(now, place, engine, EngineCondition.USUAL)
-    verdict = moment.look(now)
+        moment.part_sent(now, place, engine, EngineCondition.USUAL)
+    verdict = moment.evaluate(now)
     at = now
     for took, place in sorted((took, place) for place, took in enumerate(times)):
         while isinstance(verdict, WaitUntil) and verdict.until < now + took:
             at = max(at, verdict.until)
-            verdict = moment.look(at)
+            verdict = moment.evaluate(at)
         if not isinstance(verdict, WaitUntil):
             break
         at = now + took
-        verdict = moment.ended(at, place, PartOutcome.WHOLE)
-    moment.closed(at)
+        verdict = moment.part_ended(at, place, PartOutcome.COMPLETE)
+    moment.finish(at)
     return at - now
 
 
 class Dropping(LatencyModel):
     """A fault put in on purpose: parts that are given up are not counted, so only the quick ones are."""
 
-    def see(
-        self, now: int, key: Key, engine: SlownessFilter | None, shift: int, took: int, whole: bool
+    def record(
+        self,
+        now: int,
+        group: GroupLatency,
+        engine: SlownessFilter | None,
+        shift: int,
+        elapsed_us: int,
+        is_complete: bool,
     ) -> int:
-        return super().see(now, key, engine, shift, took, True) if whole else 0
+        return super().record(now, group, engine, shift, elapsed_us, True) if is_complete else 0
 
 
 def longer_never(now: int, learned: LatencyModel | None = None) -> LearnedStoppingRules:
     """No query waits longer than pays."""
     moments = LearnedStoppingRules(now, learned)
-    moments.longer_every = 0
+    moments.explore_every = 0
     return moments
 
 
@@ -270,7 +281,7 @@
         self.case = case
         self.world = World(case)
         self.now = 0
-        self.scattered, self.table = case.scattered(), worths(case.curve, case.parts)
+        self.scattered, self.table = case.scattered(), utilities(case.curve, case.parts)
         self.routers = [make(0) for _ in range(case.routers)]
         self.perfect = Perfect(self.world) if judge else None
         self.random = Random(case.seed + 1000)
@@ -280,7 +291,7 @@
         self.weather = Random(case.seed + 2000)
         self.tellers = (
             [
-                EstimateGossip(me, case.routers, ["report"], router.learned, 0)
+                EstimateGossip(me, case.routers, ["report"], router.model, 0)
                 for me, router in enumerate(self.routers)
             ]
             if told
@@ -334,7 +345,10 @@
         names = [world.names[engine] for engine in engines]
         if self.perfect:
             waited = play_out(
-                self.perfect.begin(self.now, self.scattered, self.now + 10 * SECOND), self.now, names, times
+                self.perfect.start_query(self.now, self.scattered, self.now + 10 * SECOND),
+                self.now,
+                names,
+                times,
             )
             query.perfect = self.utility(times, waited)
         _Played(self, self.routers[self.random.randrange(self.case.routers)], query, names)
@@ -366,21 +380,21 @@
         self.query = query
         self.over = False
         now = query.at
-        self.moment = router.begin(now, fleet.scattered, now + 10 * SECOND)
+        self.moment = router.start_query(now, fleet.scattered, now + 10 * SECOND)
         for place, engine in enumerate(engines):
-            self.moment.asked(now, place, engine, EngineCondition.USUAL)
+            self.moment.part_sent(now, place, engine, EngineCondition.USUAL)
             if query.times[place] <= LATEST_US:
                 fleet.at(now + query.times[place], partial(self._ended, place))
         self.until = now
-        self._follow(self.moment.look(now))
+        self._follow(self.moment.evaluate(now))
 
     def _ended(self, place: int) -> None:
         if not self.over:
-            self._follow(self.moment.ended(self.fleet.now, place, PartOutcome.WHOLE))
+            self._follow(self.moment.part_ended(self.fleet.now, place, PartOutcome.COMPLETE))
 
     def _look(self, until: int) -> None:
         if not self.over and until == self.until:
-            self._follow(self.moment.look(self.fleet.now))
+            self._follow(self.moment.evaluate(self.fleet.now))
 
     def _follow(self, verdict: StoppingDecision) -> None:
         fleet = self.fleet
@@ -392,6 +406,6 @@
             return
         self.over = True
         query.waited = fleet.now - query.at
-        query.whole, query.answered = self.moment.whole, isinstance(verdict, AnswerNow)
+        query.whole, query.answered = self.moment.complete_count, isinstance(verdict, AnswerNow)
         query.learned = fleet.table[query.whole] * query.answered - fleet.case.price * query.waited / SECOND
-        self.moment.closed(fleet.now)
+        self.moment.finish(fleet.now)
--- a/slipbay/router.py
+++ b/slipbay/router.py
@@ -272,8 +272,8 @@
         )
         self.jsonrpc_frontend.scatterer = service.scatterer
         if (coordinator := self.idempotency) is not None:
-            coordinator.snapshot_receivers[SCATTER_GATHER_SNAPSHOT] = service.recall
-            service.keep(lambda value: coordinator.store_snapshot(value, SCATTER_GATHER_SNAPSHOT))
+            coordinator.snapshot_receivers[SCATTER_GATHER_SNAPSHOT] = service.restore_snapshot
+            service.save_snapshots(lambda value: coordinator.store_snapshot(value, SCATTER_GATHER_SNAPSHOT))
 
     # What parts tell the router
 
--- a/slipbay/scatter_gather/__init__.py
+++ b/slipbay/scatter_gather/__init__.py
@@ -1,1 +1,2 @@
-"""Scattered queries: one request sent as parts, answered when waiting longer is no longer worth it."""
+"""Scattered queries: one request is sent as parts, and answered when more waiting would cost more than it
+gains."""
--- a/slipbay/scatter_gather/config_schema.py
+++ b/slipbay/scatter_gather/config_schema.py
@@ -1,4 +1,4 @@
-"""The keys of ``deploy/gather.toml``, with their bounds; loaded only where it is switched on."""
+"""The keys of ``deploy/gather.toml`` with their bounds; imported only if scattered queries are enabled."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from slipbay.policy.settings import Effect
 from slipbay.scatter_gather.interfaces import ScatteredClass
 
-MOST_GROUPS = 64
+MAX_GROUPS = 64
 
 Group = Annotated[int, Meta(ge=0, lt=10**9)]
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -21,18 +21,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ScatterGatherPlan:
-    """What a router scatters. ``most_open``: scattered queries at once; ``most_bytes``: of rows that wait
-    for the others of their query, over all."""
+    """Which classes a router scatters, and the limits on open scattered queries."""
 
     scattered: tuple[ScatteredClass, ...]
-    most_open: int
-    most_bytes: int
+    max_open: int  # scattered queries open at the same time
+    max_bytes: int  # of buffered rows of all open scattered queries
 
 
 class ScatterTable(Struct, forbid_unknown_fields=True, frozen=True):
+    """The keys of a ``[[scatter]]`` table: how one class is scattered."""
+
     service_class: str = field(name="class")
     parts: str
-    groups: Annotated[tuple[Group, ...], Meta(min_length=2, max_length=MOST_GROUPS)]
+    groups: Annotated[tuple[Group, ...], Meta(min_length=2, max_length=MAX_GROUPS)]
     mark: Annotated[str, Meta(min_length=2, max_length=64)] = "{group}"
     curve: tuple[tuple[Share, Share], ...] = ((1.0, 1.0),)
     price_per_s: Annotated[float, Meta(ge=0, le=1_000)] = 0.1
@@ -41,27 +42,29 @@
 
 
 class ScatterGatherFile(Struct, forbid_unknown_fields=True, frozen=True):
+    """The keys of the file."""
+
     scatter: tuple[ScatterTable, ...] = ()
     most_open: Annotated[int, Meta(ge=1, le=4096)] = 256
     most_mb: Annotated[float, Meta(gt=0, le=1024)] = 16
 
     def plan(self, config: Config) -> ScatterGatherPlan:
-        """Raises ``ConfigError``."""
-        most_bytes = int(self.most_mb * 1024 * 1024)
+        """Check the values against the router's configuration. Raises ``ConfigError``."""
+        max_bytes = int(self.most_mb * 1024 * 1024)
         _check(
-            most_bytes <= config.limits.request_bytes,
+            max_bytes <= config.limits.request_bytes,
             "most_mb",
             f"at most a quarter of limits.memory_mb ({config.limits.memory_mb})",
         )
         _check(bool(self.scatter), "scatter", "at least one class")
-        taken: set[str] = set()
+        declared: set[str] = set()
         for number, item in enumerate(self.scatter):
-            _check(item.service_class not in taken, f"scatter[{number}].class", "each class once")
-            taken.add(item.service_class)
+            _check(item.service_class not in declared, f"scatter[{number}].class", "each class once")
+            declared.add(item.service_class)
         return ScatterGatherPlan(
             tuple(_scattered(config, item, f"scatter[{number}]") for number, item in enumerate(self.scatter)),
             self.most_open,
-            most_bytes,
+            max_bytes,
         )
 
 
@@ -72,7 +75,7 @@
     _check(
         effects[item.service_class] is not Effect.UNSAFE,
         f"{path}.class",
-        f"a class that is not of those never run twice; {item.service_class!r} is",
+        f"a class whose effect is safe or keyed; {item.service_class!r} is unsafe",
     )
     _check(
         effects[item.parts] is Effect.SAFE,
@@ -86,18 +89,20 @@
         f"at most as many as requests may be open ({config.max_open})",
     )
     _check(
-        not item.mark.isalnum(), f"{path}.mark", f"a mark with a sign in it, as {{group}}; got {item.mark!r}"
+        not item.mark.isalnum(),
+        f"{path}.mark",
+        f"a mark with a character other than letters and digits, as {{group}}; got {item.mark!r}",
     )
     curve = item.curve
     _check(
         bool(curve) and curve[0][0] > 0 and curve[-1] == (1.0, 1.0),
         f"{path}.curve",
-        "pairs of share and worth, the first share above 0, the last pair [1, 1]",
+        "pairs of share and utility, the first share above 0, the last pair [1, 1]",
     )
     _check(
         all(a[0] < b[0] and a[1] <= b[1] for a, b in pairwise(curve)),
         f"{path}.curve",
-        "shares and worths that rise",
+        "shares that rise and utilities that do not fall",
     )
     return ScatteredClass(
         item.service_class,
@@ -111,6 +116,6 @@
     )
 
 
-def _check(good: bool, key: str, wanted: str) -> None:
-    if not good:
-        raise ConfigError(f"{key}: want {wanted}")
+def _check(is_valid: bool, key: str, expected: str) -> None:
+    if not is_valid:
+        raise ConfigError(f"{key}: want {expected}")
--- a/slipbay/scatter_gather/estimate_gossip.py
+++ b/slipbay/scatter_gather/estimate_gossip.py
@@ -1,15 +1,17 @@
-"""What routers tell each other of part times, and what a router leaves for its next life.
-
-A body tells what its sender saw *itself*, decayed to the moment it left; whoever hears it keeps the newest
-of each sender and state in place of the one before. So nothing is counted twice, however often, late or
-doubled it comes, and nothing is passed on. Of what is heard ``LatencyFamily`` uses each teller's word up to a
-quarter of our own observations, and all of them up to as many as our own, beside a small fixed trust.
-
-Little-endian. ``TOLD``: sort and version (u8), class (u16), state (u8), count of bodies so far (u32),
-observations that came and that were given up (f32), first bucket and number of buckets (u8); then for each
-bucket a byte of those that came, then of those given up, as parts of the largest; then, to the end,
-engines: digest (u32), factor in steps (i8), chance of it in 255ths (u8). ``ASK``: sort and version; a new
-life asks for a first word.
+"""Exchange of latency estimates between routers, and the snapshot that a router leaves for its next
+incarnation.
+
+A report holds what its sender observed *locally*, decayed to the time at which it is sent. A receiver keeps
+the newest report of each sender and condition in place of the previous one. So no observation counts twice,
+however often or late a report is received, and no report is forwarded. ``ClassLatency`` bounds the weight of
+reports: all of them weigh at most as much as the local observations and a small constant, and those of one
+sender at most a quarter of that.
+
+Encoding, little-endian. ``REPORT``: type and version (u8), class (u16), condition (u8), number of the report
+(u32), weight of completed and of censored observations (f32), first bucket and number of buckets (u8); then
+for each bucket a byte for the completed ones, then for each a byte for the censored ones, as a fraction of
+the largest; then, up to the end, engines: digest (u32), shift in steps (i8), probability in 255ths (u8).
+``REQUEST``: type and version; a starting router requests reports with it.
 """
 
 from __future__ import annotations
@@ -24,10 +26,10 @@
 from slipbay.scatter_gather.interfaces import EngineCondition
 from slipbay.scatter_gather.latency_model import (
     BUCKETS,
-    MEMORY_US,
+    DECAY_TIME_US,
     SECOND,
+    SHIFT_STEP,
     SHIFTS,
-    STEP,
     LatencyHistogram,
     LatencyModel,
     digest_of,
@@ -37,219 +39,247 @@
 START = Struct("<BB")
 HEAD = Struct("<HBIffBB")
 ENGINE = Struct("<IbB")
-EVERY_US = 8 * SECOND  # one body: 30 bytes/s
-ANSWER_US = 2 * SECOND  # between two answers to those who ask
-ASKED = 2  # others that a new life asks
-SPAN = 72  # buckets in a body; what lies beyond counts with the last
-MOST_OBSERVATIONS = 1e6
-RECENT_US = 20 * SECOND  # engines seen within that are told
-STALE_US = 60 * SECOND  # a snapshot older than that is not used at all
+REPORT_INTERVAL_US = 8 * SECOND  # one body in each: 30 bytes/s
+RESPONSE_INTERVAL_US = 2 * SECOND  # minimum time between two responses to requests
+REQUESTED_PEERS = 2  # peers that a starting router requests reports from
+MAX_ENCODED_BUCKETS = 72  # in a body; longer times count in the last bucket
+MAX_OBSERVATIONS = 1e6
+RECENT_US = 20 * SECOND  # engines observed within this time are reported
+MAX_SNAPSHOT_AGE_US = 60 * SECOND
 
 
 class MessageType(IntEnum):
-    ASK = 1
-    TOLD = 2
+    """The first byte of a message."""
+
+    REQUEST = 1
+    REPORT = 2
 
 
 class LatencyReport(NamedTuple):
-    """Of one class and state."""
+    """Estimates for one class and engine condition, and for some engines."""
 
-    service_class: int  # the lower half of its digest
-    state: EngineCondition
+    service_class: int  # the lower 16 bits of its digest
+    condition: EngineCondition
     number: int
-    came: list[float]
-    gone: list[float]
-    engines: list[tuple[int, int, float]]  # digest, factor in buckets, chance
+    completed: list[float]
+    censored: list[float]
+    engines: list[tuple[int, int, float]]  # digest, shift in buckets, probability
 
 
-ASK = START.pack(MessageType.ASK, VERSION)
+REQUEST_BODY = START.pack(MessageType.REQUEST, VERSION)
 
 
-def encode(word: LatencyReport) -> bytes:
-    """At most ``MOST_BODY`` bytes; engines that don't fit are left out."""
-    used = [n for n in range(BUCKETS) if word.came[n] or word.gone[n]]
+def encode(report: LatencyReport) -> bytes:
+    """Encode a report in at most ``MOST_BODY`` bytes; engines that do not fit are left out."""
+    used = [n for n in range(BUCKETS) if report.completed[n] or report.censored[n]]
     first = min(used, default=0)
-    last = min(max(used, default=0), first + SPAN - 1)
-    body = START.pack(MessageType.TOLD, VERSION) + HEAD.pack(
-        word.service_class,
-        word.state,
-        word.number & 0xFFFFFFFF,
-        sum(word.came),
-        sum(word.gone),
+    last = min(max(used, default=0), first + MAX_ENCODED_BUCKETS - 1)
+    body = START.pack(MessageType.REPORT, VERSION) + HEAD.pack(
+        report.service_class,
+        report.condition,
+        report.number & 0xFFFFFFFF,
+        sum(report.completed),
+        sum(report.censored),
         first,
         last + 1 - first,
     )
-    for weights in (word.came, word.gone):
+    for weights in (report.completed, report.censored):
         row = [*weights[first:last], sum(weights[last:])]
-        most = max(row) or 1.0
-        body += bytes(round(255 * weight / most) for weight in row)
-    room = (MOST_BODY - len(body)) // ENGINE.size
+        largest = max(row) or 1.0
+        body += bytes(round(255 * weight / largest) for weight in row)
+    capacity = (MOST_BODY - len(body)) // ENGINE.size
     return body + b"".join(
-        ENGINE.pack(digest, shift // STEP, round(255 * chance))
-        for digest, shift, chance in word.engines[:room]
+        ENGINE.pack(digest, shift // SHIFT_STEP, round(255 * chance))
+        for digest, shift, chance in report.engines[:capacity]
     )
 
 
 def decode(body: bytes) -> LatencyReport | None:
-    """None for what is no word of ours."""
+    """Decode a report; None if the body is not a valid report."""
     try:
-        if START.unpack_from(body) != (MessageType.TOLD, VERSION):
+        if START.unpack_from(body) != (MessageType.REPORT, VERSION):
             return None
-        service_class, state, number, came, gone, first, size = HEAD.unpack_from(body, START.size)
+        service_class, condition, number, completed, censored, first, size = HEAD.unpack_from(
+            body, START.size
+        )
         rest = body[START.size + HEAD.size :]
         if (
             first + size > BUCKETS
             or len(rest) < 2 * size
-            or not all(isfinite(one) and 0 <= one <= MOST_OBSERVATIONS for one in (came, gone))
+            or not all(isfinite(total) and 0 <= total <= MAX_OBSERVATIONS for total in (completed, censored))
         ):
             return None
         engines = [
-            (digest, steps * STEP, chance / 255)
+            (digest, steps * SHIFT_STEP, chance / 255)
             for digest, steps, chance in ENGINE.iter_unpack(rest[2 * size :])
-            if steps * STEP in SHIFTS
+            if steps * SHIFT_STEP in SHIFTS
         ]
         return LatencyReport(
             service_class,
-            EngineCondition(state),
+            EngineCondition(condition),
             number,
-            _row(rest[:size], first, came),
-            _row(rest[size : 2 * size], first, gone),
+            _decode_row(rest[:size], first, completed),
+            _decode_row(rest[size : 2 * size], first, censored),
             engines,
         )
     except (error, ValueError):
         return None
 
 
-def _row(parts: bytes, first: int, total: float) -> list[float]:
-    scale = total / (sum(parts) or 1)
-    return [0.0] * first + [part * scale for part in parts] + [0.0] * (BUCKETS - first - len(parts))
+def _decode_row(encoded: bytes, first: int, total: float) -> list[float]:
+    scale = total / (sum(encoded) or 1)
+    return [0.0] * first + [weight * scale for weight in encoded] + [0.0] * (BUCKETS - first - len(encoded))
 
 
 class EstimateGossip:
-    """A party of the channel (``slipbay.peer_channel.interfaces.Party``)."""
+    """Sends and receives reports; a party of the peer channel (``slipbay.peer_channel.interfaces.Party``)."""
 
-    def __init__(self, me: int, size: int, classes: Sequence[str], learned: LatencyModel, now: int) -> None:
-        """``classes``: names of the scattered ones; what is told of others is not kept."""
-        self._me = me
-        self._size = size
-        self._learned = learned
+    def __init__(
+        self, local_number: int, router_count: int, classes: Sequence[str], model: LatencyModel, now: int
+    ) -> None:
+        """``classes``: names of the scattered classes; reports for other classes are ignored."""
+        self._local_number = local_number
+        self._router_count = router_count
+        self._model = model
         for name in classes:
-            learned.family(now, name)
-        self._next = now + EVERY_US * (me + 1) // max(1, size)
-        self._round = 0
-        self._number = 0
-        self._turn = 0
-        self._answered = now - ANSWER_US
-        self._newest: dict[tuple[int, int, EngineCondition], tuple[int, int]] = {}  # life and number
-        self._asked = False
+            model.class_latency(now, name)
+        self._next_us = now + REPORT_INTERVAL_US * (local_number + 1) // max(1, router_count)
+        self._peer_offset = 0  # of the last router that a report was sent to
+        self._number = 0  # of the last report
+        self._turn = 0  # index of the body that was sent last
+        self._responded_us = now - RESPONSE_INTERVAL_US
+        # Incarnation and number of the newest report by sender, class and condition
+        self._newest: dict[tuple[int, int, EngineCondition], tuple[int, int]] = {}
+        self._has_requested = False
         self.counts = {"told": 0, "heard": 0, "old": 0, "unread": 0}
 
     def next_tick(self) -> int:
-        return self._next
+        """Return the time (us) at which ``tick`` is due."""
+        return self._next_us
 
     def tick(self, now: int) -> list[Send]:
-        if now < self._next:
+        """Return the messages that are due: reports, and at first also requests."""
+        if now < self._next_us:
             return []
-        self._next = max(now + EVERY_US // 2, self._next + EVERY_US)
-        if self._size < 2:
+        self._next_us = max(now + REPORT_INTERVAL_US // 2, self._next_us + REPORT_INTERVAL_US)
+        if self._router_count < 2:
             return []
-        sent: list[Send] = []
-        if not self._asked:
-            self._asked = True
-            sent += [((self._me + n) % self._size, ASK) for n in range(1, min(ASKED, self._size - 1) + 1)]
-        self._round = self._round % (self._size - 1) + 1
-        return sent + self._words(now, (self._me + self._round) % self._size)
-
-    def receive(self, now: int, sender: int, life: int, body: bytes) -> list[Send]:
-        if body == ASK:
-            if now - self._answered < ANSWER_US:
+        sends: list[Send] = []
+        if not self._has_requested:
+            self._has_requested = True
+            sends += [
+                ((self._local_number + n) % self._router_count, REQUEST_BODY)
+                for n in range(1, min(REQUESTED_PEERS, self._router_count - 1) + 1)
+            ]
+        self._peer_offset = self._peer_offset % (self._router_count - 1) + 1
+        return sends + self._next_report(now, (self._local_number + self._peer_offset) % self._router_count)
+
+    def receive(self, now: int, sender: int, incarnation: int, body: bytes) -> list[Send]:
+        """Process a message and return the messages that answer it."""
+        if body == REQUEST_BODY:
+            if now - self._responded_us < RESPONSE_INTERVAL_US:
                 return []
-            self._answered = now
-            return self._words(now, sender)
-        word = decode(body)
-        if word is None:
+            self._responded_us = now
+            return self._next_report(now, sender)
+        report = decode(body)
+        if report is None:
             self.counts["unread"] += 1
         else:
-            self._heard(now, sender, life, word)
+            self._receive_report(now, sender, incarnation, report)
         return []
 
-    def _words(self, now: int, to: int) -> list[Send]:
-        """What we saw of the class and state whose turn it is."""
+    def _next_report(self, now: int, receiver: int) -> list[Send]:
+        """Return a message with the next class and condition in turn."""
         bodies = self.bodies(now)
         if not bodies:
             return []
         self._turn = (self._turn + 1) % len(bodies)
         self.counts["told"] += 1
-        return [(to, bodies[self._turn])]
+        return [(receiver, bodies[self._turn])]
 
     def bodies(self, now: int) -> list[bytes]:
-        """All that we saw ourselves, a body for each class and state: also the form of a snapshot."""
-        learned = self._learned
-        learned.turn(now)
-        unit = learned.unit
+        """Encode all local observations, a body for each class and condition; a snapshot has the same
+        form."""
+        model = self._model
+        model.advance(now)
+        per_weight = model.observations_per_weight
         bodies = []
         engines = sorted(
-            (-abs(one.shift), digest) for digest, one in learned.engines.items() if now - one.at < RECENT_US
+            (-abs(slowness.shift), digest)
+            for digest, slowness in model.engines.items()
+            if now - slowness.updated_us < RECENT_US
         )
-        shown = [
-            (digest, learned.engines[digest].shift, max(learned.engines[digest].weights))
+        reported = [
+            (digest, model.engines[digest].shift, max(model.engines[digest].posterior))
             for _, digest in engines
         ]
-        for name, family in learned.families.items():
-            for state, sketch in zip(EngineCondition, family.states, strict=True):
-                if sketch.total * unit >= 1:
+        for name, class_latency in model.classes.items():
+            for condition, histogram in zip(EngineCondition, class_latency.by_condition, strict=True):
+                if histogram.total_weight * per_weight >= 1:
                     self._number += 1
-                    came, gone = ([weight * unit for weight in row] for row in (sketch.came, sketch.gone))
+                    completed, censored = (
+                        [weight * per_weight for weight in row]
+                        for row in (histogram.completed, histogram.censored)
+                    )
                     bodies.append(
                         encode(
-                            LatencyReport(digest_of(name) & 0xFFFF, state, self._number, came, gone, shown)
+                            LatencyReport(
+                                digest_of(name) & 0xFFFF,
+                                condition,
+                                self._number,
+                                completed,
+                                censored,
+                                reported,
+                            )
                         )
                     )
         return bodies
 
     def restore(self, now: int, age_us: int, bodies: Sequence[bytes]) -> int:
-        """What an earlier life left, so old by now; returns how many bodies are used. It weighs as another
-        router's word does, less with its age, and nothing when it is stale."""
+        """Use the snapshot of an earlier incarnation; return the number of bodies used.
+
+        A snapshot weighs as much as a peer's reports, less with its age. One that is too old is not used.
+        """
         used = 0
-        if 0 <= age_us <= STALE_US:
-            for word in filter(None, map(decode, bodies)):
-                self._keep(now, -1, word, exp(-age_us / MEMORY_US))
+        if 0 <= age_us <= MAX_SNAPSHOT_AGE_US:
+            for report in filter(None, map(decode, bodies)):
+                self._apply(now, -1, report, exp(-age_us / DECAY_TIME_US))
                 used += 1
         return used
 
-    def _heard(self, now: int, sender: int, life: int, word: LatencyReport) -> None:
-        key = sender, word.service_class, word.state
-        before = self._newest.get(key)
-        if before and before[0] == life and (before[1] - word.number) & 0xFFFFFFFF < 1 << 31:
+    def _receive_report(self, now: int, sender: int, incarnation: int, report: LatencyReport) -> None:
+        key = sender, report.service_class, report.condition
+        newest = self._newest.get(key)
+        if newest and newest[0] == incarnation and (newest[1] - report.number) & 0xFFFFFFFF < 1 << 31:
             self.counts["old"] += 1
-        elif self._keep(now, sender, word, 1.0):
-            self._newest[key] = life, word.number
+        elif self._apply(now, sender, report, 1.0):
+            self._newest[key] = incarnation, report.number
             self.counts["heard"] += 1
 
-    def _keep(self, now: int, sender: int, word: LatencyReport, part: float) -> bool:
-        learned = self._learned
-        learned.turn(now)
-        family = next(
+    def _apply(self, now: int, sender: int, report: LatencyReport, factor: float) -> bool:
+        model = self._model
+        model.advance(now)
+        class_latency = next(
             (
-                family
-                for name, family in learned.families.items()
-                if digest_of(name) & 0xFFFF == word.service_class
+                class_latency
+                for name, class_latency in model.classes.items()
+                if digest_of(name) & 0xFFFF == report.service_class
             ),
             None,
         )
-        if family is None:
-            return False  # a class that we do not have
-        scale = part / learned.unit
-        family.tell(
+        if class_latency is None:
+            return False  # not a scattered class of this router
+        scale = factor / model.observations_per_weight
+        class_latency.add_peer_report(
             now,
             sender,
-            word.state,
+            report.condition,
             LatencyHistogram(
-                [weight * scale for weight in word.came],
-                [weight * scale for weight in word.gone],
-                (sum(word.came) + sum(word.gone)) * scale,
+                [weight * scale for weight in report.completed],
+                [weight * scale for weight in report.censored],
+                (sum(report.completed) + sum(report.censored)) * scale,
             ),
         )
-        for digest, shift, chance in word.engines:
-            learned.hint(now, digest, shift, part * chance)
+        for digest, shift, chance in report.engines:
+            model.add_hint(now, digest, shift, factor * chance)
         return True
--- a/slipbay/scatter_gather/interfaces.py
+++ b/slipbay/scatter_gather/interfaces.py
@@ -1,9 +1,10 @@
-"""What the wiring of scattered queries and what decides on them agree on. No logic stands here.
+"""Interface between the scatterer, which sends the parts of scattered queries, and the stopping rules, which
+decide when each query is answered.
 
-A *scattered query* is one request of a declared class, sent as one part for each group of tables.
-``StoppingRules`` is one router's machine, shared by all its scattered queries, and ``StoppingRule`` one
-query's: machines
-without I/O, clock or own randomness, to which a host tells what it saw and when, in whole us of its clock.
+A *scattered query* is one request of a declared class, sent as one part for each table group.
+``StoppingRules`` is shared by all scattered queries of a router; ``StoppingRule`` is the state machine of one
+query. Both do no I/O, read no clock and draw no random numbers: the caller reports each event with its time,
+in whole us of the caller's clock.
 """
 
 from __future__ import annotations
@@ -13,74 +14,86 @@
 from typing import Protocol, TypeAlias
 
 Curve: TypeAlias = tuple[tuple[float, float], ...]
-"""Worth of completeness: pairs of share of the parts and worth, both rising to (1, 1), straight in between.
-Below the first share an answer is worth nothing."""
+"""Utility of an answer by its completeness: pairs of a fraction of the parts and a utility, both rising to
+(1, 1), with linear interpolation between them. Below the first fraction the utility is 0."""
 
 
 @dataclass(slots=True, frozen=True)
 class ScatteredClass:
-    """How one class is scattered, as ``deploy/gather.toml`` declares it (checked when it is read)."""
+    """How one class is scattered, as ``deploy/gather.toml`` declares it; checked when the file is read."""
 
     service_class: str
-    part_class: str  # of each part; one that may be repeated
-    groups: tuple[int, ...]  # one part each, in the order of the answer's rows
-    mark: str  # where the statement has the group's number
-    curve: Curve  # its first share is the least that is ever answered
-    price_per_s: float  # worth that each second of waiting costs, of a whole answer's 1
-    latest_us: int  # after the query came, at most; its own deadline may be sooner
-    whole_cost: bool = False  # of a quota: one token for the query; else one a part
+    part_class: str  # the class of each part; its requests are safe to repeat
+    groups: tuple[int, ...]  # one part each, in the order of the rows in the answer
+    placeholder: str  # text in the statement that is replaced by the number of the group
+    curve: Curve  # its first fraction is the smallest that is ever answered
+    price_per_s: float  # utility that each second of waiting costs, where a complete answer has utility 1
+    latest_us: int  # maximum time from receipt to answer; the query's own deadline may be sooner
+    is_charged_once: bool = False  # a quota charges one token for the query, not one for each part
 
 
 class EngineCondition(IntEnum):
-    """Of the engine that a part was sent to, as this router held it then."""
+    """This router's view of an engine at the time when a part was sent to it."""
 
     USUAL = 0
-    COLD = 1  # started of late
-    SLOW = 2  # held for slow or ill
+    COLD = 1  # in slow start
+    SLOW = 2  # slow or unhealthy
 
 
 class PartOutcome(IntEnum):
     """How a part ended."""
 
-    WHOLE = 0  # all of its rows are here
-    LOST = 1  # refused or failed: it will not come
+    COMPLETE = 0  # all of its rows have been received
+    FAILED = 1  # rejected or failed: no rows will be received
 
 
 @dataclass(slots=True, frozen=True)
 class WaitUntil:
-    until: int  # ``look`` then, unless a part ends before
+    """Wait; call ``evaluate`` at ``until`` (us) unless a part ends before."""
+
+    until: int
 
 
 @dataclass(slots=True, frozen=True)
 class AnswerNow:
-    """Answer now with the parts that are here, and give up the others."""
+    """Answer now with the parts that are complete, and abandon the others."""
 
 
 @dataclass(slots=True, frozen=True)
 class Abort:
-    """No answer is worth giving any more: refuse, where nothing ran, or fail."""
+    """No useful answer is possible: reject the query if nothing of it ran, else let it fail."""
 
 
 StoppingDecision: TypeAlias = WaitUntil | AnswerNow | Abort
 
 
 class StoppingRule(Protocol):
-    """When one scattered query is answered. Places are positions in ``groups``. After ``AnswerNow`` or
-    ``Abort`` it is over, and the host calls ``closed`` once."""
+    """Decides when one scattered query is answered.
+
+    ``position`` is a part's index in ``ScatteredClass.groups``. After ``AnswerNow`` or ``Abort`` no more
+    events are reported, and the caller calls ``finish`` once.
+    """
 
-    def asked(self, now: int, place: int, engine: str, state: EngineCondition) -> None:
-        """An attempt of a part leaves for an engine; a later one of the same part replaces it."""
+    def part_sent(self, now: int, position: int, engine: str, condition: EngineCondition) -> None:
+        """An attempt of a part is sent to an engine; it replaces an earlier attempt of the same part."""
 
-    def ended(self, now: int, place: int, fate: PartOutcome) -> StoppingDecision:
-        """A part's one end."""
+    def part_ended(self, now: int, position: int, outcome: PartOutcome) -> StoppingDecision:
+        """A part ends; this is reported once for each part."""
 
-    def look(self, now: int) -> StoppingDecision: ...
+    def evaluate(self, now: int) -> StoppingDecision:
+        """Decide at the present time, without a new event."""
+        ...
 
-    def closed(self, now: int) -> None:
-        """The query is answered, or its client left: parts that are out are called off, and what is known of
-        their times is that they took longer."""
+    def finish(self, now: int) -> None:
+        """The query is answered, or its client has left.
+
+        Parts that are still out are cancelled and count as censored observations.
+        """
 
 
 class StoppingRules(Protocol):
-    def begin(self, now: int, scattered: ScatteredClass, deadline: int) -> StoppingRule:
-        """A query was let in; its parts leave now or soon. ``deadline``: when its client gives it up."""
+    """Makes the stopping rules of one router's scattered queries."""
+
+    def start_query(self, now: int, scattered: ScatteredClass, deadline: int) -> StoppingRule:
+        """A query is admitted; its parts are sent now or soon. ``deadline`` (us): when its client gives
+        up."""
--- a/slipbay/scatter_gather/latency_model.py
+++ b/slipbay/scatter_gather/latency_model.py
@@ -1,10 +1,11 @@
-"""What a router learned of the times of parts: decayed histograms over logarithmic buckets, read with the
-product-limit rule (Kaplan and Meier, 1958), and how slow each engine is.
+"""Estimates of how long parts of scattered queries take: for each class, decayed histograms over logarithmic
+buckets, read with the product-limit estimator (Kaplan and Meier, 1958); for each engine, how slow it is.
 
-A part that was given up is a *censored* observation: it took longer than we waited. It counts among those
-at risk up to then and not after; dropped, it would make parts look faster the sooner we give them up.
+A part that is abandoned is a *censored* observation: its time is longer than the time waited. It counts in
+the risk set up to that time and not after. If such parts were left out, parts would look faster the sooner
+they are abandoned.
 
-Machines without I/O, clock or own randomness; times are whole us.
+Nothing here does I/O, reads a clock or draws random numbers. Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -18,446 +19,563 @@
 
 from slipbay.scatter_gather.interfaces import EngineCondition
 
-SECOND = 1_000_000
-OCTAVE = 6  # buckets; each is 12% wide
-LEAST = 10  # octaves: 2^10 us = 1 ms; what is sooner counts as that
-BUCKETS = 16 * OCTAVE  # up to 2^26 us = 67 s
-# buckets: factors of engines go from 1/4 to 16 by halves of an octave
-STEP = 3
-UP = 24
-DOWN = 12
-SHIFTS = tuple(range(-DOWN, UP + 1, STEP))
-USUAL = SHIFTS.index(0)
-PAD = UP + 1  # curves go on beyond both ends, so that any factor can be read off without a check
-EDGES = tuple(round(2.0 ** (LEAST + n / OCTAVE)) for n in range(BUCKETS + 1))
-
-MEMORY_US = 30 * SECOND  # after that an observation weighs 1/e
-# a curve is made anew after so long, or a quarter with many observations
-STALE_US = 2 * SECOND
-MANY = 32
-LOOK_US = SECOND // 50
-TAIL = 0.08  # hazard of a bucket that nobody ever waited for
-# observations that what stands above in the hierarchy weighs
-ROOT_WEIGHT = 2.0
-PARENT_WEIGHT = 16.0
-ENOUGH = 8.0  # observations of a class below which nothing is judged by it
-THIN = 4.0  # observations below which a group has no curve of its own
-FLOOR = 0.01  # least likelihood of any bucket: one odd part does not make an engine slow
-NO_NEWS = 0.9  # a part given up sooner than that many come says nothing: many such would add up to a verdict
-CHANGE = 0.01  # chance that an engine changes from one part to the next
-RARER = 0.75  # each factor against the next nearer to 1, before anything is known
-SPEAK_US = SECOND // 20
-RELAX_US = 120 * SECOND  # and with time
-TRUST = 80.0  # observations that all others' words may weigh, beside as many as our own
-TELLERS = 4  # one of them at most this part of that
-HELD_US = 90 * SECOND  # for which a word is kept
-MOST_TELLERS = 48  # words kept of a class
-TOLD_AFTER_US = 5 * SECOND  # an engine that we did not hear of for so long may be as others say
-MOST_HINTS = 1024
-SURE = 0.8  # of a new pace, before all that was learned is moved to it
-AFTER_MOVE = 0.25  # of what was learned before, once a whole class is found to have changed its pace
-CENTRE_US = SECOND
-CENTRE_OF_US = 30 * SECOND
-MOST_ENGINES = 4096
-MOST_KEYS = 256  # of a class: 64 groups in 3 states, and some more
-
-
-def position(us: int) -> float:
-    """Where a time lies among the edges."""
-    return (log2(us) - LEAST) * OCTAVE if us > EDGES[0] else 0.0
-
-
-def bucket(us: int) -> int:
-    return min(int(position(us)), BUCKETS - 1)
+SECOND = 1_000_000  # us
+BUCKETS_PER_OCTAVE = 6  # each bucket is 12% wide
+MIN_OCTAVE = 10  # the first edge is 2^10 us = 1 ms; shorter times count in the first bucket
+BUCKETS = 16 * BUCKETS_PER_OCTAVE  # up to 2^26 us = 67 s
+# A shift is the slowness of an engine in buckets; shifts go from a factor of 1/4 to one of 16 in half octaves
+SHIFT_STEP = 3
+MAX_SLOWER_SHIFT = 24
+MAX_FASTER_SHIFT = 12
+SHIFTS = tuple(range(-MAX_FASTER_SHIFT, MAX_SLOWER_SHIFT + 1, SHIFT_STEP))
+USUAL_INDEX = SHIFTS.index(0)
+# Curves extend beyond both ends, so that any shift is read without a bounds check
+PADDING = MAX_SLOWER_SHIFT + 1
+BUCKET_EDGES_US = tuple(round(2.0 ** (MIN_OCTAVE + n / BUCKETS_PER_OCTAVE)) for n in range(BUCKETS + 1))
+
+DECAY_TIME_US = 30 * SECOND  # the age at which an observation weighs 1/e
+# A curve is recomputed after this time, or after a quarter of it if there are many new observations
+CURVE_LIFETIME_US = 2 * SECOND
+EARLY_REFRESH_OBSERVATIONS = 32
+STALENESS_CHECK_US = SECOND // 50
+PRIOR_HAZARD = 0.08  # hazard of a bucket without observations
+# Weight, in observations, of the estimate one level above in the hierarchy (the prior)
+ROOT_PRIOR_WEIGHT = 2.0
+PARENT_PRIOR_WEIGHT = 16.0
+MIN_CLASS_OBSERVATIONS = 8.0  # with fewer, the class's histogram is not used for decisions
+MIN_GROUP_OBSERVATIONS = 4.0  # with fewer, a group has no curve of its own
+LIKELIHOOD_FLOOR = 0.01  # added to the likelihood of each bucket: one outlier does not mark an engine as slow
+# A part abandoned while more than this fraction of parts is still out is no evidence; otherwise many such
+# parts would add up to evidence that an engine is slow
+MAX_CENSORED_LIKELIHOOD = 0.9
+TRANSITION_PROBABILITY = 0.01  # that an engine's shift changes from one part to the next
+PRIOR_RATIO = 0.75  # prior probability of a shift relative to the next one nearer to 0
+SAMPLE_INTERVAL_US = SECOND // 20
+PRIOR_RETURN_TIME_US = 120 * SECOND  # time scale on which the posterior returns to the prior without parts
+# All peers' reports may weigh as many observations as the local ones, and this many more
+PEER_BASE_WEIGHT = 80.0
+PEER_SHARE_DIVISOR = 4  # one peer may weigh at most the limit for all peers divided by this
+REPORT_LIFETIME_US = 90 * SECOND
+MAX_PEER_HISTOGRAMS = 48  # for each class
+# A peer's estimate of an engine is used only if the engine was not observed locally for this time
+HINT_AFTER_US = 5 * SECOND
+MAX_HINTS = 1024
+# Posterior probability of a new pace at which the histograms of a class are shifted
+PACE_CHANGE_CONFIDENCE = 0.8
+# Fraction of the earlier weights that stays when a whole class changes its pace
+KEPT_AFTER_PACE_CHANGE = 0.25
+CENTRING_INTERVAL_US = SECOND
+CENTRING_WINDOW_US = 30 * SECOND
+MAX_ENGINES = 4096
+MAX_GROUP_LATENCIES = 256  # for each class: 64 groups in 3 conditions, with some reserve
+
+
+def bucket_position(time_us: int) -> float:
+    """Return the position of a time among the bucket edges, in buckets."""
+    return (log2(time_us) - MIN_OCTAVE) * BUCKETS_PER_OCTAVE if time_us > BUCKET_EDGES_US[0] else 0.0
+
+
+def bucket_index(time_us: int) -> int:
+    """Return the number of the bucket that a time falls in."""
+    return min(int(bucket_position(time_us)), BUCKETS - 1)
 
 
 @dataclass(slots=True)
 class LatencyHistogram:
-    """Weights of parts that came and that were given up, by bucket. What is added later weighs more
-    (forward decay), so nothing is scaled but once in ten memories."""
-
-    came: list[float] = field(default_factory=lambda: [0.0] * BUCKETS)
-    gone: list[float] = field(default_factory=lambda: [0.0] * BUCKETS)
-    total: float = 0.0
-    seen: int = 0  # since the curve was made
-    known: float = 0.0  # total when it was
-    at: int = 0  # when it was
-    curve: list[float] = field(default_factory=list)  # chance to take longer than each edge, padded
+    """Weights of completed and of censored parts by bucket.
+
+    Later observations are added with a larger weight (forward decay), so that the stored weights need to be
+    rescaled only once in 20 decay times.
+    """
+
+    completed: list[float] = field(default_factory=lambda: [0.0] * BUCKETS)
+    censored: list[float] = field(default_factory=lambda: [0.0] * BUCKETS)
+    total_weight: float = 0.0
+    new_observations: int = 0  # since the curve was computed
+    weight_at_update: float = 0.0  # total weight when the curve was computed
+    updated_us: int = 0  # when the curve was computed, or when a peer's report was received
+    curve: list[float] = field(default_factory=list)  # probability to take longer than each edge, padded
     hazards: list[float] = field(default_factory=list)
 
-    def add(self, at: int, weight: float, whole: bool) -> None:
-        (self.came if whole else self.gone)[at] += weight
-        self.total += weight
-        self.seen += 1
-
-    def scale(self, by: float) -> None:
-        self.came = [weight * by for weight in self.came]
-        self.gone = [weight * by for weight in self.gone]
-        self.total *= by
-        self.known *= by
-
-    def stale(self, now: int) -> bool:
-        """Whether the curve is to be made anew."""
+    def add(self, bucket: int, weight: float, is_complete: bool) -> None:
+        """Add a completed or a censored observation."""
+        (self.completed if is_complete else self.censored)[bucket] += weight
+        self.total_weight += weight
+        self.new_observations += 1
+
+    def scale(self, factor: float) -> None:
+        """Multiply all weights by a factor."""
+        self.completed = [weight * factor for weight in self.completed]
+        self.censored = [weight * factor for weight in self.censored]
+        self.total_weight *= factor
+        self.weight_at_update *= factor
+
+    def is_stale(self, now: int) -> bool:
+        """Return whether the curve needs to be recomputed."""
         return not self.curve or (
-            self.seen > 0
+            self.new_observations > 0
             and (
-                self.total > 2 * self.known
-                or now - self.at > STALE_US
-                or (self.seen >= MANY and now - self.at > STALE_US // 4)
+                self.total_weight > 2 * self.weight_at_update
+                or now - self.updated_us > CURVE_LIFETIME_US
+                or (
+                    self.new_observations >= EARLY_REFRESH_OBSERVATIONS
+                    and now - self.updated_us > CURVE_LIFETIME_US // 4
+                )
             )
         )
 
-    def make(self, now: int, hazards: list[float]) -> None:
-        self.hazards, self.curve, self.at, self.seen = hazards, survival(hazards), now, 0
-        self.known = self.total
+    def update_curve(self, now: int, hazards: list[float]) -> None:
+        """Store new hazards and the survival curve that follows from them."""
+        self.hazards, self.curve, self.updated_us, self.new_observations = hazards, survival(hazards), now, 0
+        self.weight_at_update = self.total_weight
 
-    def move(self, by: int) -> None:
-        """All times are longer by so many buckets (less, if below 0)."""
-        self.came, self.gone = _moved(self.came, by), _moved(self.gone, by)
-        self.seen += BUCKETS
+    def shift(self, buckets: int) -> None:
+        """Make all times longer by a number of buckets (shorter if it is negative)."""
+        self.completed, self.censored = _shifted(self.completed, buckets), _shifted(self.censored, buckets)
+        self.new_observations += BUCKETS
 
 
-def _moved(weights: list[float], by: int) -> list[float]:
-    if by >= 0:
-        return [0.0] * by + weights[: BUCKETS - by - 1] + [sum(weights[BUCKETS - by - 1 :])]
-    return [sum(weights[: 1 - by])] + weights[1 - by :] + [0.0] * -by
+def _shifted(weights: list[float], buckets: int) -> list[float]:
+    if buckets >= 0:
+        return [0.0] * buckets + weights[: BUCKETS - buckets - 1] + [sum(weights[BUCKETS - buckets - 1 :])]
+    return [sum(weights[: 1 - buckets])] + weights[1 - buckets :] + [0.0] * -buckets
 
 
 def product_limit(
-    came: Sequence[float], gone: Sequence[float], above: Sequence[float], weight: float
+    completed: Sequence[float], censored: Sequence[float], prior_hazards: Sequence[float], prior_weight: float
 ) -> list[float]:
-    """Hazard of each bucket: those that came in it, of all that were waited for. ``above`` counts as so many
-    observations in each. Those given up within a bucket were at risk for half of it."""
-    risk = list(accumulate(map(add, reversed(came), reversed(gone)), initial=weight))
+    """Return the hazard of each bucket: the parts that completed in it divided by the parts at risk.
+
+    ``prior_hazards`` count as ``prior_weight`` observations in each bucket. Parts censored within a bucket
+    are at risk for half of it.
+    """
+    risk = list(accumulate(map(add, reversed(completed), reversed(censored)), initial=prior_weight))
     return [
-        (came_here + weight * hazard) / (here - 0.5 * gone_here)
-        for came_here, gone_here, hazard, here in zip(came, gone, above, reversed(risk[1:]), strict=True)
+        (completed_here + prior_weight * hazard) / (at_risk - 0.5 * censored_here)
+        for completed_here, censored_here, hazard, at_risk in zip(
+            completed, censored, prior_hazards, reversed(risk[1:]), strict=True
+        )
     ]
 
 
 def survival(hazards: Sequence[float]) -> list[float]:
-    """Chance to take longer than each edge, padded at both ends; never 0."""
-    curve = [1.0] * PAD
+    """Return the probability to take longer than each edge, padded at both ends; it is never 0."""
+    curve = [1.0] * PADDING
     curve += accumulate((1.0 - hazard for hazard in hazards), mul, initial=1.0)
     curve = [max(chance, 1e-9) for chance in curve]
-    return curve + [curve[-1]] * (DOWN + 2)
+    return curve + [curve[-1]] * (MAX_FASTER_SHIFT + 2)
+
 
+def shift_likelihoods(curve: list[float], bucket: int, is_complete: bool) -> list[float]:
+    """Return the likelihood of an observation under each of ``SHIFTS``.
 
-def likely(curve: list[float], at: int, whole: bool) -> list[float]:
-    """Chance under each of ``SHIFTS`` that a part comes in this bucket, or is not there by its start."""
-    start = PAD + at + DOWN
-    end = PAD + at - UP - 1
-    if not whole:
-        return [chance if chance < NO_NEWS else NO_NEWS for chance in curve[start:end:-STEP]]
+    The observation is that a part completes in the bucket, or that it is not complete at the bucket's start.
+    """
+    start = PADDING + bucket + MAX_FASTER_SHIFT
+    end = PADDING + bucket - MAX_SLOWER_SHIFT - 1
+    if not is_complete:
+        return [
+            chance if chance < MAX_CENSORED_LIKELIHOOD else MAX_CENSORED_LIKELIHOOD
+            for chance in curve[start:end:-SHIFT_STEP]
+        ]
     return [
-        FLOOR + before - after
-        for before, after in zip(curve[start:end:-STEP], curve[start + 1 : end + 1 : -STEP], strict=True)
+        LIKELIHOOD_FLOOR + before - after
+        for before, after in zip(
+            curve[start:end:-SHIFT_STEP], curve[start + 1 : end + 1 : -SHIFT_STEP], strict=True
+        )
     ]
 
 
 class SlownessFilter:
-    """How many times slower than usual something is: a filter over ``SHIFTS``. Each may become any other from
-    one part to the next, so two or three parts that speak for a change are enough, however long it was
-    otherwise."""
+    """Bayesian filter over ``SHIFTS``: how many times slower than usual an engine or a class is.
+
+    Each shift may change to any other from one part to the next, so two or three parts that indicate a change
+    are enough, whatever was observed before.
+    """
 
-    __slots__ = ("asked", "at", "few", "prior", "shift", "weights")
+    __slots__ = ("last_sample_us", "plausible", "posterior", "prior", "shift", "updated_us")
 
     def __init__(self, now: int, usual: float = 0.8) -> None:
-        rare = [RARER ** (abs(shift) // STEP) if shift else 0.0 for shift in SHIFTS]
-        self.prior = [(1 - usual) * one / sum(rare) if one else usual for one in rare]
-        self.weights = self.prior
-        self.shift = 0
-        self.at = now
-        self.asked = -SPEAK_US
-        self.few: list[tuple[int, float]] = []
-
-    def speaks(self, now: int) -> bool:
-        """Whether a part that is asked now speaks for its engine: those asked at about the same time have
-        much in common. Told before it is known how long it takes, so that the slow are not left out."""
-        if now - self.asked < SPEAK_US:
+        """``usual``: the prior probability of shift 0."""
+        ratios = [PRIOR_RATIO ** (abs(shift) // SHIFT_STEP) if shift else 0.0 for shift in SHIFTS]
+        self.prior = [(1 - usual) * ratio / sum(ratios) if ratio else usual for ratio in ratios]
+        self.posterior = self.prior
+        self.shift = 0  # the most probable one
+        self.updated_us = now
+        self.last_sample_us = -SAMPLE_INTERVAL_US
+        self.plausible: list[tuple[int, float]] = []  # see ``plausible_shifts``; empty until it is called
+
+    def start_sample(self, now: int) -> bool:
+        """Return whether a part that is sent now is used as evidence.
+
+        Parts sent at about the same time are correlated, so only one in each interval is used. This is
+        decided before it is known how long the part takes, so that slow parts are not left out.
+        """
+        if now - self.last_sample_us < SAMPLE_INTERVAL_US:
             return False
-        self.asked = now
+        self.last_sample_us = now
         return True
 
-    def saw(self, now: int, curve: list[float], at: int, whole: bool) -> None:
-        self.weigh(now, likely(curve, at, whole), CHANGE if whole else 0.0)
-
-    def weigh(self, now: int, chances: list[float], change: float = CHANGE) -> None:
-        """``change``: chance that it is another since the last part; of one that was given up, which may say
-        nothing between slow and slower, none, or the sum of them would by and by be the prior."""
-        change += min(0.5, (now - self.at) / RELAX_US)
-        self.at = now
-        weights = list(map(mul, self.weights, chances))
-        scale = (1.0 - change) / sum(weights)
-        self.weights = [
-            weight * scale + change * prior for weight, prior in zip(weights, self.prior, strict=True)
+    def observe(self, now: int, curve: list[float], bucket: int, is_complete: bool) -> None:
+        """Update the posterior with one observation; ``curve`` is the survival curve at shift 0."""
+        self.update(
+            now,
+            shift_likelihoods(curve, bucket, is_complete),
+            TRANSITION_PROBABILITY if is_complete else 0.0,
+        )
+
+    def update(self, now: int, likelihoods: list[float], transition: float = TRANSITION_PROBABILITY) -> None:
+        """Update the posterior with the likelihood of an observation under each of ``SHIFTS``.
+
+        ``transition`` is the probability that the shift changed since the last part. It is 0 for a censored
+        part: such a part may not distinguish slow from slower, and many of them would move the posterior to
+        the prior.
+        """
+        transition += min(0.5, (now - self.updated_us) / PRIOR_RETURN_TIME_US)
+        self.updated_us = now
+        weights = list(map(mul, self.posterior, likelihoods))
+        scale = (1.0 - transition) / sum(weights)
+        self.posterior = [
+            weight * scale + transition * prior for weight, prior in zip(weights, self.prior, strict=True)
         ]
-        self._chosen()
+        self._update_shift()
 
-    def told(self, shift: int, trust: float) -> None:
-        """Another router's word, trusted for less than 1."""
-        self.weights = [
-            weight * (1 - trust) + trust * (one == shift)
-            for one, weight in zip(SHIFTS, self.weights, strict=True)
+    def apply_hint(self, shift: int, trust: float) -> None:
+        """Mix in a peer's estimate with a weight of ``trust``, which is below 1."""
+        self.posterior = [
+            weight * (1 - trust) + trust * (candidate == shift)
+            for candidate, weight in zip(SHIFTS, self.posterior, strict=True)
         ]
-        self._chosen()
+        self._update_shift()
 
-    def forget(self) -> None:
-        self.weights = self.prior
-        self._chosen()
+    def reset(self) -> None:
+        """Return to the prior."""
+        self.posterior = self.prior
+        self._update_shift()
 
-    def _chosen(self) -> None:
-        self.shift = SHIFTS[self.weights.index(max(self.weights))]
-        self.few = []
+    def _update_shift(self) -> None:
+        self.shift = SHIFTS[self.posterior.index(max(self.posterior))]
+        self.plausible = []
 
-    def likely(self) -> list[tuple[int, float]]:
-        """Factors that are not out of the question, with their chances."""
-        if not self.few:
-            self.few = (
+    def plausible_shifts(self) -> list[tuple[int, float]]:
+        """Return the shifts that are not negligible, each with its posterior probability."""
+        if not self.plausible:
+            self.plausible = (
                 [(self.shift, 1.0)]
-                if max(self.weights) > 0.95
+                if max(self.posterior) > 0.95
                 else [
                     (shift, weight)
-                    for shift, weight in zip(SHIFTS, self.weights, strict=True)
+                    for shift, weight in zip(SHIFTS, self.posterior, strict=True)
                     if weight > 0.05
                 ]
             )
-        return self.few
+        return self.plausible
 
-    def move(self, steps: int) -> None:
-        """Against a usual that is so many steps slower."""
-        fill = [CHANGE * min(self.prior)] * abs(steps)
-        weights = self.weights[steps:] + fill if steps > 0 else fill + self.weights[:steps]
+    def rebase(self, steps: int) -> None:
+        """Express the posterior relative to a usual pace that is slower by a number of steps."""
+        fill = [TRANSITION_PROBABILITY * min(self.prior)] * abs(steps)
+        weights = self.posterior[steps:] + fill if steps > 0 else fill + self.posterior[:steps]
         total = sum(weights)
-        self.weights = [weight / total for weight in weights]
-        self._chosen()
+        self.posterior = [weight / total for weight in weights]
+        self._update_shift()
 
 
-class Key:
-    """Parts of one class to one group in one state."""
+class GroupLatency:
+    """Times of the parts of one class for one table group on engines in one condition."""
 
-    __slots__ = ("family", "found", "sketch", "state", "until")
+    __slots__ = ("cached_curve", "class_latency", "condition", "fresh_until_us", "histogram")
 
-    def __init__(self, family: LatencyFamily, state: int) -> None:
-        self.family = family
-        self.state = state
-        self.sketch = LatencyHistogram()
-        self.found: list[float] = []
-        self.until = 0  # no use to look before whether the curve is stale
+    def __init__(self, class_latency: ClassLatency, condition: int) -> None:
+        self.class_latency = class_latency
+        self.condition = condition
+        self.histogram = LatencyHistogram()
+        self.cached_curve: list[float] = []
+        self.fresh_until_us = 0  # the cached curve is used without a check until then
 
     def curve(self, now: int) -> list[float]:
-        if now < self.until and self.found:
-            return self.found
-        sketch = self.sketch
-        unit = self.family.learned.unit
-        above = self.family.level(now, self.state)
-        if sketch.total * unit < THIN:
-            self.found = above.curve
+        """Return the survival curve of a part at shift 0."""
+        if now < self.fresh_until_us and self.cached_curve:
+            return self.cached_curve
+        histogram = self.histogram
+        per_weight = self.class_latency.model.observations_per_weight
+        parent = self.class_latency.pooled(now, self.condition)
+        if histogram.total_weight * per_weight < MIN_GROUP_OBSERVATIONS:
+            self.cached_curve = parent.curve
         else:
-            if sketch.stale(now):
-                sketch.make(now, product_limit(sketch.came, sketch.gone, above.hazards, PARENT_WEIGHT / unit))
-            self.found = sketch.curve
-        self.until = now + LOOK_US
-        return self.found
-
-
-class LatencyFamily:
-    """All of one class: by state, and by group and state."""
-
-    def __init__(self, learned: LatencyModel, now: int) -> None:
-        self.learned = learned
-        self.states = [LatencyHistogram() for _ in EngineCondition]
-        self.keys: dict[tuple[int, int], Key] = {}
-        self.pace = SlownessFilter(now, 0.95)  # of the whole class, against what was learned
-        self.queries = 0
-        self.others: dict[
-            tuple[int, int], LatencyHistogram
-        ] = {}  # what a router told of a state: its newest word
-
-    def key(self, group: int, state: int) -> Key:
-        if (group, state) not in self.keys:
-            while len(self.keys) >= MOST_KEYS:
-                del self.keys[next(iter(self.keys))]
-            self.keys[group, state] = Key(self, state)
-        return self.keys[group, state]
-
-    def weight(self) -> float:
-        """Observations that still count, our own and those of others as far as they are trusted."""
-        own = sum(sketch.total for sketch in self.states) * self.learned.unit
-        told = sum(sketch.total for sketch in self.others.values()) * self.learned.unit
-        return own + min(told, own + TRUST)
-
-    def level(self, now: int, state: int) -> LatencyHistogram:
-        """All groups in one state, over all states."""
-        sketch = self.states[state]
-        if sketch.stale(now):
-            unit = self.learned.unit
-            sums = [self._with_told(one) for one in EngineCondition]
-            came, gone = (_summed([both[n] for both in sums]) for n in (0, 1))
-            above = product_limit(came, gone, ROOT, ROOT_WEIGHT / unit)
-            sketch.make(now, product_limit(*sums[state], above, PARENT_WEIGHT / unit))
-        return sketch
-
-    def tell(self, now: int, teller: int, state: int, sketch: LatencyHistogram) -> None:
-        """Another router's word, in place of its last."""
-        self.others.pop((teller, state), None)
-        sketch.at = now
-        self.others[teller, state] = sketch
-        for held in [held for held, other in self.others.items() if now - other.at > HELD_US]:
-            del self.others[held]
-        while len(self.others) > MOST_TELLERS:
-            del self.others[next(iter(self.others))]
-        self.states[state].seen += 1
-
-    def _with_told(self, state: int) -> tuple[Sequence[float], Sequence[float]]:
-        """Our own and others'. All of them together weigh at most as much as ``TRUST`` observations and our
-        own, and each at most a quarter of that."""
-        own = self.states[state]
-        unit = self.learned.unit
-        told = [sketch for (_, which), sketch in self.others.items() if which == state and sketch.total > 0]
-        if not told:
-            return own.came, own.gone
-        most = (TRUST / unit + own.total) / TELLERS
-        parts = [min(1.0, most / sketch.total) for sketch in told]
-        total = sum(part * sketch.total for part, sketch in zip(parts, told, strict=True))
-        less = min(1.0, most * TELLERS / total)
-        both = list(zip(told, (part * less for part in parts), strict=True))
+            if histogram.is_stale(now):
+                histogram.update_curve(
+                    now,
+                    product_limit(
+                        histogram.completed,
+                        histogram.censored,
+                        parent.hazards,
+                        PARENT_PRIOR_WEIGHT / per_weight,
+                    ),
+                )
+            self.cached_curve = histogram.curve
+        self.fresh_until_us = now + STALENESS_CHECK_US
+        return self.cached_curve
+
+
+class ClassLatency:
+    """Times of the parts of one class: by engine condition, and by table group and condition."""
+
+    def __init__(self, model: LatencyModel, now: int) -> None:
+        self.model = model
+        self.by_condition = [LatencyHistogram() for _ in EngineCondition]
+        self.groups: dict[tuple[int, int], GroupLatency] = {}  # by group and condition
+        self.pace = SlownessFilter(now, 0.95)  # of the whole class, relative to its histograms
+        self.query_count = 0
+        # The newest report of each peer for each condition
+        self.peer_histograms: dict[tuple[int, int], LatencyHistogram] = {}
+
+    def group_latency(self, group: int, condition: int) -> GroupLatency:
+        """Return the record of a table group and condition; it is created if there is none."""
+        if (group, condition) not in self.groups:
+            while len(self.groups) >= MAX_GROUP_LATENCIES:
+                del self.groups[next(iter(self.groups))]
+            self.groups[group, condition] = GroupLatency(self, condition)
+        return self.groups[group, condition]
+
+    def effective_sample_size(self) -> float:
+        """Return the decayed number of observations: the local ones, and peers' as far as they are
+        trusted."""
+        local = (
+            sum(histogram.total_weight for histogram in self.by_condition)
+            * self.model.observations_per_weight
+        )
+        reported = (
+            sum(histogram.total_weight for histogram in self.peer_histograms.values())
+            * self.model.observations_per_weight
+        )
+        return local + min(reported, local + PEER_BASE_WEIGHT)
+
+    def pooled(self, now: int, condition: int) -> LatencyHistogram:
+        """Return the histogram of all groups in one condition, with a fresh curve.
+
+        Its prior is the estimate over all conditions.
+        """
+        histogram = self.by_condition[condition]
+        if histogram.is_stale(now):
+            per_weight = self.model.observations_per_weight
+            sums = [self._with_peers(each) for each in EngineCondition]
+            completed, censored = (_column_sums([pair[n] for pair in sums]) for n in (0, 1))
+            parent = product_limit(completed, censored, PRIOR_HAZARDS, ROOT_PRIOR_WEIGHT / per_weight)
+            histogram.update_curve(
+                now, product_limit(*sums[condition], parent, PARENT_PRIOR_WEIGHT / per_weight)
+            )
+        return histogram
+
+    def add_peer_report(self, now: int, peer: int, condition: int, histogram: LatencyHistogram) -> None:
+        """Store a peer's report in place of its previous one."""
+        self.peer_histograms.pop((peer, condition), None)
+        histogram.updated_us = now
+        self.peer_histograms[peer, condition] = histogram
+        for expired in [
+            key for key, other in self.peer_histograms.items() if now - other.updated_us > REPORT_LIFETIME_US
+        ]:
+            del self.peer_histograms[expired]
+        while len(self.peer_histograms) > MAX_PEER_HISTOGRAMS:
+            del self.peer_histograms[next(iter(self.peer_histograms))]
+        self.by_condition[condition].new_observations += 1
+
+    def _with_peers(self, condition: int) -> tuple[Sequence[float], Sequence[float]]:
+        """Return completed and censored weights, local and of peers together.
+
+        All peers together weigh at most as much as the local observations and ``PEER_BASE_WEIGHT`` more, and
+        each peer at most a quarter of that.
+        """
+        local = self.by_condition[condition]
+        per_weight = self.model.observations_per_weight
+        reported = [
+            histogram
+            for (_, reported_condition), histogram in self.peer_histograms.items()
+            if reported_condition == condition and histogram.total_weight > 0
+        ]
+        if not reported:
+            return local.completed, local.censored
+        peer_limit = (PEER_BASE_WEIGHT / per_weight + local.total_weight) / PEER_SHARE_DIVISOR
+        fractions = [min(1.0, peer_limit / histogram.total_weight) for histogram in reported]
+        total = sum(
+            fraction * histogram.total_weight for fraction, histogram in zip(fractions, reported, strict=True)
+        )
+        reduction = min(1.0, peer_limit * PEER_SHARE_DIVISOR / total)
+        weighted = list(zip(reported, (fraction * reduction for fraction in fractions), strict=True))
         return (
-            _summed([own.came, *(_times(one.came, part) for one, part in both)]),
-            _summed([own.gone, *(_times(one.gone, part) for one, part in both)]),
+            _column_sums([local.completed, *(_scaled(each.completed, part) for each, part in weighted)]),
+            _column_sums([local.censored, *(_scaled(each.censored, part) for each, part in weighted)]),
         )
 
-    def shift(self, by: int, keep: float = 1.0) -> None:
-        for key in self.keys.values():
-            key.until = 0
-        for sketch in [*self.states, *(key.sketch for key in self.keys.values()), *self.others.values()]:
-            sketch.move(by)
-            sketch.scale(keep)
-
-    def moved(self, by: int) -> None:
-        """The whole class got slower or faster at once: keep the shapes, and let what comes now count."""
-        self.others.clear()
-        self.shift(by, AFTER_MOVE)
-        self.pace.forget()
-
-
-def _summed(rows: Sequence[Sequence[float]]) -> Sequence[float]:
+    def shift_times(self, buckets: int, kept_fraction: float = 1.0) -> None:
+        """Make all recorded times longer by a number of buckets and scale their weights."""
+        for group in self.groups.values():
+            group.fresh_until_us = 0
+        for histogram in [
+            *self.by_condition,
+            *(group.histogram for group in self.groups.values()),
+            *self.peer_histograms.values(),
+        ]:
+            histogram.shift(buckets)
+            histogram.scale(kept_fraction)
+
+    def apply_pace_change(self, buckets: int) -> None:
+        """Follow a change of pace of the whole class.
+
+        The shape of the distributions stays; earlier observations lose weight, so that new ones dominate.
+        """
+        self.peer_histograms.clear()
+        self.shift_times(buckets, KEPT_AFTER_PACE_CHANGE)
+        self.pace.reset()
+
+
+def _column_sums(rows: Sequence[Sequence[float]]) -> Sequence[float]:
     return [sum(column) for column in zip(*rows, strict=True)] if len(rows) > 1 else rows[0]
 
 
-def _times(row: Sequence[float], by: float) -> list[float]:
-    return [weight * by for weight in row]
+def _scaled(row: Sequence[float], factor: float) -> list[float]:
+    return [weight * factor for weight in row]
 
 
 class LatencyModel:
-    """What one router knows. Of each class 3 sketches and one a group and state; of each engine a factor."""
+    """The estimates of one router: histograms for each class and its groups, and a slowness for each
+    engine."""
 
     def __init__(self, now: int) -> None:
-        self.families: dict[str, LatencyFamily] = {}
-        self.engines: dict[int, SlownessFilter] = {}
-        self._names: dict[str, int] = {}
-        self._hints: dict[int, tuple[int, int, float]] = {}
-        self._centred = now
-        self._origin = now
-        self._at = now
-        self.unit = 1.0
-        self._fresh = 1.0
-
-    def family(self, now: int, name: str) -> LatencyFamily:
-        if name not in self.families:
-            self.families[name] = LatencyFamily(self, now)
-        return self.families[name]
+        self.classes: dict[str, ClassLatency] = {}
+        self.engines: dict[int, SlownessFilter] = {}  # by digest of the name
+        self._digests: dict[str, int] = {}
+        self._hints: dict[int, tuple[int, int, float]] = {}  # time received, shift, probability
+        self._centred_us = now
+        self._decay_origin_us = now
+        self._updated_us = now
+        self.observations_per_weight = 1.0  # present observations that a stored weight of 1 stands for
+        self._new_weight = 1.0  # stored weight of an observation made now
+
+    def class_latency(self, now: int, name: str) -> ClassLatency:
+        """Return the record of a class; it is created if there is none."""
+        if name not in self.classes:
+            self.classes[name] = ClassLatency(self, now)
+        return self.classes[name]
 
     def engine(self, now: int, name: str) -> SlownessFilter:
-        digest = self._names.get(name)
+        """Return the slowness of an engine; it is created if there is none."""
+        digest = self._digests.get(name)
         if digest is None:
-            while len(self._names) >= MOST_ENGINES:
-                del self._names[next(iter(self._names))]
-            digest = self._names[name] = digest_of(name)
-        return self.factor(now, digest)
+            while len(self._digests) >= MAX_ENGINES:
+                del self._digests[next(iter(self._digests))]
+            digest = self._digests[name] = digest_of(name)
+        return self.engine_by_digest(now, digest)
 
-    def factor(self, now: int, digest: int) -> SlownessFilter:
+    def engine_by_digest(self, now: int, digest: int) -> SlownessFilter:
+        """Return the slowness of an engine by the digest of its name; a new one starts from a peer's hint."""
         if digest not in self.engines:
-            while len(self.engines) >= MOST_ENGINES:
+            while len(self.engines) >= MAX_ENGINES:
                 del self.engines[next(iter(self.engines))]
             self.engines[digest] = engine = SlownessFilter(now)
-            at, shift, chance = self._hints.pop(digest, (now, 0, 0.0))
-            if chance and now - at < HELD_US:
-                engine.told(shift, 0.5 * chance)
+            received_us, shift, chance = self._hints.pop(digest, (now, 0, 0.0))
+            if chance and now - received_us < REPORT_LIFETIME_US:
+                engine.apply_hint(shift, 0.5 * chance)
         return self.engines[digest]
 
-    def hint(self, now: int, digest: int, shift: int, chance: float) -> None:
-        """Another router's word of an engine: believed by half, where we know nothing of late."""
+    def add_hint(self, now: int, digest: int, shift: int, chance: float) -> None:
+        """Use a peer's estimate of an engine, with half its weight, if there are no recent local
+        observations."""
         engine = self.engines.get(digest)
         if engine is None:
             self._hints.pop(digest, None)
             self._hints[digest] = now, shift, chance
-            while len(self._hints) > MOST_HINTS:
+            while len(self._hints) > MAX_HINTS:
                 del self._hints[next(iter(self._hints))]
-        elif now - engine.at > TOLD_AFTER_US:
-            engine.told(shift, 0.5 * chance)
-
-    def see(
-        self, now: int, key: Key, engine: SlownessFilter | None, shift: int, took: int, whole: bool
+        elif now - engine.updated_us > HINT_AFTER_US:
+            engine.apply_hint(shift, 0.5 * chance)
+
+    def record(
+        self,
+        now: int,
+        group: GroupLatency,
+        engine: SlownessFilter | None,
+        shift: int,
+        elapsed_us: int,
+        is_complete: bool,
     ) -> int:
-        """A part came whole, or is known to take longer; ``engine``, if it speaks for one. Returns its
-        bucket, as an engine of usual pace would have had it."""
-        self.turn(now)
-        seen = bucket(took)
-        at = min(max(seen - shift, 0), BUCKETS - 1)  # by what was held before this part
-        family = key.family
-        if engine is not None and family.states[key.state].total * self.unit >= ENOUGH:
-            engine.saw(now, family.level(now, key.state).curve, seen, whole)
-        fresh = self._fresh
-        key.sketch.add(at, fresh, whole)
-        family.states[key.state].add(at, fresh, whole)
-        return at
-
-    def pace(self, now: int, family: LatencyFamily, spoke: Sequence[tuple[list[float], int, bool]]) -> None:
-        """Parts of one query, of which all have something in common, speak as one for the pace of a class."""
-        rows = [likely(*one) for one in spoke]
-        part = 1 / len(rows)
-        chances = [1.0] * len(SHIFTS)
+        """Record that a part completed after ``elapsed_us``, or takes longer than that.
+
+        ``shift`` is the engine's shift before this part. ``engine`` is None where the part is no evidence for
+        its engine. Returns the bucket that the part would have on an engine of usual pace.
+        """
+        self.advance(now)
+        observed = bucket_index(elapsed_us)
+        bucket = min(max(observed - shift, 0), BUCKETS - 1)
+        class_latency = group.class_latency
+        if (
+            engine is not None
+            and class_latency.by_condition[group.condition].total_weight * self.observations_per_weight
+            >= MIN_CLASS_OBSERVATIONS
+        ):
+            engine.observe(now, class_latency.pooled(now, group.condition).curve, observed, is_complete)
+        new_weight = self._new_weight
+        group.histogram.add(bucket, new_weight, is_complete)
+        class_latency.by_condition[group.condition].add(bucket, new_weight, is_complete)
+        return bucket
+
+    def observe_pace(
+        self, now: int, class_latency: ClassLatency, samples: Sequence[tuple[list[float], int, bool]]
+    ) -> None:
+        """Update the pace of a class with the parts of one query.
+
+        The parts are correlated, so their likelihoods are combined by the geometric mean and count as one
+        observation. A sample is a survival curve, a bucket, and whether the part is complete.
+        """
+        rows = [shift_likelihoods(*sample) for sample in samples]
+        exponent = 1 / len(rows)
+        likelihoods = [1.0] * len(SHIFTS)
         for row in rows:
-            chances = [product * chance**part for product, chance in zip(chances, row, strict=True)]
-        family.pace.weigh(now, chances)
-        if family.pace.shift and max(family.pace.weights) > SURE:
-            family.moved(family.pace.shift)
+            likelihoods = [
+                product * likelihood**exponent for product, likelihood in zip(likelihoods, row, strict=True)
+            ]
+        class_latency.pace.update(now, likelihoods)
+        if class_latency.pace.shift and max(class_latency.pace.posterior) > PACE_CHANGE_CONFIDENCE:
+            class_latency.apply_pace_change(class_latency.pace.shift)
 
     def centre(self, now: int) -> None:
-        """The usual engine has factor 1: what engines in the middle have too much is in the sketches."""
-        self._centred = now
-        shifts = sorted(one.shift for one in self.engines.values() if now - one.at < CENTRE_OF_US)
-        steps = shifts[len(shifts) // 2] // STEP if shifts else 0
+        """Keep the median engine at shift 0: move the median shift from the engines to the histograms."""
+        self._centred_us = now
+        shifts = sorted(
+            slowness.shift
+            for slowness in self.engines.values()
+            if now - slowness.updated_us < CENTRING_WINDOW_US
+        )
+        steps = shifts[len(shifts) // 2] // SHIFT_STEP if shifts else 0
         if steps:
             for engine in self.engines.values():
-                engine.move(steps)
-            for family in self.families.values():
-                family.shift(steps * STEP)
+                engine.rebase(steps)
+            for class_latency in self.classes.values():
+                class_latency.shift_times(steps * SHIFT_STEP)
 
-    def turn(self, now: int) -> None:
-        """Age everything to ``now``."""
-        if now == self._at:
+    def advance(self, now: int) -> None:
+        """Decay all weights to ``now``."""
+        if now == self._updated_us:
             return
-        self._at = now
-        if now - self._centred > CENTRE_US:
+        self._updated_us = now
+        if now - self._centred_us > CENTRING_INTERVAL_US:
             self.centre(now)
-        if now - self._origin > 20 * MEMORY_US:
-            by = exp((self._origin - now) / MEMORY_US)
-            for family in self.families.values():
-                for sketch in [
-                    *family.states,
-                    *(key.sketch for key in family.keys.values()),
-                    *family.others.values(),
+        if now - self._decay_origin_us > 20 * DECAY_TIME_US:
+            decay = exp((self._decay_origin_us - now) / DECAY_TIME_US)
+            for class_latency in self.classes.values():
+                for histogram in [
+                    *class_latency.by_condition,
+                    *(group.histogram for group in class_latency.groups.values()),
+                    *class_latency.peer_histograms.values(),
                 ]:
-                    sketch.scale(by)
-            self._origin = now
-        self._fresh = exp((now - self._origin) / MEMORY_US)
-        self.unit = 1.0 / self._fresh
+                    histogram.scale(decay)
+            self._decay_origin_us = now
+        self._new_weight = exp((now - self._decay_origin_us) / DECAY_TIME_US)
+        self.observations_per_weight = 1.0 / self._new_weight
 
 
 def digest_of(name: str) -> int:
+    """Return the number that stands for a class or an engine in messages between routers."""
     return crc32(name.encode())
 
 
-ROOT = [TAIL] * BUCKETS
+PRIOR_HAZARDS = [PRIOR_HAZARD] * BUCKETS
--- a/slipbay/scatter_gather/metrics.py
+++ b/slipbay/scatter_gather/metrics.py
@@ -1,5 +1,7 @@
-"""A router's scattered queries as metrics in the Prometheus text format. Needs ``slipbay[fleet]``; only
-commands load it."""
+"""Metrics of a router's scattered queries in the Prometheus text format.
+
+Needs ``slipbay[fleet]``; only commands import it.
+"""
 
 from __future__ import annotations
 
@@ -9,30 +11,35 @@
 
 
 def exposition(status: dict[str, Any]) -> str:
-    """The text for a status as ``slipbay gather status --json`` gives it."""
+    """Return the metrics for a status as ``slipbay gather status --json`` prints it."""
     registry = CollectorRegistry()
     name = status["name"]
-    for key, about in (
-        ("open", "Scattered queries that are open."),
-        ("bytes", "Of rows that wait for the others of their query."),
+    for key, description in (
+        ("open", "Open scattered queries."),
+        ("bytes", "Bytes of buffered rows of open scattered queries."),
     ):
-        Gauge(f"slipbay_gather_{key}", about, ["router"], registry=registry).labels(name).set(status[key])
-    words = Counter(
+        Gauge(f"slipbay_gather_{key}", description, ["router"], registry=registry).labels(name).set(
+            status[key]
+        )
+    reports = Counter(
         "slipbay_gather_words",
-        "Messages of part times, by what became of them.",
+        "Reports of part latencies, by what was done with them.",
         ["router", "what"],
         registry=registry,
     )
     for what, count in status["words"].items():
-        words.labels(name, what).inc(count)
+        reports.labels(name, what).inc(count)
     queries = Counter(
         "slipbay_gather_queries",
-        "Scattered queries since the start, by what became of them.",
+        "Scattered queries since the start, by outcome.",
         ["router", "class", "what"],
         registry=registry,
     )
     parts = Counter(
-        "slipbay_gather_parts", "Parts of those served.", ["router", "class", "what"], registry=registry
+        "slipbay_gather_parts",
+        "Parts of answered scattered queries, present or missing.",
+        ["router", "class", "what"],
+        registry=registry,
     )
     for class_, counts in status["classes"].items():
         for what, count in counts.items():
--- a/slipbay/scatter_gather/settings.py
+++ b/slipbay/scatter_gather/settings.py
@@ -1,5 +1,8 @@
-"""``deploy/gather.toml``: which classes are scattered, and how. Mistakes name file, key and reason.
-Where it is off nothing of it is loaded."""
+"""Loads ``deploy/gather.toml``: which classes are scattered, and how.
+
+Errors name the file, the key and the reason. If scattered queries are not enabled, their modules are not
+imported.
+"""
 
 from __future__ import annotations
 
@@ -17,15 +20,15 @@
 
 
 def load_gather(config: Config, environment: Mapping[str, str]) -> ScatterGatherPlan | None:
-    """None if the file is absent or says ``enabled = false``. Raises ``ConfigError``."""
+    """Return the plan; None if the file is absent or has ``enabled = false``. Raises ``ConfigError``."""
     path = Path(environment.get("SLIPBAY_GATHER") or GATHER_FILE)
     if (data := switched_on(path)) is None:
         return None
     need_msgspec(path.name, "gather")
     from slipbay.scatter_gather.config_schema import ScatterGatherFile
 
-    form = convert(data, ScatterGatherFile, path.name)
+    file = convert(data, ScatterGatherFile, path.name)
     try:
-        return form.plan(config)
+        return file.plan(config)
     except ConfigError as problem:
         raise ConfigError(f"{path.name}: {problem}") from None
--- a/slipbay/scatter_gather/stopping_rule.py
+++ b/slipbay/scatter_gather/stopping_rule.py
@@ -1,5 +1,8 @@
-"""When a scattered query is answered: go on while the worth that is still to come, at the best time to
-stop, pays for the wait. Machines without I/O, clock or own randomness; times are whole us."""
+"""When a scattered query is answered: waiting goes on while the utility that is expected from more parts, at
+the best stopping time, is more than the price of the wait.
+
+Nothing here does I/O, reads a clock or draws random numbers. Times are whole us.
+"""
 
 from __future__ import annotations
 
@@ -18,283 +21,340 @@
     WaitUntil,
 )
 from slipbay.scatter_gather.latency_model import (
+    BUCKET_EDGES_US,
     BUCKETS,
-    EDGES,
-    ENOUGH,
-    PAD,
+    MIN_CLASS_OBSERVATIONS,
+    PADDING,
     SECOND,
-    Key,
-    LatencyFamily,
+    ClassLatency,
+    GroupLatency,
     LatencyModel,
     SlownessFilter,
-    position,
+    bucket_position,
 )
 
-LONGER_EVERY = 50  # one in so many queries of a class waits longer than pays, so that the tail stays known
-LONGER = 2  # times as long
-SETTLED = 8  # with many parts out, the sum is done anew after one in so many ended, not after each
-OF_A_QUERY = 2  # parts of one query that speak for the pace of its class; they have too much in common
-ALIKE = 0.3  # correlation that is taken for granted between parts of one query on one engine
-# a second costs so much less where little is known: who stops learns nothing
-UNSURE = 0.25
-FEW = 200.0
-AGAIN = 3  # part of the time since a query came after which it is looked at again, at the soonest
-STRIDE = 2  # each second of the buckets' edges is weighed as a time to stop
-
-
-def worths(curve: Curve, count: int) -> list[float]:
-    """Worth of 0 to ``count`` parts, and the last once more."""
+# One in this many queries of a class waits longer than is optimal, so that the tail is still observed
+EXPLORE_EVERY = 50
+EXPLORE_FACTOR = 2  # by which such a query extends its waiting time
+# With many parts out, the stopping time is recomputed after this share (1/n) of them has ended, not after
+# each
+RECOMPUTE_DIVISOR = 8
+MAX_PACE_SAMPLES = 2  # parts of one query that are evidence for the pace of its class; parts are correlated
+ENGINE_CORRELATION = 0.3  # assumed correlation between parts of one query on one engine
+# With few observations the price of waiting is reduced by up to this fraction: a query that stops early
+# observes nothing about the tail
+MAX_PRICE_REDUCTION = 0.25
+HALF_REDUCTION_OBSERVATIONS = 200.0  # sample size at which half of that reduction is left
+EVALUATION_DIVISOR = 3  # the next evaluation is at least the query's age divided by this away
+EDGE_STRIDE = 2  # every second bucket edge is a candidate for the stopping time
+
+
+def utilities(curve: Curve, count: int) -> list[float]:
+    """Return the utility of 0 to ``count`` parts, with the last one repeated."""
     points = [*curve, (1.0, 1.0)]
     found = [0.0] * (count + 2)
-    for n in range(least_parts(curve, count), count + 2):
-        share = min(1.0, n / count)
-        after = min(max(bisect_left(points, (share, 2.0)), 1), len(points) - 1)
-        (low, low_worth), (high, high_worth) = points[after - 1], points[after]
+    for n in range(min_part_count(curve, count), count + 2):
+        fraction = min(1.0, n / count)
+        after = min(max(bisect_left(points, (fraction, 2.0)), 1), len(points) - 1)
+        (low, low_utility), (high, high_utility) = points[after - 1], points[after]
         found[n] = (
-            high_worth
+            high_utility
             if high <= low
-            else low_worth + (high_worth - low_worth) * min(1.0, (share - low) / (high - low))
+            else low_utility + (high_utility - low_utility) * min(1.0, (fraction - low) / (high - low))
         )
     return found
 
 
-def least_parts(curve: Curve, count: int) -> int:
-    """The fewest parts that are ever answered."""
+def min_part_count(curve: Curve, count: int) -> int:
+    """Return the smallest number of parts that is ever answered."""
     return max(1, ceil(curve[0][0] * count - 1e-9))
 
 
-class Shape:
-    """Of one declared class: worth by parts, from where on it is straight, and ends that may go unweighed."""
+class UtilityTable:
+    """Utility of a declared class by the number of complete parts.
 
-    __slots__ = ("least", "safe", "straight", "worths")
+    ``linear_from`` is the number of parts from which on the utility is linear. ``skippable_ends`` times the
+    expected gain is the number of parts that may end before the stopping time is recomputed.
+    """
+
+    __slots__ = ("linear_from", "min_parts", "skippable_ends", "utilities")
 
     def __init__(self, scattered: ScatteredClass) -> None:
         count = len(scattered.groups)
-        self.worths, self.least = worths(scattered.curve, count), least_parts(scattered.curve, count)
-        steps = [self.worths[n + 1] - self.worths[n] for n in range(count)]
-        # A part that ends takes at most the largest step from what is to gain: half that many may end unseen
-        self.safe = 0.5 / max(steps[self.least :] or [1.0])
-        self.straight = count - 1
-        while self.straight > 0 and abs(steps[self.straight - 1] - steps[-1]) < 1e-9:
-            self.straight -= 1
-
-
-class Part:
-    """One that is out."""
-
-    __slots__ = ("at", "curve", "engine", "key", "speaks")
-
-    def __init__(self, at: int, key: Key, engine: SlownessFilter) -> None:
-        self.at, self.key, self.engine, self.speaks = at, key, engine, engine.speaks(at)
-        self.curve = key.curve(at)  # as it was known then
+        self.utilities, self.min_parts = (
+            utilities(scattered.curve, count),
+            min_part_count(scattered.curve, count),
+        )
+        steps = [self.utilities[n + 1] - self.utilities[n] for n in range(count)]
+        # Each part that ends reduces the expected gain by at most the largest step. Half as many parts as
+        # would reduce it to 0 may end without a new computation.
+        self.skippable_ends = 0.5 / max(steps[self.min_parts :] or [1.0])
+        self.linear_from = count - 1
+        while self.linear_from > 0 and abs(steps[self.linear_from - 1] - steps[-1]) < 1e-9:
+            self.linear_from -= 1
+
+
+class PendingPart:
+    """A part that has been sent and has not ended."""
+
+    __slots__ = ("curve", "engine", "group", "is_sample", "sent_us")
+
+    def __init__(self, sent_us: int, group: GroupLatency, engine: SlownessFilter) -> None:
+        self.sent_us, self.group, self.engine, self.is_sample = (
+            sent_us,
+            group,
+            engine,
+            engine.start_sample(sent_us),
+        )
+        self.curve = group.curve(sent_us)  # the estimate at that time
 
 
 class LearnedStoppingRule:
-    """One query's. See ``slipbay.scatter_gather.interfaces.Moment``."""
+    """The stopping rule of one query. See ``slipbay.scatter_gather.interfaces.StoppingRule``."""
 
-    stride = STRIDE
+    edge_stride = EDGE_STRIDE
 
     def __init__(
         self,
-        host: LearnedStoppingRules,
+        rules: LearnedStoppingRules,
         now: int,
         scattered: ScatteredClass,
-        shape: Shape,
-        family: LatencyFamily,
+        table: UtilityTable,
+        class_latency: ClassLatency,
         deadline: int,
-        longer: bool,
+        explores: bool,
     ) -> None:
-        self._host = host
+        """``explores``: whether this query waits longer than is optimal."""
+        self._rules = rules
         self._scattered = scattered
-        self._shape = shape
-        self._family = family
-        self._came = now
-        self._count = len(scattered.groups)
-        self.last = min(now + scattered.latest_us, deadline)
-        self._out: dict[int, Part] = {}
-        self._unasked = set(range(self._count))
-        self.whole = 0
-        self.lost = 0
-        # until then, and for so many ends, the last sum holds
-        self._until = now
-        self._settled = 0
-        self._longer = longer
-        self._stop_at = 0
-        self._spoke: list[tuple[list[float], int, bool]] = []
-        known = family.weight()
-        self._known = known >= ENOUGH
-        self.patience = 1.0 - UNSURE * FEW / (FEW + known)
-        self._speaks = self._known and family.pace.speaks(now)
-        self._over = False
-
-    def asked(self, now: int, place: int, engine: str, state: EngineCondition) -> None:
-        if place in self._out:
-            self._gave_up(now, self._out[place])
-        self._unasked.discard(place)
-        learned = self._host.learned
-        self._out[place] = Part(
-            now, self._family.key(self._scattered.groups[place], state), learned.engine(now, engine)
+        self._table = table
+        self._class_latency = class_latency
+        self._started_us = now
+        self._part_count = len(scattered.groups)
+        self.answer_by_us = min(now + scattered.latest_us, deadline)
+        self._pending: dict[int, PendingPart] = {}  # by position
+        self._unsent = set(range(self._part_count))  # positions
+        self.complete_count = 0
+        self.failed_count = 0
+        # The last computation is valid until this time and for this number of ends
+        self._valid_until_us = now
+        self._ends_to_skip = 0
+        self._explores = explores
+        self._extended_until_us = 0  # 0: not extended
+        self._pace_samples: list[tuple[list[float], int, bool]] = []
+        sample_size = class_latency.effective_sample_size()
+        self._has_estimates = sample_size >= MIN_CLASS_OBSERVATIONS
+        self.price_factor = 1.0 - MAX_PRICE_REDUCTION * HALF_REDUCTION_OBSERVATIONS / (
+            HALF_REDUCTION_OBSERVATIONS + sample_size
         )
-        self._settled = 0
-
-    def ended(self, now: int, place: int, fate: PartOutcome) -> StoppingDecision:
-        part = self._out.pop(place, None)
-        self._unasked.discard(place)
-        if fate is PartOutcome.WHOLE:
-            self.whole += 1
+        self._is_pace_sample = self._has_estimates and class_latency.pace.start_sample(now)
+        self._is_finished = False
+
+    def part_sent(self, now: int, position: int, engine: str, condition: EngineCondition) -> None:
+        """See ``StoppingRule.part_sent``."""
+        if position in self._pending:
+            self._record_censored(now, self._pending[position])
+        self._unsent.discard(position)
+        model = self._rules.model
+        self._pending[position] = PendingPart(
+            now,
+            self._class_latency.group_latency(self._scattered.groups[position], condition),
+            model.engine(now, engine),
+        )
+        self._ends_to_skip = 0
+
+    def part_ended(self, now: int, position: int, outcome: PartOutcome) -> StoppingDecision:
+        """See ``StoppingRule.part_ended``."""
+        part = self._pending.pop(position, None)
+        self._unsent.discard(position)
+        if outcome is PartOutcome.COMPLETE:
+            self.complete_count += 1
             if part is not None:
-                self._saw(now, part, True)
+                self._record(now, part, True)
         else:
-            self.lost += 1
-            self._settled = 0
+            self.failed_count += 1
+            self._ends_to_skip = 0
             if part is not None:
-                self._gave_up(now, part)
-        if self._settled > 0 and now < self._until and self.whole + self.lost < self._count:
-            self._settled -= 1
-            return WaitUntil(self._until)
-        return self.look(now)
-
-    def look(self, now: int) -> StoppingDecision:
-        left = self._count - self.whole - self.lost
-        least = self._shape.least
-        if self.whole + left < least:
+                self._record_censored(now, part)
+        if (
+            self._ends_to_skip > 0
+            and now < self._valid_until_us
+            and self.complete_count + self.failed_count < self._part_count
+        ):
+            self._ends_to_skip -= 1
+            return WaitUntil(self._valid_until_us)
+        return self.evaluate(now)
+
+    def evaluate(self, now: int) -> StoppingDecision:
+        """See ``StoppingRule.evaluate``."""
+        remaining = self._part_count - self.complete_count - self.failed_count
+        min_parts = self._table.min_parts
+        if self.complete_count + remaining < min_parts:
             return Abort()
-        if not left:
+        if not remaining:
             return AnswerNow()
-        if now >= self.last:
-            return AnswerNow() if self.whole >= least else Abort()
-        if self.whole < least:
-            self._until = self.last
-            self._settled = least - self.whole - 1
-            return WaitUntil(self.last)
-        if self._stop_at:
-            return WaitUntil(self._stop_at) if now < self._stop_at else AnswerNow()
-        if not self._known or now - self._came >= EDGES[-2]:  # nothing is known so far out
-            self._until = self.last
-            return WaitUntil(self.last)
-        until, gain = self._best(now, left)
+        if now >= self.answer_by_us:
+            return AnswerNow() if self.complete_count >= min_parts else Abort()
+        if self.complete_count < min_parts:
+            self._valid_until_us = self.answer_by_us
+            self._ends_to_skip = min_parts - self.complete_count - 1
+            return WaitUntil(self.answer_by_us)
+        if self._extended_until_us:
+            return WaitUntil(self._extended_until_us) if now < self._extended_until_us else AnswerNow()
+        # The histograms cover no times beyond their last edges
+        if not self._has_estimates or now - self._started_us >= BUCKET_EDGES_US[-2]:
+            self._valid_until_us = self.answer_by_us
+            return WaitUntil(self.answer_by_us)
+        until, gain = self._best_stopping_time(now, remaining)
         if until <= now:
-            if not self._longer:
+            if not self._explores:
                 return AnswerNow()
-            self._stop_at = until = min(self.last, self._came + (now - self._came) * LONGER + 1)
-        self._until = until
-        self._settled = max(left // SETTLED, int(gain * self._shape.safe))
+            self._extended_until_us = until = min(
+                self.answer_by_us, self._started_us + (now - self._started_us) * EXPLORE_FACTOR + 1
+            )
+        self._valid_until_us = until
+        self._ends_to_skip = max(remaining // RECOMPUTE_DIVISOR, int(gain * self._table.skippable_ends))
         return WaitUntil(until)
 
-    def closed(self, now: int) -> None:
-        if self._over:
+    def finish(self, now: int) -> None:
+        """See ``StoppingRule.finish``."""
+        if self._is_finished:
             return
-        self._over = True
-        for part in self._out.values():
-            self._gave_up(now, part)
-        self._out.clear()
-        if self._spoke:
-            self._host.over(now, self._family, self._spoke)
-
-    def _saw(self, now: int, part: Part, whole: bool) -> None:
-        at = self._host.learned.see(
-            now, part.key, part.engine if part.speaks else None, part.engine.shift, now - part.at, whole
+        self._is_finished = True
+        for part in self._pending.values():
+            self._record_censored(now, part)
+        self._pending.clear()
+        if self._pace_samples:
+            self._rules.record_pace(now, self._class_latency, self._pace_samples)
+
+    def _record(self, now: int, part: PendingPart, is_complete: bool) -> None:
+        bucket = self._rules.model.record(
+            now,
+            part.group,
+            part.engine if part.is_sample else None,
+            part.engine.shift,
+            now - part.sent_us,
+            is_complete,
+        )
+        if self._is_pace_sample and len(self._pace_samples) < MAX_PACE_SAMPLES:
+            self._pace_samples.append((part.curve, bucket, is_complete))
+
+    def _record_censored(self, now: int, part: PendingPart) -> None:
+        if now > part.sent_us:
+            self._record(now, part, False)
+
+    def _best_stopping_time(self, now: int, remaining: int) -> tuple[int, float]:
+        """Return the time of the next evaluation and the expected net gain of the best stopping time.
+
+        The time is ``now`` if it is best to stop at once. Candidates are the bucket edges, counted from the
+        start of the query.
+        """
+        started_us = self._started_us
+        complete_count = self.complete_count
+        table = self._table
+        answer_by_us = self.answer_by_us
+        low = int(bucket_position(max(now - started_us, (answer_by_us - started_us) >> 6))) + 1
+        high = (
+            max(
+                low,
+                min(
+                    bisect_left(BUCKET_EDGES_US, answer_by_us - started_us) + self.edge_stride - 1,
+                    BUCKETS,
+                ),
+            )
+            + 1
         )
-        if self._speaks and len(self._spoke) < OF_A_QUERY:
-            self._spoke.append((part.curve, at, whole))
-
-    def _gave_up(self, now: int, part: Part) -> None:
-        if now > part.at:
-            self._saw(now, part, False)
-
-    def _best(self, now: int, left: int) -> tuple[int, float]:
-        """When to look again, or ``now`` to stop at once; and what is still to gain by the best time to stop.
-        Times weighed are edges of buckets of a part that was asked when the query came."""
-        came = self._came
-        whole = self.whole
-        shape = self._shape
-        last = self.last
-        low = int(position(max(now - came, (last - came) >> 6))) + 1
-        high = max(low, min(bisect_left(EDGES, last - came) + self.stride - 1, BUCKETS)) + 1
-        missing, squares = self._missing(now, range(low, high, self.stride))
-        table = shape.worths
-        price = self._scattered.price_per_s * self.patience / SECOND
-        best = 0.0
+        missing, squares = self._expected_missing(now, range(low, high, self.edge_stride))
+        utility = table.utilities
+        price = self._scattered.price_per_s * self.price_factor / SECOND
+        best_gain = 0.0
         until = now
-        here = table[whole]
+        utility_now = utility[complete_count]
         paid = 0.0
-        most = table[whole + left] - here
-        straight = whole >= shape.straight
-        slope = table[whole + 1] - here
+        max_gain = utility[complete_count + remaining] - utility_now
+        is_linear = complete_count >= table.linear_from
+        slope = utility[complete_count + 1] - utility_now
         spread = 1.0
-        if not straight:
-            engines = len({id(part.engine) for part in self._out.values()})
-            spread = 3.0 + 3.0 * ALIKE * (left / max(1, engines) - 1)
-        before = now
-        waiting = 1.0
-        for edge, still, square in zip(EDGES[low : high : self.stride], missing, squares, strict=True):
-            when = came + edge
-            when = min(when, last)
-            part = square / still  # of this chance, were all alike that make up the sum
-            some = 1.0 - (1.0 - part) ** (still / part) if part < 1.0 else 1.0
-            paid += 0.5 * (waiting + some) * (when - before) * price  # only until all are there
-            if paid > most - best:
+        if not is_linear:
+            engines = len({id(part.engine) for part in self._pending.values()})
+            # Parts on one engine are correlated, which widens the distribution of the number that complete.
+            # The 3 is the squared distance of the outer points of the quadrature below, in standard
+            # deviations.
+            spread = 3.0 + 3.0 * ENGINE_CORRELATION * (remaining / max(1, engines) - 1)
+        previous = now
+        previous_incomplete = 1.0
+        for edge, expected, square in zip(
+            BUCKET_EDGES_US[low : high : self.edge_stride], missing, squares, strict=True
+        ):
+            candidate = started_us + edge
+            candidate = min(candidate, answer_by_us)
+            # The probability that any part is missing, as if expected / chance parts had the same chance
+            chance = square / expected
+            incomplete = 1.0 - (1.0 - chance) ** (expected / chance) if chance < 1.0 else 1.0
+            # Waiting costs only until all parts are complete
+            paid += 0.5 * (previous_incomplete + incomplete) * (candidate - previous) * price
+            if paid > max_gain - best_gain:
                 break
-            before = when
-            waiting = some
-            if straight:
-                gain = slope * (left - still) - paid
-            else:  # by mean and deviation of the number that come
-                mean = whole + left - still
-                apart = sqrt(spread * (still - square)) if still > square else 0.0
+            previous = candidate
+            previous_incomplete = incomplete
+            if is_linear:
+                gain = slope * (remaining - expected) - paid
+            else:  # quadrature with three points: the mean, with weight 4/6, and one on each side, with 1/6
+                mean = complete_count + remaining - expected
+                deviation = sqrt(spread * (expected - square)) if expected > square else 0.0
                 n = int(mean)
-                gain = (table[n] + (mean - n) * (table[n + 1] - table[n])) * 4.0
-                at = mean - apart
-                if at < whole:
-                    gain += here
+                gain = (utility[n] + (mean - n) * (utility[n + 1] - utility[n])) * 4.0
+                point = mean - deviation
+                if point < complete_count:
+                    gain += utility_now
                 else:
-                    n = int(at)
-                    gain += table[n] + (at - n) * (table[n + 1] - table[n])
-                at = mean + apart
-                if at >= whole + left:
-                    gain += most + here
+                    n = int(point)
+                    gain += utility[n] + (point - n) * (utility[n + 1] - utility[n])
+                point = mean + deviation
+                if point >= complete_count + remaining:
+                    gain += max_gain + utility_now
                 else:
-                    n = int(at)
-                    gain += table[n] + (at - n) * (table[n + 1] - table[n])
-                gain = gain / 6.0 - here - paid
-            if gain > best:
-                best = gain
-                until = when
-        if until > now:  # sooner, as by then it may look otherwise
-            until = min(until, now + max((until - now + 1) // 2, (now - came) // AGAIN))
-        return until, best
-
-    def _missing(self, now: int, edges: range) -> tuple[list[float], list[float]]:
-        """How many parts are expected to be missing still at each edge, and the sum of squared chances."""
+                    n = int(point)
+                    gain += utility[n] + (point - n) * (utility[n + 1] - utility[n])
+                gain = gain / 6.0 - utility_now - paid
+            if gain > best_gain:
+                best_gain = gain
+                until = candidate
+        if until > now:  # evaluate before that time: the estimates for the remaining parts change meanwhile
+            until = min(until, now + max((until - now + 1) // 2, (now - started_us) // EVALUATION_DIVISOR))
+        return until, best_gain
+
+    def _expected_missing(self, now: int, edges: range) -> tuple[list[float], list[float]]:
+        """Return the expected number of missing parts at each edge, and the sum of their squared chances."""
         low = edges.start
         high = edges.stop
         stride = edges.step
         missing = [1e-9] * len(edges)
         squares = [1e-18] * len(edges)
         empty: list[float] = []
-        parts = list(self._out.values())
-        for place in self._unasked:  # held yet: as if they left now
-            key = self._family.key(self._scattered.groups[place], EngineCondition.USUAL)
-            parts.append(Part(now, key, self._host.usual))
+        parts = list(self._pending.values())
+        for position in self._unsent:  # parts that wait to be sent count as if they were sent now
+            group = self._class_latency.group_latency(self._scattered.groups[position], EngineCondition.USUAL)
+            parts.append(PendingPart(now, group, self._rules.usual))
         indexes: dict[int, tuple[float, list[int] | None]] = {}
         for part in parts:
-            asked = part.at
-            if asked not in indexes:
-                indexes[asked] = self._indexes(now, asked, edges)
-            here, places = indexes[asked]
+            sent_at_us = part.sent_us
+            if sent_at_us not in indexes:
+                indexes[sent_at_us] = self._curve_indexes(now, sent_at_us, edges)
+            present, offsets = indexes[sent_at_us]
             curve = part.curve
-            at = int(here)
-            past = 0.0
+            whole_buckets = int(present)
+            past = 0.0  # probability that the part takes longer than it has taken so far
             chances = empty
-            part_way = here - at
-            for shift, weight in part.engine.likely():
-                base = PAD - shift
-                left = curve[at + base]
-                past += weight * (left + (curve[at + base + 1] - left) * part_way)
+            remainder = present - whole_buckets
+            for shift, weight in part.engine.plausible_shifts():
+                base = PADDING - shift
+                left = curve[whole_buckets + base]
+                past += weight * (left + (curve[whole_buckets + base + 1] - left) * remainder)
                 ahead = (
                     curve[low + base : high + base : stride]
-                    if places is None
-                    else [curve[base + place] for place in places]
+                    if offsets is None
+                    else [curve[base + offset] for offset in offsets]
                 )
                 if weight != 1.0:
                     ahead = [weight * chance for chance in ahead]
@@ -305,46 +365,54 @@
             squares = list(map(add, squares, map(mul, chances, chances)))
         return missing, squares
 
-    def _indexes(self, now: int, asked: int, edges: range) -> tuple[float, list[int] | None]:
-        """Where a part that was asked then is on its curve, and where it will be; None: at the edges."""
-        later = asked - self._came
-        here = min(position(now - asked), BUCKETS - 0.001)
-        if later < EDGES[edges[0]] >> 5:
-            return here, None
-        return here, [max(int(here), round(position(EDGES[n] - later))) for n in edges]
+    def _curve_indexes(self, now: int, sent_us: int, edges: range) -> tuple[float, list[int] | None]:
+        """Return the positions on the curve of a part sent at ``sent_us``: at present, and at each edge.
+
+        None stands for the edges themselves, where the part was sent at about the start of the query.
+        """
+        delay_us = sent_us - self._started_us
+        present = min(bucket_position(now - sent_us), BUCKETS - 0.001)
+        if delay_us < BUCKET_EDGES_US[edges[0]] >> 5:
+            return present, None
+        return present, [
+            max(int(present), round(bucket_position(BUCKET_EDGES_US[n] - delay_us))) for n in edges
+        ]
 
 
 class LearnedStoppingRules:
-    """One router's. See ``slipbay.scatter_gather.interfaces.Moments``."""
-
-    def __init__(self, now: int, learned: LatencyModel | None = None) -> None:
-        self.learned = learned or LatencyModel(now)
-        self.usual = SlownessFilter(now)
-        self.longer_every = LONGER_EVERY  # 0: never
-        self._shapes: dict[ScatteredClass, Shape] = {}
-
-    def begin(self, now: int, scattered: ScatteredClass, deadline: int) -> LearnedStoppingRule:
-        shape = self._shapes.get(scattered)
-        if shape is None:
-            if len(self._shapes) >= MOST_SHAPES:
-                self._shapes.clear()
-            shape = self._shapes[scattered] = Shape(scattered)
-        self.learned.turn(now)
-        family = self.learned.family(now, scattered.service_class)
-        family.queries += 1
+    """The stopping rules of one router. See ``slipbay.scatter_gather.interfaces.StoppingRules``."""
+
+    def __init__(self, now: int, model: LatencyModel | None = None) -> None:
+        self.model = model or LatencyModel(now)
+        self.usual = SlownessFilter(now)  # stands for the engine of a part that is not sent yet
+        self.explore_every = EXPLORE_EVERY  # 0: no query explores
+        self._tables: dict[ScatteredClass, UtilityTable] = {}
+
+    def start_query(self, now: int, scattered: ScatteredClass, deadline: int) -> LearnedStoppingRule:
+        """See ``StoppingRules.start_query``."""
+        table = self._tables.get(scattered)
+        if table is None:
+            if len(self._tables) >= MAX_TABLES:
+                self._tables.clear()
+            table = self._tables[scattered] = UtilityTable(scattered)
+        self.model.advance(now)
+        class_latency = self.model.class_latency(now, scattered.service_class)
+        class_latency.query_count += 1
         return LearnedStoppingRule(
             self,
             now,
             scattered,
-            shape,
-            family,
+            table,
+            class_latency,
             deadline,
-            self.longer_every > 0 and family.queries % self.longer_every == 0,
+            self.explore_every > 0 and class_latency.query_count % self.explore_every == 0,
         )
 
-    def over(self, now: int, family: LatencyFamily, spoke: list[tuple[list[float], int, bool]]) -> None:
-        """A query's parts speak for the pace of their class, all together as one."""
-        self.learned.pace(now, family, spoke)
+    def record_pace(
+        self, now: int, class_latency: ClassLatency, samples: list[tuple[list[float], int, bool]]
+    ) -> None:
+        """Use the parts of one query, together as one observation, for the pace of their class."""
+        self.model.observe_pace(now, class_latency, samples)
 
 
-MOST_SHAPES = 256
+MAX_TABLES = 256
--- a/tests/compat/make_data.py
+++ b/tests/compat/make_data.py
@@ -140,7 +140,7 @@
         [
             (RETRY_BUDGET, retry_budget.encode(stored.remembered())),
             (SNAPSHOT, snapshot.write(stored.inherited(), 9, stored.MADE_US)),
-            (SNAPSHOT + b"g", service.snapshot(words, stored.MADE_US)),
+            (SNAPSHOT + b"g", service.encode_snapshot(words, stored.MADE_US)),
         ]
     )
     store.close()
--- a/tests/compat/test_configuration.py
+++ b/tests/compat/test_configuration.py
@@ -212,18 +212,18 @@
 
 def gather_values(settings: ScatterGatherPlan) -> dict[str, object]:
     return {
-        "most_open": settings.most_open,
-        "most_mb": settings.most_bytes / MIB,
+        "most_open": settings.max_open,
+        "most_mb": settings.max_bytes / MIB,
         "scatter": [
             {
                 "class": item.service_class,
                 "parts": item.part_class,
                 "groups": item.groups,
-                "mark": item.mark,
+                "mark": item.placeholder,
                 "curve": item.curve,
                 "price_per_s": item.price_per_s,
                 "latest_ms": item.latest_us / 1000,
-                "cost": "one" if item.whole_cost else "parts",
+                "cost": "one" if item.is_charged_once else "parts",
             }
             for item in settings.scattered
         ],
--- a/tests/compat/test_stored_data.py
+++ b/tests/compat/test_stored_data.py
@@ -129,7 +129,7 @@
     assert parts is not None
     told = snapshot.read(value, MADE_US + 5 * SECOND)
     news = told.estimates
-    bodies, age_us = service.restored(parts, MADE_US + 5 * SECOND)
+    bodies, age_us = service.decode_snapshot(parts, MADE_US + 5 * SECOND)
     return {
         "pace": [news.pace, news.best_pace],
         "classes": [list(item) for item in news.classes],
@@ -334,7 +334,7 @@
         "identity": store_generation.encode(identity).hex(),
         "budget": retry_budget.encode(remembered()).hex(),
         "snapshot": snapshot.write(inherited(), 9, MADE_US).hex(),
-        "parts": service.snapshot([b"one", b"", b"three"], MADE_US).hex(),
+        "parts": service.encode_snapshot([b"one", b"", b"three"], MADE_US).hex(),
         "answers": [answer_codec.pack(b"rows").hex(), answer_codec.pack([b"packet", b""]).hex()],
         "digest": digest(b"statement", b"", b"tenant").hex(),
     }
--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -162,7 +162,7 @@
 
 
 def gather_question() -> bytes:
-    return estimate_gossip.ASK
+    return estimate_gossip.REQUEST_BODY
 
 
 def channel_frame(kind: str, body: bytes) -> frame.Frame:
@@ -235,10 +235,10 @@
 def gather_party(me: int, size: int, now: int) -> estimate_gossip.EstimateGossip:
     """A teller whose router saw some parts of one scattered class."""
     seen = latency_model.LatencyModel(now)
-    key = seen.family(now, "report").key(2, gather_seam.EngineCondition.USUAL)
+    key = seen.class_latency(now, "report").group_latency(2, gather_seam.EngineCondition.USUAL)
     engine = seen.engine(now, "10.0.0.1:80")
     for took in (80_000, 90_000, 120_000, 900_000):
-        seen.see(now, key, engine, 0, took, took < 500_000)
+        seen.record(now, key, engine, 0, took, took < 500_000)
     return estimate_gossip.EstimateGossip(me, size, ["report"], seen, now)
 
 
