--- a/slipbay/scatter_gather/stopping_rule.py
+++ b/slipbay/scatter_gather/stopping_rule.py
@@ -36,8 +36,7 @@
 # One in this many queries of a class waits longer than is optimal, so that the tail is still observed
 EXPLORE_EVERY = 50
 EXPLORE_FACTOR = 2  # by which such a query extends its waiting time
-# With many parts out, the stopping time is recomputed after this share (1/n) of them has ended, not after
-# each
+# With many parts out, the stopping time is recomputed once 1/8 of them has ended, not after each
 RECOMPUTE_DIVISOR = 8
 MAX_PACE_SAMPLES = 2  # parts of one query that are evidence for the pace of its class; parts are correlated
 ENGINE_CORRELATION = 0.3  # assumed correlation between parts of one query on one engine
@@ -52,17 +51,17 @@
 def utilities(curve: Curve, count: int) -> list[float]:
     """Return the utility of 0 to ``count`` parts, with the last one repeated."""
     points = [*curve, (1.0, 1.0)]
-    found = [0.0] * (count + 2)
+    values = [0.0] * (count + 2)
     for n in range(min_part_count(curve, count), count + 2):
         fraction = min(1.0, n / count)
         after = min(max(bisect_left(points, (fraction, 2.0)), 1), len(points) - 1)
         (low, low_utility), (high, high_utility) = points[after - 1], points[after]
-        found[n] = (
+        values[n] = (
             high_utility
             if high <= low
             else low_utility + (high_utility - low_utility) * min(1.0, (fraction - low) / (high - low))
         )
-    return found
+    return values
 
 
 def min_part_count(curve: Curve, count: int) -> int:
@@ -106,7 +105,7 @@
             engine,
             engine.start_sample(sent_us),
         )
-        self.curve = group.curve(sent_us)  # the estimate at that time
+        self.curve = group.curve(sent_us)  # as estimated at that time
 
 
 class LearnedStoppingRule:
