--- a/slipbay/config/model.py
+++ b/slipbay/config/model.py
@@ -62,7 +62,7 @@
 
     listen: Address
     schema: str
-    most_packet_bytes: int
+    max_packet_bytes: int
     idle_us: int
     hint: str
     read_class: int
--- a/slipbay/config/mysql.py
+++ b/slipbay/config/mysql.py
@@ -8,7 +8,7 @@
 
 from slipbay.config.fields import Keys, address, operator_file
 from slipbay.config.model import ClassRule, Config, Estimate, MysqlConfig, SpiffeConfig, User
-from slipbay.config.validation import ConfigError, first_line
+from slipbay.config.validation import ConfigError, read_first_line
 from slipbay.policy.settings import Effect
 from slipbay.wire.spiffe import InvalidSpiffeIdError, check_id
 
@@ -61,7 +61,7 @@
         return MysqlConfig(
             listen=address(keys.text("listen"), "listen"),
             schema=keys.text("schema", ""),
-            most_packet_bytes=int(keys.number("max_packet_bytes", MIN_PACKET_BYTES, DEFAULT_PACKET_BYTES)),
+            max_packet_bytes=int(keys.number("max_packet_bytes", MIN_PACKET_BYTES, DEFAULT_PACKET_BYTES)),
             idle_us=int(keys.number("idle_s", 1, DEFAULT_IDLE_S) * 1_000_000),
             hint=keys.text("hint", "slipbay"),
             read_class=_choice(self._classes, "read", self._config.classes),
@@ -120,7 +120,7 @@
 
     def _secret(self, keys: Keys, key: str) -> bytes:
         """Return the first line of the file that a key names: the configuration itself holds no passwords."""
-        return first_line(self._folder / keys.text(key), keys.name(key)).rstrip(b"\r")
+        return read_first_line(self._folder / keys.text(key), keys.name(key)).rstrip(b"\r")
 
     def _spiffe(self, keys: Keys) -> SpiffeConfig:
         trust_domain = keys.text("trust_domain")
--- a/slipbay/config/store.py
+++ b/slipbay/config/store.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from slipbay.config.model import Config, LossConfig, StoreConfig
-from slipbay.config.validation import ConfigError, convert, need_msgspec, switched_on
+from slipbay.config.validation import ConfigError, convert, read_if_enabled, require_msgspec
 
 if TYPE_CHECKING:
     from slipbay.store.config_schema import StoreFile
@@ -30,9 +30,9 @@
     Raises:
         ConfigError: with the name of the file and the key at fault.
     """
-    if (data := switched_on(path)) is None:
+    if (data := read_if_enabled(path)) is None:
         return None
-    need_msgspec(path.name, "store")
+    require_msgspec(path.name, "store")
     from slipbay.store.config_schema import StoreFile
 
     file = convert(data, StoreFile, path.name)
--- a/slipbay/config/validation.py
+++ b/slipbay/config/validation.py
@@ -63,7 +63,7 @@
     return data
 
 
-def switched_on(path: Path) -> dict[str, Any] | None:
+def read_if_enabled(path: Path) -> dict[str, Any] | None:
     """Return the contents of a file without ``enabled``; None if it is absent or ``enabled`` is not true.
 
     Parts call this before they import their Struct, which is needed only if they are enabled.
@@ -89,7 +89,7 @@
     Raises:
         ConfigError: with the name of the file and the key at fault.
     """
-    data = switched_on(path)
+    data = read_if_enabled(path)
     return convert(data, kind, path.name) if data is not None else None
 
 
@@ -99,7 +99,7 @@
     Raises:
         ConfigError: with the name of the file and the key at fault.
     """
-    need_msgspec(name)
+    require_msgspec(name)
     import msgspec
 
     try:
@@ -123,7 +123,7 @@
     return key, expected + _got(data, path)
 
 
-def need_msgspec(name: str, extra: str = "fleet") -> None:
+def require_msgspec(name: str, extra: str = "fleet") -> None:
     """Check that msgspec is installed, before the Struct of an enabled file is imported.
 
     Raises:
@@ -135,7 +135,7 @@
         raise ConfigError(f"want the extra packages of slipbay[{extra}]: {problem}", file=name) from None
 
 
-def first_line(file: Path, key: str) -> bytes:
+def read_first_line(file: Path, key: str) -> bytes:
     """Return line 1 of a file that holds a secret. ``key`` is the key of the configuration that names the
     file.
 
@@ -154,7 +154,7 @@
     Raises:
         ConfigError: if the file cannot be read, or the key is too short or too long.
     """
-    signing_key = first_line(file, key).strip()
+    signing_key = read_first_line(file, key).strip()
     if not MIN_KEY_BYTES <= len(signing_key) <= MAX_KEY_BYTES:
         raise ConfigError(
             f"want {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes in line 1; got {len(signing_key)}", key
--- a/slipbay/frontends/mysql.py
+++ b/slipbay/frontends/mysql.py
@@ -353,7 +353,7 @@
         self._tenant = tenant
         self._take = self._command
         self.welcome(self._front.mysql.idle_us)
-        self._packets.most_bytes = self._front.mysql.most_packet_bytes
+        self._packets.most_bytes = self._front.mysql.max_packet_bytes
         self._send([mysql.ok()], sequence + 1)
 
     # Commands
@@ -445,7 +445,7 @@
             return
         long_data = statement.long_data
         statement.long_data = {}
-        if sum(map(len, long_data.values())) > self._front.mysql.most_packet_bytes:
+        if sum(map(len, long_data.values())) > self._front.mysql.max_packet_bytes:
             self._error(sequence, mysql.ER_PACKET_TOO_LARGE, "Parameters are longer than max_packet_bytes")
             return
         try:
@@ -465,7 +465,7 @@
         statement = self._statements.get(number)
         if statement is not None and parameter < statement.parameters:
             held = sum(map(len, statement.long_data.values()))
-            if held <= self._front.mysql.most_packet_bytes:
+            if held <= self._front.mysql.max_packet_bytes:
                 statement.long_data[parameter] = statement.long_data.get(parameter, b"") + data
 
     def _reset(self, sequence: int, payload: bytes) -> None:
--- a/slipbay/membership/settings.py
+++ b/slipbay/membership/settings.py
@@ -9,7 +9,14 @@
 from typing import TYPE_CHECKING
 
 from slipbay.config.model import Config
-from slipbay.config.validation import DEPLOY_FOLDER, ConfigError, convert, need_msgspec, read_key, switched_on
+from slipbay.config.validation import (
+    DEPLOY_FOLDER,
+    ConfigError,
+    convert,
+    read_if_enabled,
+    read_key,
+    require_msgspec,
+)
 
 if TYPE_CHECKING:
     from slipbay.membership.timing import Timing
@@ -34,10 +41,10 @@
 def load_fleet(config: Config, environment: Mapping[str, str]) -> MembershipConfig | None:
     """What the file says; ``None`` if it is absent or says ``enabled = false``. Raises ``ConfigError``."""
     path = Path(environment.get("SLIPBAY_FLEET") or FLEET_FILE)
-    data = switched_on(path)
+    data = read_if_enabled(path)
     if data is None:
         return None
-    need_msgspec(path.name)
+    require_msgspec(path.name)
     from slipbay.membership.config_schema import MembershipFile, TimingTable, timing
 
     form = convert(data, MembershipFile, path.name)
--- a/slipbay/peer_channel/settings.py
+++ b/slipbay/peer_channel/settings.py
@@ -8,7 +8,14 @@
 from pathlib import Path
 
 from slipbay.config.model import Config
-from slipbay.config.validation import DEPLOY_FOLDER, ConfigError, convert, need_msgspec, read_key, switched_on
+from slipbay.config.validation import (
+    DEPLOY_FOLDER,
+    ConfigError,
+    convert,
+    read_if_enabled,
+    read_key,
+    require_msgspec,
+)
 from slipbay.membership.settings import MembershipConfig, check_peers
 from slipbay.peer_channel.frame import MOST_BYTES
 
@@ -39,9 +46,9 @@
     channel.toml names none: a fleet that keeps strangers out of its view keeps them out of all. Raises
     ``ConfigError``."""
     path = Path(environment.get("SLIPBAY_CHANNEL") or CHANNEL_FILE)
-    if (data := switched_on(path)) is None:
+    if (data := read_if_enabled(path)) is None:
         return None
-    need_msgspec(path.name)
+    require_msgspec(path.name)
     from slipbay.peer_channel.config_schema import ChannelFile
 
     form = convert(data, ChannelFile, path.name)
--- a/slipbay/quota/settings.py
+++ b/slipbay/quota/settings.py
@@ -14,9 +14,9 @@
     DEPLOY_FOLDER,
     ConfigError,
     convert,
-    need_msgspec,
+    read_if_enabled,
     read_toml,
-    switched_on,
+    require_msgspec,
 )
 
 if TYPE_CHECKING:
@@ -34,14 +34,14 @@
     whatever number of routers. Raises ``ConfigError`` with file, key and reason.
     """
     path = Path(environment.get("SLIPBAY_QUOTA") or QUOTA_FILE)
-    data = switched_on(path)
+    data = read_if_enabled(path)
     if data is None and always:
         if (data := read_toml(path)) is None:
             raise ConfigError("there is no such file", file=path.name)
         data.pop("enabled", None)
     if data is None:
         return None
-    need_msgspec(path.name)
+    require_msgspec(path.name)
     from slipbay.quota.plan import QuotaPlan
     from slipbay.quota.plan_check import check, check_change
 
--- a/slipbay/scatter_gather/settings.py
+++ b/slipbay/scatter_gather/settings.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from slipbay.config.model import Config
-from slipbay.config.validation import DEPLOY_FOLDER, ConfigError, convert, need_msgspec, switched_on
+from slipbay.config.validation import DEPLOY_FOLDER, ConfigError, convert, read_if_enabled, require_msgspec
 
 if TYPE_CHECKING:
     from slipbay.scatter_gather.config_schema import ScatterGatherPlan
@@ -22,9 +22,9 @@
 def load_gather(config: Config, environment: Mapping[str, str]) -> ScatterGatherPlan | None:
     """Return the plan; None if the file is absent or has ``enabled = false``. Raises ``ConfigError``."""
     path = Path(environment.get("SLIPBAY_GATHER") or GATHER_FILE)
-    if (data := switched_on(path)) is None:
+    if (data := read_if_enabled(path)) is None:
         return None
-    need_msgspec(path.name, "gather")
+    require_msgspec(path.name, "gather")
     from slipbay.scatter_gather.config_schema import ScatterGatherFile
 
     file = convert(data, ScatterGatherFile, path.name)
--- a/slipbay/warmup/settings.py
+++ b/slipbay/warmup/settings.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from slipbay.config.model import Config
-from slipbay.config.validation import DEPLOY_FOLDER, ConfigError, convert, switched_on
+from slipbay.config.validation import DEPLOY_FOLDER, ConfigError, convert, read_if_enabled
 from slipbay.peer_channel.settings import ChannelConfig, need_channel
 
 if TYPE_CHECKING:
@@ -23,7 +23,7 @@
     """None if the file is absent or says ``enabled = false``; then nothing is imported for it. A fleet of one
     needs no channel. Raises ``ConfigError``."""
     path = Path(environment.get("SLIPBAY_COMEBACK") or COMEBACK_FILE)
-    if (data := switched_on(path)) is None:
+    if (data := read_if_enabled(path)) is None:
         return None
     if config.settings.router_count > 1:
         need_channel(channel, path.name)
--- a/tests/compat/test_configuration.py
+++ b/tests/compat/test_configuration.py
@@ -245,7 +245,7 @@
     return {
         "listen": address_text(settings.listen),
         "schema": settings.schema,
-        "max_packet_bytes": settings.most_packet_bytes,
+        "max_packet_bytes": settings.max_packet_bytes,
         "idle_s": settings.idle_us / 1e6,
         "hint": settings.hint,
         "classes": {
--- a/tests/contracts/test_front_contract.py
+++ b/tests/contracts/test_front_contract.py
@@ -176,7 +176,7 @@
         self.mysql = SimpleNamespace(
             schema="",
             hint="slipbay",
-            most_packet_bytes=1000,
+            max_packet_bytes=1000,
             idle_us=1,
             users={"office": SimpleNamespace(password=b"", tenant=0)},
         )
