--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -96,8 +96,8 @@
         f"{day:7} {routers:4} routers {engines:3} engines at {level:.1f} seed {seed}: service "
         f"{account.service:.3f} by class {parts}  refused {refused:.3f} with cores free {idle:.3f}  "
         f"attempts {account.attempts / came:.2f}  threads median {account.quantile(0.5)} "
-        f"p99 {account.quantile(0.99)} most {max(account.held)}  cold push {pushed:.2f}  "
-        f"messages {account.told / tier.now * SECOND / routers:.0f}/s a router  CPU {took:.1f} s"
+        f"p99 {account.quantile(0.99)} most {max(account.thread_samples)}  cold push {pushed:.2f}  "
+        f"messages {account.gossip_messages / tier.now * SECOND / routers:.0f}/s a router  CPU {took:.1f} s"
     )
 
 
--- a/slipbay/emulator/__init__.py
+++ b/slipbay/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""What slipbay balances, in simulated time: many decision modules before model engines. No sockets."""
+"""Models of routers, engines, clients and the network in simulated time. They open no sockets."""
