--- a/slipbay/frontends/mysql.py
+++ b/slipbay/frontends/mysql.py
@@ -384,7 +384,7 @@
         self._tenant = tenant
         self._handle_packet = self._receive_command
         self.extend_idle_timeout(self._frontend.mysql.idle_us)
-        self._packets.most_bytes = self._frontend.mysql.most_packet_bytes
+        self._packets.most_bytes = self._frontend.mysql.max_packet_bytes
         self._send([mysql.ok()], sequence + 1)
 
     # Commands
@@ -476,7 +476,7 @@
             return
         long_data = statement.long_data
         statement.long_data = {}
-        if sum(map(len, long_data.values())) > self._frontend.mysql.most_packet_bytes:
+        if sum(map(len, long_data.values())) > self._frontend.mysql.max_packet_bytes:
             self._error(sequence, mysql.ER_PACKET_TOO_LARGE, "Parameters are longer than max_packet_bytes")
             return
         try:
@@ -497,7 +497,7 @@
         statement = self._statements.get(statement_number)
         if statement is not None and position < statement.parameter_count:
             held = sum(map(len, statement.long_data.values()))
-            if held <= self._frontend.mysql.most_packet_bytes:
+            if held <= self._frontend.mysql.max_packet_bytes:
                 statement.long_data[position] = statement.long_data.get(position, b"") + data
 
     def _reset_statement(self, sequence: int, payload: bytes) -> None:
--- a/slipbay/scatter_gather/settings.py
+++ b/slipbay/scatter_gather/settings.py
@@ -1,5 +1,8 @@
-"""``deploy/gather.toml``: which classes are scattered, and how. Mistakes name file, key and reason.
-Where it is off nothing of it is loaded."""
+"""Loads ``deploy/gather.toml``: which classes are scattered, and how.
+
+Errors name the file, the key and the reason. If scattered queries are not enabled, their modules are not
+imported.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from slipbay.config.model import Config
-from slipbay.config.validation import DEPLOY_FOLDER, ConfigError, convert, need_msgspec, switched_on
+from slipbay.config.validation import DEPLOY_FOLDER, ConfigError, convert, read_if_enabled, require_msgspec
 
 if TYPE_CHECKING:
     from slipbay.scatter_gather.config_schema import ScatterGatherPlan
@@ -17,15 +20,15 @@
 
 
 def load_gather(config: Config, environment: Mapping[str, str]) -> ScatterGatherPlan | None:
-    """None if the file is absent or says ``enabled = false``. Raises ``ConfigError``."""
+    """Return the plan; None if the file is absent or has ``enabled = false``. Raises ``ConfigError``."""
     path = Path(environment.get("SLIPBAY_GATHER") or GATHER_FILE)
-    if (data := switched_on(path)) is None:
+    if (data := read_if_enabled(path)) is None:
         return None
-    need_msgspec(path.name, "gather")
+    require_msgspec(path.name, "gather")
     from slipbay.scatter_gather.config_schema import ScatterGatherFile
 
-    form = convert(data, ScatterGatherFile, path.name)
+    file = convert(data, ScatterGatherFile, path.name)
     try:
-        return form.plan(config)
+        return file.plan(config)
     except ConfigError as problem:
         raise ConfigError(f"{path.name}: {problem}") from None
--- a/tests/compat/make_data.py
+++ b/tests/compat/make_data.py
@@ -140,7 +140,7 @@
         [
             (RETRY_BUDGET, retry_budget.encode(stored.stored_retry_budget())),
             (SNAPSHOT, snapshot.write(stored.stored_estimates(), 9, stored.MADE_US)),
-            (SNAPSHOT + b"g", service.snapshot(gossip_bodies, stored.MADE_US)),
+            (SNAPSHOT + b"g", service.encode_snapshot(gossip_bodies, stored.MADE_US)),
         ]
     )
     store.close()
--- a/tests/compat/test_configuration.py
+++ b/tests/compat/test_configuration.py
@@ -212,18 +212,18 @@
 
 def gather_values(settings: ScatterGatherPlan) -> dict[str, object]:
     return {
-        "most_open": settings.most_open,
-        "most_mb": settings.most_bytes / MIB,
+        "most_open": settings.max_open,
+        "most_mb": settings.max_bytes / MIB,
         "scatter": [
             {
                 "class": item.service_class,
                 "parts": item.part_class,
                 "groups": item.groups,
-                "mark": item.mark,
+                "mark": item.placeholder,
                 "curve": item.curve,
                 "price_per_s": item.price_per_s,
                 "latest_ms": item.latest_us / 1000,
-                "cost": "one" if item.whole_cost else "parts",
+                "cost": "one" if item.is_charged_once else "parts",
             }
             for item in settings.scattered
         ],
@@ -245,7 +245,7 @@
     return {
         "listen": address_text(settings.listen),
         "schema": settings.schema,
-        "max_packet_bytes": settings.most_packet_bytes,
+        "max_packet_bytes": settings.max_packet_bytes,
         "idle_s": settings.idle_us / 1e6,
         "hint": settings.hint,
         "classes": {
--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -164,7 +164,7 @@
 
 
 def latency_request() -> bytes:
-    return estimate_gossip.ASK
+    return estimate_gossip.REQUEST_BODY
 
 
 def channel_frame(kind: str, body: bytes) -> frame.Frame:
@@ -237,10 +237,10 @@
 def latency_endpoint(me: int, size: int, now: int) -> estimate_gossip.EstimateGossip:
     """The latency gossip of a router that has seen some parts of one scattered class."""
     model = latency_model.LatencyModel(now)
-    key = model.family(now, "report").key(2, gather_interfaces.EngineCondition.USUAL)
+    key = model.class_latency(now, "report").group_latency(2, gather_interfaces.EngineCondition.USUAL)
     engine = model.engine(now, "10.0.0.1:80")
     for latency_us in (80_000, 90_000, 120_000, 900_000):
-        model.see(now, key, engine, 0, latency_us, latency_us < 500_000)
+        model.record(now, key, engine, 0, latency_us, latency_us < 500_000)
     return estimate_gossip.EstimateGossip(me, size, ["report"], model, now)
 
 
--- a/tests/contracts/test_front_contract.py
+++ b/tests/contracts/test_front_contract.py
@@ -185,7 +185,7 @@
         self.mysql = SimpleNamespace(
             schema="",
             hint="slipbay",
-            most_packet_bytes=1000,
+            max_packet_bytes=1000,
             idle_us=1,
             users={"office": SimpleNamespace(password=b"", tenant=0)},
         )
