--- a/slipbay/emulator/membership_model.py
+++ b/slipbay/emulator/membership_model.py
@@ -133,7 +133,7 @@
     def settled(self) -> bool:
         """Whether all hold alive just those that run."""
         numbers = self.running
-        return all(member.living == numbers for member in self.views())
+        return all(member.live_numbers == numbers for member in self.views())
 
     def until_settled(self, most_s: float) -> float:
         """Run until all views are right; returns after how many seconds, or infinity."""
--- a/slipbay/emulator/restart_model.py
+++ b/slipbay/emulator/restart_model.py
@@ -219,7 +219,7 @@
     def _changed(self, me: int, phase: Phase) -> None:
         mine = self.life[me]
         if phase is Phase.FULL and mine is not None and mine.machine is not None:
-            self.seen.full.append(self.now - mine.machine.started)
+            self.seen.full.append(self.now - mine.machine.started_us)
 
     # The channel
 
--- a/slipbay/membership/member_table.py
+++ b/slipbay/membership/member_table.py
@@ -66,15 +66,15 @@
         self.alive = [number for number in range(size) if number != local_number]
         self.suspects: set[int] = set()
         self.dead: dict[int, int] = {}  # GONE or LEFT members: since when, in us
-        self._living: list[int] | None = None
+        self._live_numbers: list[int] | None = None
 
     @property
-    def living(self) -> list[int]:
+    def live_numbers(self) -> list[int]:
         """Sorted numbers of the routers that are ALIVE or SUSPECT, including this router."""
-        if self._living is None:
+        if self._live_numbers is None:
             local = [self.local_number] if self.local_member.state is MemberState.ALIVE else []
-            self._living = sorted([*self.alive, *local])
-        return self._living
+            self._live_numbers = sorted([*self.alive, *local])
+        return self._live_numbers
 
     def state(self, number: int) -> MemberState | None:
         """The state of a number; ``None`` if it is not in the table."""
@@ -97,7 +97,7 @@
         was_live = is_live(before)
         live = is_live(update.state)
         if was_live != live:
-            self._living = None
+            self._live_numbers = None
         if number != self.local_number:
             self._update_sets(now_us, change, was_live, live)
         return change
--- a/slipbay/membership/service.py
+++ b/slipbay/membership/service.py
@@ -138,14 +138,14 @@
                     router=change.number,
                     state=change.after.name.lower(),
                     version=self.machine.version,
-                    living=len(self.machine.living),
+                    living=len(self.machine.live_numbers),
                 )
         if len(changes) > LOGGED_CHANGES:
             more = len(changes) - LOGGED_CHANGES
             log("fleet", "more member states changed", changes=more, version=self.machine.version)
 
     def _update_share(self, now: int) -> None:
-        count = self._shares.count(now, len(self.machine.living))
+        count = self._shares.count(now, len(self.machine.live_numbers))
         if self._fleet.shares and count != self._share_count:
             self._share_count = count
             self._on_resize(count)
@@ -160,7 +160,7 @@
             ]
             for state in MemberState
         }
-        live_count = len(machine.living)
+        live_count = len(machine.live_numbers)
         return {
             "name": self._config.name,
             "number": machine.local_number,
@@ -184,7 +184,7 @@
 
     def _living_by_zone(self) -> dict[str, int]:
         members = self.machine.table.members
-        return dict(Counter(self._zone_name(members[number].zone) for number in self.machine.living))
+        return dict(Counter(self._zone_name(members[number].zone) for number in self.machine.live_numbers))
 
     def _zone_name(self, zone: int) -> str:
         names = self._config.zones
--- a/slipbay/membership/state_machine.py
+++ b/slipbay/membership/state_machine.py
@@ -170,9 +170,9 @@
     # The table
 
     @property
-    def living(self) -> list[int]:
+    def live_numbers(self) -> list[int]:
         """Sorted numbers of the routers that are ALIVE or SUSPECT, including this router."""
-        return self.table.living
+        return self.table.live_numbers
 
     @property
     def digest(self) -> int:
--- a/slipbay/peer_channel/settings.py
+++ b/slipbay/peer_channel/settings.py
@@ -22,7 +22,7 @@
     key: bytes  # empty: senders are identified by their source address only
     old_key: bytes  # also accepted, during a change of keys
     rate: float  # bytes in any second, for all kinds together
-    parts: Mapping[str, float]  # guaranteed fraction of the rate by kind, named in lower case
+    shares: Mapping[str, float]  # guaranteed fraction of the rate by kind, named in lower case
     status: bool  # whether status requests from this host are answered
     key_source: str  # name of the file that names the keys; empty: there are no keys
 
@@ -30,7 +30,7 @@
         """Membership settings whose rate is at most the fraction of membership messages plus the rate without
         a guarantee."""
         rate = min(
-            membership.timing.rate, int(self.rate * (1 - sum(self.parts.values()) + self.parts["view"]))
+            membership.timing.rate, int(self.rate * (1 - sum(self.shares.values()) + self.shares["view"]))
         )
         return replace(membership, timing=replace(membership.timing, rate=rate))
 
@@ -54,25 +54,25 @@
         check_peers(config)
     except ConfigError as problem:
         raise ConfigError(f"{path.name}: {problem}") from None
-    parts = {name: getattr(table.parts, name) for name in table.parts.__struct_fields__}
+    shares = {name: getattr(table.parts, name) for name in table.parts.__struct_fields__}
     max_sum = 1 - MAX_BYTES / table.rate
-    if sum(parts.values()) > max_sum:
+    if sum(shares.values()) > max_sum:
         raise ConfigError(
             f"{path.name}: parts: want at most {max_sum:.3f} together, so that the longest "
-            f"message always finds room; got {sum(parts.values()):g}"
+            f"message always finds room; got {sum(shares.values()):g}"
         )
     if table.old_key_file is not None and table.key_file is None:
         raise ConfigError(f"{path.name}: old_key_file: want key_file too")
     if table.key_file is None:
         keys = (membership.key, membership.old_key) if membership is not None else (b"", b"")
-        return ChannelConfig(*keys, table.rate, parts, table.status, "fleet.toml" if keys[0] else "")
+        return ChannelConfig(*keys, table.rate, shares, table.status, "fleet.toml" if keys[0] else "")
     key = read_key(path.parent / table.key_file, f"{path.name}: key_file")
     old = (
         read_key(path.parent / table.old_key_file, f"{path.name}: old_key_file")
         if table.old_key_file is not None
         else b""
     )
-    return ChannelConfig(key, old, table.rate, parts, table.status, path.name)
+    return ChannelConfig(key, old, table.rate, shares, table.status, path.name)
 
 
 def require_channel(channel: ChannelConfig | None, file: str) -> ChannelConfig:
--- a/slipbay/router.py
+++ b/slipbay/router.py
@@ -146,7 +146,7 @@
         from slipbay.peer_channel.udp_link import UdpLink
 
         config = self.config
-        parts: dict[int, float] = {FrameKind[name.upper()]: part for name, part in channel.parts.items()}
+        parts: dict[int, float] = {FrameKind[name.upper()]: part for name, part in channel.shares.items()}
         if self.membership is None:
             del parts[FrameKind.VIEW]
         multiplexer = Multiplexer(
@@ -191,7 +191,7 @@
             self.policy.queued_count,
         )
         if (membership := self.membership) is not None:
-            service.machine.survey.running_routers = lambda: len(membership.machine.living)
+            service.machine.survey.running_routers = lambda: len(membership.machine.live_numbers)
         if (channel := self.channel) is not None:
             channel.mux.add(FrameKind.COMEBACK, service.machine)
             if CHANNEL_TOPIC in channel.topics:  # the channel answers commands on this machine
--- a/slipbay/warmup/estimate_collection.py
+++ b/slipbay/warmup/estimate_collection.py
@@ -20,8 +20,8 @@
     The estimates in the reply are at most as old as the first request, whichever request it replies to.
     """
 
-    sent_at: int
-    last_sent_at: int
+    sent_us: int
+    last_sent_us: int
     reply: Message | None = None
 
 
@@ -47,8 +47,8 @@
         self.on_estimates: Callable[[MergedEstimates], None] = _ignore  # called once, if there are reports
         self.sources: tuple[int, ...] = ()  # routers whose reports are used
         self.snapshot_us: int | None = None  # age of the snapshot, if it is used
-        self.oldest_report_us = 0  # age of the oldest report used, at ``merged_at``
-        self.merged_at = 0
+        self.oldest_report_us = 0  # age of the oldest report used, at ``merged_us``
+        self.merged_us = 0
         self.engine_count = 1  # engines in the endpoint list; set by the caller
 
     def next_targets(self, now: int) -> list[int]:
@@ -56,7 +56,7 @@
         if self.complete:
             return []
         open_requests = [
-            r for r in self.requests.values() if r.reply or now - r.last_sent_at < self._reply_timeout_us
+            r for r in self.requests.values() if r.reply or now - r.last_sent_us < self._reply_timeout_us
         ]
         chosen = [
             router
@@ -68,7 +68,7 @@
         wanted = min(self._plan.max_reports - len(open_requests), self._requests_left)
         chosen = chosen[: max(0, wanted)]
         for router in chosen:
-            self.requests.setdefault(router, EstimateRequest(now, now)).last_sent_at = now
+            self.requests.setdefault(router, EstimateRequest(now, now)).last_sent_us = now
         self._requests_left -= len(chosen)
         return chosen
 
@@ -93,7 +93,7 @@
         self.complete = True
         self.sources = tuple(router for router, r in self.requests.items() if r.reply)
         reports = [
-            PeerReport(r.reply.estimates, r.reply.retries, now - r.sent_at)
+            PeerReport(r.reply.estimates, r.reply.retries, now - r.sent_us)
             for r in self.requests.values()
             if r.reply
         ]
@@ -101,7 +101,7 @@
 
     def _expects_more(self, now: int) -> bool:
         requests = self.requests.values()
-        if any(r.reply is None and now - r.last_sent_at < self._reply_timeout_us for r in requests):
+        if any(r.reply is None and now - r.last_sent_us < self._reply_timeout_us for r in requests):
             return True
         replies = sum(bool(r.reply) for r in requests)
         reachable = min(self._survey.full_service_count(), self._plan.max_reports)
@@ -123,7 +123,7 @@
             reports = [PeerReport(snapshot.estimates, snapshot.retries, self.snapshot_us)]
         if reports:
             self.oldest_report_us = max(report.age_us for report in reports)
-            self.merged_at = now
+            self.merged_us = now
             self.merged = merge(reports, self._plan.ages, self.engine_count, self._free_retries)
             self.on_estimates(self.merged)
 
--- a/slipbay/warmup/limits.py
+++ b/slipbay/warmup/limits.py
@@ -19,11 +19,11 @@
     clock."""
 
     def __init__(
-        self, local_number: int, size: int, started: int, plan: WarmupPlan, survey: FleetSurvey
+        self, local_number: int, size: int, started_us: int, plan: WarmupPlan, survey: FleetSurvey
     ) -> None:
         self._local_number = local_number
         self._size = size
-        self._started = started
+        self._started_us = started_us
         self._plan = plan
         self._survey = survey
         self.engine_count = 1  # engines in the endpoint list; set by the caller
@@ -37,7 +37,7 @@
 
     def leftover_ended(self, now: int) -> bool:
         """Whether all queries of earlier incarnations have ended."""
-        return now - self._started >= self._plan.leftover_us
+        return now - self._started_us >= self._plan.leftover_us
 
     def threads(self, now: int, cores: float) -> float:
         """Threads that the requests of this router may hold. ``cores``: of all engines together."""
@@ -66,14 +66,14 @@
         need an idle connection. The routers of a fleet stop needing one at different times.
         """
         offset = self._local_number * GOLDEN_SECTION % 1.0
-        limited_until = self._started + self._plan.leftover_us + int(offset * self._plan.limit_spread_us)
+        limited_until = self._started_us + self._plan.leftover_us + int(offset * self._plan.limit_spread_us)
         return WarmupChanged(now < limited_until, self.connections_per_s())
 
     def retry_after(self, now: int, objective_us: int) -> int | None:
         """Retry-After in us for a request above the ``threads`` limit. Retries are spread over the remaining
         time. None if that is too late for the latency objective: the request is admitted then.
         """
-        span = max(MIN_RETRY_SPAN_US, self._started + self._plan.leftover_us - now)
+        span = max(MIN_RETRY_SPAN_US, self._started_us + self._plan.leftover_us - now)
         delay = MIN_RETRY_US + int(span * ((self.rejections + 1) * GOLDEN_SECTION % 1.0))
         if delay > objective_us // 2:
             return None
--- a/slipbay/warmup/service.py
+++ b/slipbay/warmup/service.py
@@ -149,13 +149,13 @@
 
     def _log_phase(self, phase: Phase, evidence: str) -> None:
         machine = self.machine
-        after_s = (self._now() - machine.started) / 1e6
+        after_s = (self._now() - machine.started_us) / 1e6
         log(LOG_KIND, f"{phase.name.lower()}: {evidence}", after_s=f"{after_s:.3f}")
         if phase is not Phase.FULL:
             return
         # the gate does not count the end of requests that are still open
         self._dispatcher.admission_gates.remove(self)
-        full_after_s = (machine.full_at - machine.started) / 1e6
+        full_after_s = (machine.full_service_us - machine.started_us) / 1e6
         summary = machine.collector.summary()
         log(
             LOG_KIND,
--- a/slipbay/warmup/state_machine.py
+++ b/slipbay/warmup/state_machine.py
@@ -45,12 +45,12 @@
         """
         self.local_number = local_number
         self.size = size
-        self.started = now
+        self.started_us = now
         self.plan = plan or WarmupPlan()
         self.phase = Phase.BLANK
         self.evidence = "only the endpoint list is known"  # for the current phase
-        self.entered = now
-        self.full_at = 0
+        self.entered_us = now
+        self.full_service_us = 0
         self.on_phase_change: Callable[[Phase, str], None] = _ignore
         self._own_estimates = own_estimates
         self._nonce = seed % NONCES
@@ -79,8 +79,8 @@
         return {
             "phase": self.phase.name.lower(),
             "evidence": self.evidence,
-            "since_s": _seconds(now - self.entered),
-            "life_s": _seconds(now - self.started),
+            "since_s": _seconds(now - self.entered_us),
+            "life_s": _seconds(now - self.started_us),
             "newcomers": self.survey.restarted_count,
             "rivals": self.survey.warming_up_count,
             "sharers": self.survey.running_count,
@@ -90,7 +90,7 @@
             "opens": None if connections == float("inf") else round(connections, 2),
             "few": self.limits.connection_limits(now).limit_connections,
             "refused": self.limits.rejections,
-            "full_after_s": _seconds(self.full_at - self.started) if in_full_service else None,
+            "full_after_s": _seconds(self.full_service_us - self.started_us) if in_full_service else None,
             "news": self._estimates_status(now),
         }
 
@@ -100,7 +100,7 @@
             return None
         return {
             "source": collector.source(),
-            "age_s": _seconds(collector.oldest_report_us + now - collector.merged_at),
+            "age_s": _seconds(collector.oldest_report_us + now - collector.merged_us),
             "used": list(collector.merged.used),
             "dropped": list(collector.merged.dropped),
         }
@@ -128,7 +128,7 @@
         return self._advance(now)
 
     def _state(self, message_type: MessageType, nonce: int, now: int) -> bytes:
-        return codec.encode(Message(message_type, nonce, now - self.started, self.phase))
+        return codec.encode(Message(message_type, nonce, now - self.started_us, self.phase))
 
     def _estimates(self, nonce: int, now: int) -> bytes:
         estimates, retries = self._own_estimates(now)
@@ -182,7 +182,7 @@
             self.collector.finish(now, overdue=leftover_ended)
         is_leftover_small = self.limits.leftover(now) < SMALL_FRACTION * self.plan.leftover_share
         if self.phase is Phase.RAMPING and self.collector.complete and is_leftover_small:
-            self.full_at = now
+            self.full_service_us = now
             ended = "queries of earlier incarnations have ended"
             self._enter(now, Phase.FULL, ended if leftover_ended else "most other routers did not restart")
         return sends
@@ -191,7 +191,7 @@
         self.phase = phase
         self.survey.phase = phase
         self.evidence = evidence
-        self.entered = now
+        self.entered_us = now
         self.on_phase_change(phase, evidence)
 
 
--- a/tests/compat/test_configuration.py
+++ b/tests/compat/test_configuration.py
@@ -152,7 +152,7 @@
         "old key": settings.old_key.decode(),
         "file of the keys": settings.key_source,
         "status": settings.status,
-        "parts": dict(settings.parts),
+        "parts": dict(settings.shares),
     }
 
 
--- a/tests/explore_view.py
+++ b/tests/explore_view.py
@@ -204,7 +204,9 @@
         while world.in_transit:
             world.deliver(0)
         running = [me for me in range(SIZE) if world.members[me] is not None]
-        if all(member.living == running and not member.table.suspects for member in world.members if member):
+        if all(
+            member.live_numbers == running and not member.table.suspects for member in world.members if member
+        ):
             return True
     return False
 
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -162,18 +162,18 @@
     assert all(m.phase is Phase.RAMPING and m.survey.restarted_count == 40 for m in alive.values())
     budget = sum(m.limits.connections_per_s() for m in alive.values())
     assert budget <= max(WarmupPlan.connections_per_s * 8, 40 * WarmupPlan.min_connections_per_s) * 1.001
-    assert sum(m.limits.threads(m.started + SECOND, 320) for m in alive.values()) <= 1.6 * 320 * 1.8
+    assert sum(m.limits.threads(m.started_us + SECOND, 320) for m in alive.values()) <= 1.6 * 320 * 1.8
     assert len({m.limits.list_slot() for m in alive.values()}) == 40
     assert max(m.limits.list_slot() for m in alive.values()) < SECOND
     one = alive[0]
     # spread over the remaining time
-    delays = [one.limits.retry_after(one.started + SECOND, 10 * SECOND) or 0 for _ in range(20)]
+    delays = [one.limits.retry_after(one.started_us + SECOND, 10 * SECOND) or 0 for _ in range(20)]
     gaps = sorted(delays)
     assert max(b - a for a, b in zip(gaps, gaps[1:], strict=False)) < 0.2 * (WarmupPlan.leftover_us - SECOND)
     assert gaps[0] >= SECOND // 10
     assert gaps[-1] <= WarmupPlan.leftover_us - SECOND + SECOND // 10
     # a retry would miss the latency objective
-    assert one.limits.retry_after(one.started + SECOND, SECOND // 10) is None
+    assert one.limits.retry_after(one.started_us + SECOND, SECOND // 10) is None
     routers.run(1.5)
     assert all(m.phase is Phase.FULL for m in alive.values())
 
@@ -247,7 +247,7 @@
                 machine.receive(now, sender, 1, body)
                 if sum(a.reply is not None for a in machine.collector.requests.values()) > before:
                     # sent after the request, so not older than counted
-                    assert machine.collector.requests[sender].sent_at <= at
+                    assert machine.collector.requests[sender].sent_us <= at
                     assert late_message.nonce == machine._nonce
                     reported_at[sender] = at
     assert len(used) <= 1
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -153,8 +153,8 @@
             view = self.routers.views[me]
             assert isinstance(machine, WarmupStateMachine)
             assert view is not None
-            if machine.phase is not Phase.FULL or view.living != list(range(self.size)):
-                found.append(f"end: {me} is {machine.phase.name}, sees {len(view.living)}")
+            if machine.phase is not Phase.FULL or view.live_numbers != list(range(self.size)):
+                found.append(f"end: {me} is {machine.phase.name}, sees {len(view.live_numbers)}")
         return found
 
 
@@ -202,7 +202,7 @@
 
 def test_faults_put_in_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     with monkeypatch.context() as patch:
-        patch.setattr(ByteBudget, "room", lambda self, now, kind: 10_000)
+        patch.setattr(ByteBudget, "available_bytes", lambda self, now, kind: 10_000)
         assert found() == {"bytes"}
     with monkeypatch.context() as patch:
         begin = QuotaAccount.__init__
@@ -224,7 +224,7 @@
 
         def young(self: EstimateCollector, now: int, *, overdue: bool) -> None:
             for request in self.requests.values():
-                request.sent_at = request.last_sent_at
+                request.sent_us = request.last_sent_us
             finish(self, now, overdue=overdue)
 
         patch.setattr(EstimateCollector, "finish", young)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -83,12 +83,12 @@
 @hypothesis_settings(derandomize=True, deadline=None)
 def test_corrupt_datagrams_do_not_change_what_peers_receive(data: bytes) -> None:
     member = MembershipStateMachine(0, 4, 7, Random(1), EPOCH)
-    before = member.living, member.digest
+    before = member.live_numbers, member.digest
     member.receive(EPOCH, data, 3)
-    assert len(member.living) >= 3
+    assert len(member.live_numbers) >= 3
     assert member.table.state(0) is MemberState.ALIVE
     if not frame.is_peer_message(data):
-        assert (member.living, member.digest) == before
+        assert (member.live_numbers, member.digest) == before
         assert member.counts["garbled"] == 1
 
 
@@ -148,9 +148,9 @@
         if sends_gossip and now % SECOND == 0:
             view.detector.record_other_message(now, 1)
         view.tick(now)
-        assert 1 in view.living or now > grace
-    assert (1 in view.living) == sends_gossip
-    assert 2 not in view.living
+        assert 1 in view.live_numbers or now > grace
+    assert (1 in view.live_numbers) == sends_gossip
+    assert 2 not in view.live_numbers
 
 
 def test_a_partition_by_zone_heals_and_each_side_has_its_own_members_alive() -> None:
@@ -161,7 +161,7 @@
     fleet.network.cut(even, odd)
     fleet.run(8)
     for view in fleet.views():
-        assert view.living == list(even if view.local_number % 2 == 0 else odd)
+        assert view.live_numbers == list(even if view.local_number % 2 == 0 else odd)
     fleet.network.heal()
     assert fleet.until_settled(5) <= 5
 
@@ -175,7 +175,7 @@
     fleet.go_on(7)
     stopped = fleet.members[7]
     assert stopped is not None
-    assert len(stopped.living) == 24
+    assert len(stopped.live_numbers) == 24
     assert fleet.until_settled(5) <= 5
 
 
@@ -285,7 +285,7 @@
     fleet.run(6)
     view = fleet.views()[0]
     assert view.detector.unreachable(fleet.now + fleet.offsets[0]) == [1]
-    assert (len(view.living), view.size) == (6, 6)
+    assert (len(view.live_numbers), view.size) == (6, 6)
     assert not fleet.views()[2].detector.unreachable(fleet.now + fleet.offsets[2])
 
 
