--- a/slipbay/membership/failure_detector.py
+++ b/slipbay/membership/failure_detector.py
@@ -53,7 +53,8 @@
 
 
 class FailureDetector:
-    """Probes one member after another, in a random order of all, and declares suspect which do not answer.
+    """Probes one member after another, in a random order of all, and declares those suspect that do not
+    answer.
 
     ``grace_us``: a router that never sent a membership message may run an earlier release. It is not accused
     for this time after its last message of another kind, or after the start of this router.
--- a/slipbay/membership/reconnect.py
+++ b/slipbay/membership/reconnect.py
@@ -8,12 +8,12 @@
 from slipbay.membership.outbox import Outbox
 from slipbay.membership.timing import SECOND
 
-INITIAL_SILENCE_US = 10 * SECOND  # before the start: initial time of the last message of a dead member
-JITTER_PERCENT = 50, 150
+INITIAL_SILENCE_US = 10 * SECOND  # assumed time between the last message of a dead member and the start
+JITTER_PERCENT = 50, 150  # bounds of the random factor of the interval
 
 
 class Reconnector:
-    """Pings random dead members. It pings often while messages of such arrive, as a partition then has
+    """Pings random dead members, and often while messages of dead members arrive: then a partition has
     healed."""
 
     def __init__(self, environment: Environment, table: MemberTable, outbox: Outbox) -> None:
--- a/slipbay/membership/timing.py
+++ b/slipbay/membership/timing.py
@@ -23,7 +23,7 @@
     gossip_us: int = 100_000  # between gossip rounds while updates are queued
     fan: int = 3  # receivers of a gossip round
     sync_us: int = 500_000  # between comparisons of tables that differ
-    reach_us: int = 1_000_000  # between pings of dead members; ``gossip_us`` while messages of such arrive
+    reach_us: int = 1_000_000  # between pings of dead members; ``gossip_us`` while messages of some arrive
     tombstone_us: int = 60 * SECOND  # for which dead members stay in the table
     stall_us: int = 400_000  # time between two ticks above which this process was suspended
     rate: int = 700  # bytes per second that may be sent
--- a/slipbay/peer_channel/frame.py
+++ b/slipbay/peer_channel/frame.py
@@ -41,7 +41,7 @@
 
     kind: int
     sender: int
-    life: int
+    life: int  # incarnation of the sender
     body: bytes
 
 
@@ -59,9 +59,8 @@
     """The datagram of a frame. Raises ``ValueError`` for a body that is too long."""
     kind, sender, life, body = frame
     checksum_bytes = DIGEST_BYTES if key else CRC_BYTES
-    padded = (
-        HEAD.size + len(body) + checksum_bytes - 5
-    ) % 3 == 0  # 5 + 3n bytes is a length of policy gossip
+    # gossip of the routing policy has a length of 5 + 3n bytes
+    padded = (HEAD.size + len(body) + checksum_bytes - 5) % 3 == 0
     data = HEAD.pack(MAGIC, VERSION, FLAG | kind, sender, life, padded) + body + bytes(padded)
     if len(data) + checksum_bytes > MAX_BYTES:
         raise ValueError(f"a body of {len(body)} bytes is too long")
--- a/slipbay/warmup/fleet_survey.py
+++ b/slipbay/warmup/fleet_survey.py
@@ -44,7 +44,7 @@
         return [n for n in self.sample if n not in self.peers]
 
     def is_complete(self, max_rounds: int) -> bool:
-        """Whether all routers in the sample sent a message, or ``max_rounds`` requests were sent to them."""
+        """Whether all routers in the sample sent a message, or ``max_rounds`` requests were sent to each."""
         return not self.missing() or self.rounds > max_rounds
 
     def in_full_service(self, router: int) -> bool:
--- a/slipbay/warmup/peer_estimates.py
+++ b/slipbay/warmup/peer_estimates.py
@@ -19,7 +19,7 @@
 SECOND = 1_000_000
 MAX_RATIO = 8.0  # factor by which a correction or a pace may differ from 1
 MAX_UNHEALTHY = 0.5  # fraction of all engines with several reports; half of it with a single report
-MAX_WORK_US = 600 * SECOND
+MAX_WORK_US = 600 * SECOND  # upper bound of the cost and the work of a class
 GROUPS_SUM = 100.0  # total weight of all inherited groups, in queries
 
 
