--- a/slipbay/quota/status.py
+++ b/slipbay/quota/status.py
@@ -1,25 +1,25 @@
-"""What a router holds of each quota, as ``slipbay quota status --json`` prints it.
+"""Builds the status of a router's quotas that ``slipbay quota status --json`` prints.
 
-Operators' scripts read the keys, so they stay as they are. Times are in s, shares are parts of the quota.
+Operators' scripts read the keys, so they must not change. Times are in s, shares are fractions of the quota.
 """
 
 from __future__ import annotations
 
 from slipbay.quota.account import QuotaAccount
 from slipbay.quota.borrowing import BorrowingStateMachine
-from slipbay.quota.leases.granter import NOBODY
+from slipbay.quota.leases.granter import NO_ROUTER
 from slipbay.quota.leases.manager import LeaseManager
-from slipbay.quota.shares import WHOLE
+from slipbay.quota.shares import SHARE_UNITS
 
 SECOND = 1e6
 
 
-def status_of(machine: BorrowingStateMachine, name: str, now: int) -> dict[str, object]:
-    """``name``: of the router. ``now``: in us of its clock."""
+def build_status(machine: BorrowingStateMachine, name: str, now: int) -> dict[str, object]:
+    """Return the status; ``name`` is the router's name, ``now`` the time in us of its clock."""
     return {
         "name": name,
-        "number": machine.me,
-        "configured": machine.size,
+        "number": machine.local_router,
+        "configured": machine.router_count,
         "version": machine.plan.version,
         "versions": sorted(set(machine.peer_versions.values())),
         "quotas": {account.quota.name: _account(account, now) for account in machine.accounts.values()},
@@ -29,27 +29,30 @@
 
 
 def _account(account: QuotaAccount, now: int) -> dict[str, object]:
-    account.settle(now)
+    account.advance(now)
     shares = account.shares
     return {
         "rate": account.quota.rate,
         "burst": account.quota.burst,
         "asked": round(account.demand, 2),
-        "share": _part(account.share),
-        "home": _part(shares.base),
+        "share": _quota_fraction(account.share_units),
+        "home": _quota_fraction(shares.base),
         "tokens": round(account.bucket.tokens, 2),
         "open": account.open,
-        "awake": shares.start_wait_over(now),
+        "awake": shares.is_start_wait_over(now),
         "counts": dict(account.counts),
         "lent": {
-            str(borrower): _part(amount)
+            str(borrower): _quota_fraction(amount)
             for (borrower, _), lent in shares.lent.items()
-            if (amount := lent.amount_out(now, shares.clocks))
+            if (amount := lent.outstanding(now, shares.clocks))
         },
         "borrowed": {
-            str(lender): [_part(loan.amount), round((now - loan.requested_at) / SECOND, 2)]
-            for lender, loan in shares.borrowed.items()
-            if loan.amount and loan.lease.is_valid(now)
+            str(lender): [
+                _quota_fraction(borrowed_share.amount),
+                round((now - borrowed_share.requested_at) / SECOND, 2),
+            ]
+            for lender, borrowed_share in shares.borrowed.items()
+            if borrowed_share.amount and borrowed_share.lease.is_valid(now)
         },
     }
 
@@ -59,17 +62,17 @@
     granter = leases.granter
     return {
         "wardens": leases.group,
-        "waits": now < granter.waits_until,
+        "waits": now < granter.waits_until_us,
         "homes": {str(owner): round((ends - now) / SECOND, 2) for owner, ends in held.items()},
         "wanted": sorted(set(leases.wanted) - set(held)),
         "promised": {
             str(owner): holder
             for owner in granter.records
-            if (holder := granter.remaining(now, owner)[0]) != NOBODY
+            if (holder := granter.remaining(now, owner)[0]) != NO_ROUTER
         },
         "counts": dict(leases.messages.counts),
     }
 
 
-def _part(amount: int) -> float:
-    return round(amount / WHOLE, 4)
+def _quota_fraction(amount: int) -> float:
+    return round(amount / SHARE_UNITS, 4)
--- a/slipbay/simhost/event_reader.py
+++ b/slipbay/simhost/event_reader.py
@@ -1,4 +1,4 @@
-"""Reads batches of the simulator's wire into events for the instances."""
+"""Decodes batches of the simulator's protocol into events for router instances."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     598: Outcome.RESET,
 }
 
-# the note with an end: 20 bits of work in ms, 12 bits of memory in steps of 4 MB
+# note field of an attempt's end: 20 bits of work in ms, 12 bits of memory in steps of 4 MB
 WORK_SHIFT = 12
 WORK_STEP_US = 1000
 MEMORY_MASK = 0xFFF
@@ -49,8 +49,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Started:
-    """An instance begins."""
+class InstanceStarted:
+    """An instance has started."""
 
     instance: int
     seed: int
@@ -58,30 +58,30 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Stopped:
-    """An instance is dead."""
+class InstanceStopped:
+    """An instance has stopped."""
 
     instance: int
 
 
 @dataclass(slots=True, frozen=True)
-class Arrived:
+class InstanceEvent:
     """An event for a running instance."""
 
     instance: int
     event: Event
 
 
-Item: TypeAlias = Started | Stopped | Arrived
+BatchItem: TypeAlias = InstanceStarted | InstanceStopped | InstanceEvent
 
 
 class EventReader:
-    """Reads batch after batch; engine lists are numbered and stay for later batches."""
+    """Decodes batches; keeps the numbered engine lists, as later batches refer to them."""
 
     def __init__(self) -> None:
         self._lists: dict[int, tuple[EngineEntry, ...]] = {}
         self._tail = memoryview(b"")
-        self._readers: dict[int, Callable[[memoryview], Item]] = {
+        self._readers: dict[int, Callable[[memoryview], BatchItem]] = {
             EventCode.PROBED: self._probed,
             EventCode.PEERS_KNOWN: self._peers_known,
             EventCode.TIMEOUT_FIRED: self._timeout_fired,
@@ -95,8 +95,8 @@
             EventCode.BEGUN: self._begun,
         }
 
-    def read(self, count: int, payload: bytes) -> Iterator[Item]:
-        """Yield the items of a batch of ``count`` records in order.
+    def read(self, count: int, payload: bytes) -> Iterator[BatchItem]:
+        """Yield the items of a batch of ``count`` records, in order.
 
         Raises ``MalformedInputError``.
         """
@@ -115,47 +115,47 @@
             except (ValueError, struct.error) as problem:
                 raise MalformedInputError(str(problem), code) from None
 
-    def _reader(self, code: int) -> Callable[[memoryview], Item]:
+    def _reader(self, code: int) -> Callable[[memoryview], BatchItem]:
         if code not in self._readers:
             raise MalformedInputError(f"unknown record code {code}")
         return self._readers[code]
 
-    def _in_tail(self, offset: int, size: int) -> memoryview:
-        """A part of the batch's tail."""
+    def _read_tail(self, offset: int, size: int) -> memoryview:
+        """Bytes of the batch's tail at an offset."""
         tail = self._tail
         if offset + size > len(tail):
             raise MalformedInputError(
-                f"a field points to bytes {offset} to {offset + size} of a tail of {len(tail)}"
+                f"a field points to bytes {offset} to {offset + size}, but the tail has {len(tail)} bytes"
             )
         return tail[offset : offset + size]
 
     def _register(self, record: memoryview) -> None:
         _, slot, offset, count = frames.REGISTER.unpack(record)
-        entries = self._in_tail(offset, count * frames.ENTRY.size)
+        entries = self._read_tail(offset, count * frames.ENTRY.size)
         self._lists[slot] = tuple(
             EngineEntry(engine, zone, kind, cell, EngineState(state), size, ready_at_us)
             for engine, zone, kind, cell, state, size, ready_at_us in frames.ENTRY.iter_unpack(entries)
         )
 
-    def _start(self, record: memoryview) -> Item:
-        _, who, seed, offset, size = frames.START.unpack(record)
-        return Started(who, seed, read_settings(bytes(self._in_tail(offset, size))))
+    def _start(self, record: memoryview) -> BatchItem:
+        _, instance, seed, offset, size = frames.START.unpack(record)
+        return InstanceStarted(instance, seed, read_settings(bytes(self._read_tail(offset, size))))
 
-    def _teardown(self, record: memoryview) -> Item:
-        return Stopped(frames.TEARDOWN.unpack(record)[1])
+    def _teardown(self, record: memoryview) -> BatchItem:
+        return InstanceStopped(frames.TEARDOWN.unpack(record)[1])
 
-    def _peers_known(self, record: memoryview) -> Item:
-        _, who, mode, _, slot = frames.PEERS_KNOWN.unpack(record)
+    def _peers_known(self, record: memoryview) -> BatchItem:
+        _, instance, mode, _, slot = frames.PEERS_KNOWN.unpack(record)
         kind = ListKind(mode)
         if kind is ListKind.FAILED:
-            return Arrived(who, EngineList(kind))
+            return InstanceEvent(instance, EngineList(kind))
         if slot not in self._lists:
-            raise MalformedInputError(f"list {slot} was never registered")
-        return Arrived(who, EngineList(kind, self._lists[slot]))
+            raise MalformedInputError(f"engine list {slot} is not registered")
+        return InstanceEvent(instance, EngineList(kind, self._lists[slot]))
 
-    def _submit(self, record: memoryview) -> Item:
+    def _submit(self, record: memoryview) -> BatchItem:
         fields = frames.SUBMIT.unpack(record)
-        _, who, query, service_class, tenant, key, expires_us, cost_us, memory_mb, group, flags = fields
+        _, instance, query, service_class, tenant, key, expires_us, cost_us, memory_mb, group, flags = fields
         event = QueryArrived(
             query=query,
             service_class=service_class,
@@ -168,19 +168,19 @@
             is_repeat=bool(flags & frames.CLIENT_REPEAT),
             is_write=bool(flags & frames.WRITE),
         )
-        return Arrived(who, event)
+        return InstanceEvent(instance, event)
 
-    def _begun(self, record: memoryview) -> Item:
-        _, who, query, attempt, engine, _ = frames.BEGUN.unpack(record)
-        return Arrived(who, StreamBegun(query, attempt, engine))
+    def _begun(self, record: memoryview) -> BatchItem:
+        _, instance, query, attempt, engine, _ = frames.BEGUN.unpack(record)
+        return InstanceEvent(instance, StreamBegun(query, attempt, engine))
 
-    def _update_of(self, record: memoryview) -> Item:
-        _, who, query, engine, value, attempt, kind = frames.UPDATE_OF.unpack(record)
-        return Arrived(who, AttemptNote(query, attempt, engine, NoteKind(kind), value))
+    def _update_of(self, record: memoryview) -> BatchItem:
+        _, instance, query, engine, value, attempt, kind = frames.UPDATE_OF.unpack(record)
+        return InstanceEvent(instance, AttemptNote(query, attempt, engine, NoteKind(kind), value))
 
-    def _report_back(self, record: memoryview) -> Item:
+    def _report_back(self, record: memoryview) -> BatchItem:
         fields = frames.REPORT_BACK.unpack(record)
-        _, who, query, attempt, engine, code, duration_us, complete, note, count, *values = fields
+        _, instance, query, attempt, engine, code, duration_us, complete, note, count, *values = fields
         outcome = _outcome(code)
         has_work = note and outcome is Outcome.OK
         event = AttemptEnded(
@@ -194,23 +194,25 @@
             memory_mb=(note & MEMORY_MASK) * MEMORY_STEP_MB,
             report=_report(count, values),
         )
-        return Arrived(who, event)
+        return InstanceEvent(instance, event)
 
-    def _dropped(self, record: memoryview) -> Item:
-        _, who, query = frames.DROPPED.unpack(record)
-        return Arrived(who, ClientDisconnected(query))
+    def _dropped(self, record: memoryview) -> BatchItem:
+        _, instance, query = frames.DROPPED.unpack(record)
+        return InstanceEvent(instance, ClientDisconnected(query))
 
-    def _timeout_fired(self, record: memoryview) -> Item:
-        _, who, token = frames.TIMEOUT_FIRED.unpack(record)
-        return Arrived(who, TimerFired(token))
+    def _timeout_fired(self, record: memoryview) -> BatchItem:
+        _, instance, token = frames.TIMEOUT_FIRED.unpack(record)
+        return InstanceEvent(instance, TimerFired(token))
 
-    def _probed(self, record: memoryview) -> Item:
-        _, who, duration_us, engine, code, count, *values = frames.PROBED.unpack(record)
-        return Arrived(who, ProbeEnded(engine, _outcome(code), duration_us, _report(count, values)))
+    def _probed(self, record: memoryview) -> BatchItem:
+        _, instance, duration_us, engine, code, count, *values = frames.PROBED.unpack(record)
+        return InstanceEvent(
+            instance, ProbeEnded(engine, _outcome(code), duration_us, _report(count, values))
+        )
 
-    def _whisper(self, record: memoryview) -> Item:
-        _, who, sender, offset, size = frames.WHISPER.unpack(record)
-        return Arrived(who, PeerMessage(sender, bytes(self._in_tail(offset, size))))
+    def _whisper(self, record: memoryview) -> BatchItem:
+        _, instance, sender, offset, size = frames.WHISPER.unpack(record)
+        return InstanceEvent(instance, PeerMessage(sender, bytes(self._read_tail(offset, size))))
 
 
 def _report(count: int, values: list[float]) -> LoadReport | None:
@@ -219,5 +221,5 @@
 
 def _outcome(code: int) -> Outcome:
     if code not in OUTCOMES:
-        raise MalformedInputError(f"unknown outcome {code}")
+        raise MalformedInputError(f"unknown outcome code {code}")
     return OUTCOMES[code]
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -136,11 +136,11 @@
 def test_policy_gossip_is_truncated_to_complete_items_with_the_most_threads_first() -> None:
     loads = PeerLoads()
     engines = [SimpleNamespace(digest=n, threads=n, peer_threads=0) for n in range(1, 90)]
-    body = loads.begin(7, cast(Any, engines))
+    body = loads.start_period(7, cast(Any, engines))
     assert len(body) == 254
     assert [len(truncate_gossip(body, room)) for room in (256, 253, 100, 5, 4, 0)] == [254, 251, 98, 5, 0, 0]
     other = PeerLoads()
-    other.begin(7, [])
+    other.start_period(7, [])
     assert not other.receive(truncate_gossip(body, 100), [])
     assert other.reports == 2
     assert sorted(other.sums) == list(range(59, 90))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -66,7 +66,7 @@
 def test_messages_are_few_and_short() -> None:
     routers = fleet()
     count = run(routers, routers[0].now + 4 * SECOND)
-    assert 0 < count <= (4 * SECOND // gossip.GOSSIP_PERIOD + 1) * 2 * len(routers)
+    assert 0 < count <= (4 * SECOND // gossip.GOSSIP_PERIOD_US + 1) * 2 * len(routers)
     assert all(
         len(message.body) <= 256
         for driver in routers
@@ -79,7 +79,7 @@
     run(routers, routers[0].now + SECOND)
     run(routers, routers[0].now + 3 * SECOND, lose=True)
     routers_with_reports = [
-        g for g in routers if g.now - g.controller.gossip.sums_at_us < 2 * gossip.GOSSIP_PERIOD
+        g for g in routers if g.now - g.controller.gossip.sums_at_us < 2 * gossip.GOSSIP_PERIOD_US
     ]
     assert not routers_with_reports
     assert len(dispatches(routers[0].submit(90, cost=1_000))) == 1
--- a/tests/test_scatter.py
+++ b/tests/test_scatter.py
@@ -232,7 +232,7 @@
     host.act()
     if isinstance(verdict, AnswerNow | Abort) and not host.answers:
         host.scatterer.open[next(iter(host.scatterer.open))].heed(verdict, host.loop.us)
-    host.done(Failed(f"{whole} of 4 parts came in time, which is too few", late=True))
+    host.done(Failed(f"{whole} of 4 parts came in time, which is too few", deadline_passed=True))
 
 
 def test_a_moment_that_waits_for_ever_is_ended_at_the_latest_time_and_looked_at_when_it_asked() -> None:
@@ -332,7 +332,7 @@
     machine = BorrowingStateMachine(0, 1, plan, Random(1), 0)
     now = 60 * SECOND
     for account in machine.accounts.values():
-        account.settle(now)
+        account.advance(now)
         account.bucket.tokens = 9.0
     spec = ScatteredClass(
         **{**{name: getattr(SPEC, name) for name in SPEC.__slots__}, "whole_cost": whole_cost}
@@ -655,7 +655,7 @@
     if fault == "forgets":  # a part that is over by another's action is forgotten within the turn
         monkeypatch.setattr(
             Dispatcher,
-            "_applying_actions",
+            "_is_applying_actions",
             property(lambda core: False, lambda core, value: None),
             raising=False,
         )
