--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -169,8 +169,8 @@
             view = self.routers.views[router]
             assert isinstance(machine, WarmupStateMachine)
             assert view is not None
-            if machine.phase is not Phase.FULL or view.living != list(range(self.size)):
-                found.append(f"end: {router} is {machine.phase.name}, sees {len(view.living)}")
+            if machine.phase is not Phase.FULL or view.live_numbers != list(range(self.size)):
+                found.append(f"end: {router} is {machine.phase.name}, sees {len(view.live_numbers)}")
         return found
 
 
@@ -216,7 +216,7 @@
 
 def test_injected_faults_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     with monkeypatch.context() as patch:
-        patch.setattr(ByteBudget, "room", lambda self, now, kind: 10_000)
+        patch.setattr(ByteBudget, "available_bytes", lambda self, now, kind: 10_000)
         assert violations() == {"bytes"}
     with monkeypatch.context() as patch:
         original_init = QuotaAccount.__init__
@@ -238,7 +238,7 @@
 
         def finish_with_younger_age(self: EstimateCollector, now: int, *, overdue: bool) -> None:
             for request in self.requests.values():
-                request.sent_at = request.last_sent_at
+                request.sent_us = request.last_sent_us
             original_finish(self, now, overdue=overdue)
 
         patch.setattr(EstimateCollector, "finish", finish_with_younger_age)
