--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -357,10 +357,10 @@
 def peer_messages() -> list[bytes]:
     """The threads that a router uses, the sums over routers, and the sums truncated to little room."""
     peers, engines = peers_of({ENGINE_A: 3, ENGINE_B: 300, b"idle--": 0})
-    own_threads = peers.begin(2**32 + 305_419_896, engines)
+    own_threads = peers.start_period(2**32 + 305_419_896, engines)
     other, others = peers_of({ENGINE_A: 2})
-    peers.receive(other.begin(2**32 + 305_419_896, others), engines)
-    sums = peers.close()
+    peers.receive(other.start_period(2**32 + 305_419_896, others), engines)
+    sums = peers.finish_period()
     return [own_threads, sums, truncate(sums, 10), truncate(sums, 6), truncate(sums, 4)]
 
 
@@ -523,7 +523,7 @@
 def test_stored_peer_messages_are_received() -> None:
     own_threads, sums = (bytes.fromhex(text) for text in stored()["others"]["peers"][:2])
     peers, engines = peers_of({ENGINE_A: 1, ENGINE_B: 1})
-    peers.begin(2**32 + 305_419_896, engines)
+    peers.start_period(2**32 + 305_419_896, engines)
     assert not peers.receive(own_threads, engines)
     assert peers.reports == 2
     assert peers.receive(sums, engines)
--- a/tests/contracts/test_exchange_contract.py
+++ b/tests/contracts/test_exchange_contract.py
@@ -20,7 +20,7 @@
 )
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-from obligations import held, suite, with_part
+from obligations import held, suite, with_component
 
 from slipbay.backends import pool
 from slipbay.backends.http_connection import HttpConnection
@@ -271,5 +271,5 @@
 )
 
 test_an_exchange_keeps_the_contract, test_the_contract_finds_the_broken_obligation = suite(
-    ExchangeContract, EXCHANGES, BROKEN, 40, lambda part: with_part(part, REPLACED_TYPES)
+    ExchangeContract, EXCHANGES, BROKEN, 40, lambda part: with_component(part, REPLACED_TYPES)
 )
--- a/tests/contracts/test_time_contract.py
+++ b/tests/contracts/test_time_contract.py
@@ -11,7 +11,7 @@
 from fakes import FakeLoop
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
-from obligations import held, suite, with_part
+from obligations import held, suite, with_component
 
 from slipbay.clock import Clock
 from slipbay.core import timers as timers_module
@@ -277,13 +277,13 @@
 class Silenced(Timers):
     """T4: one action that fails silences the others."""
 
-    def _fire(self) -> None:
+    def _run_due(self) -> None:
         try:
-            super()._fire()
+            super()._run_due()
         except Boom:
-            if self._alarm is not None:
-                self._alarm.cancel()
-            self._arm = lambda: None  # type: ignore[method-assign]
+            if self._loop_timer is not None:
+                self._loop_timer.cancel()
+            self._schedule_first = lambda: None  # type: ignore[method-assign]
             raise
 
 
@@ -325,5 +325,5 @@
 )
 
 test_a_clock_with_its_timers_keeps_the_contract, test_the_contract_finds_the_broken_obligation = suite(
-    TimeContract, TIMES, BROKEN, broken=lambda part: with_part(part, PLACES)
+    TimeContract, TIMES, BROKEN, broken=lambda part: with_component(part, PLACES)
 )
