--- a/tests/contracts/test_front_contract.py
+++ b/tests/contracts/test_front_contract.py
@@ -15,7 +15,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 from loopback import TXN
 from mysql_standins import EOF, column, packet, text
-from obligations import held, suite, with_part
+from obligations import held, suite, with_component
 
 from slipbay.config.model import Limits
 from slipbay.core.model import Answer, Failed, Rejected, Request, Served
@@ -237,7 +237,7 @@
             (
                 Rejected(250_000),
                 Failed("x"),
-                Failed("x", late=True),
+                Failed("x", deadline_passed=True),
                 Served([b"\1", column("a"), EOF, text("x"), EOF]),
             )
         )
@@ -320,5 +320,5 @@
 REPLACEABLE_CLASSES = ((JsonRpc, JsonRpcConnection, "kind"), (Mysql, MysqlConnection, "kind"))
 
 test_a_frontend_keeps_the_contract, test_the_contract_finds_the_broken_obligation = suite(
-    None, FRONTENDS, FAULTY_FRONTENDS, 40, lambda part: with_part(part, REPLACEABLE_CLASSES)
+    None, FRONTENDS, FAULTY_FRONTENDS, 40, lambda part: with_component(part, REPLACEABLE_CLASSES)
 )
--- a/tests/contracts/test_time_contract.py
+++ b/tests/contracts/test_time_contract.py
@@ -13,7 +13,7 @@
 from fakes import FakeLoop
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
-from obligations import held, suite, with_part
+from obligations import held, suite, with_component
 
 from slipbay.clock import Clock
 from slipbay.core import timers as timers_module
@@ -283,13 +283,13 @@
 class StopsAfterFailure(Timers):
     """T4: after an action fails they run no others."""
 
-    def _fire(self) -> None:
+    def _run_due(self) -> None:
         try:
-            super()._fire()
+            super()._run_due()
         except ActionError:
-            if self._alarm is not None:
-                self._alarm.cancel()
-            self._arm = lambda: None  # type: ignore[method-assign]
+            if self._loop_timer is not None:
+                self._loop_timer.cancel()
+            self._schedule_first = lambda: None  # type: ignore[method-assign]
             raise
 
 
@@ -340,5 +340,5 @@
 )
 
 test_a_clock_with_its_timers_keeps_the_contract, test_the_contract_finds_the_broken_obligation = suite(
-    TimeContract, TIMES, FAULTY_TIMES, broken=lambda part: with_part(part, REPLACEABLE_CLASSES)
+    TimeContract, TIMES, FAULTY_TIMES, broken=lambda part: with_component(part, REPLACEABLE_CLASSES)
 )
