--- a/slipbay/router.py
+++ b/slipbay/router.py
@@ -279,10 +279,10 @@
 
     # Callbacks of components
 
-    def _fleet_size_changed(self, living: int) -> None:
-        self.dispatcher.notify(FleetSize(living))
+    def _fleet_size_changed(self, live_routers: int) -> None:
+        self.dispatcher.notify(FleetSize(live_routers))
         if self.quotas is not None:
-            self.quotas.set_running_routers(living)
+            self.quotas.set_running_routers(live_routers)
 
     def _endpoints_changed(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
         self._has_endpoints = self._has_endpoints or bool(endpoints)
--- a/tests/kill_sweep.py
+++ b/tests/kill_sweep.py
@@ -162,7 +162,7 @@
     async def _wait_for_random_point(self) -> None:
         """Wait for a random number of events, or until the store is read, which is when recovery begins."""
         if self.random.random() < 0.25:
-            await self.router.read.wait()
+            await self.router.store_read.wait()
             return
         until = self._event_count + self.random.randrange(1, 12)
         while self._event_count < until:
--- a/tests/routers.py
+++ b/tests/routers.py
@@ -56,7 +56,7 @@
         self.lines: list[str] = []
         self.ports: list[int] = []
         self.listening = asyncio.Event()  # the router listens
-        self.read = asyncio.Event()  # the router has read its store, or cannot open it
+        self.store_read = asyncio.Event()  # the router has read its store, or cannot open it
         self._line_read = asyncio.Event()  # a line was read from standard error
         self._reading_task: asyncio.Task[None] | None = None
 
@@ -100,9 +100,9 @@
                 self.ports = [int(word.rpartition(":")[2]) for word in ports if word.startswith(HOST)]
                 self.listening.set()
             elif "store: read" in line or "cannot be opened" in line:
-                self.read.set()
+                self.store_read.set()
 
-    async def tells(self, *texts: str) -> None:
+    async def wait_for_lines(self, *texts: str) -> None:
         """Waits until each text is in a line of the log.
 
         The router writes its lines one by one, so a later line may still be missing when an earlier one is
@@ -121,7 +121,7 @@
         assert self.process is not None
         assert self._reading_task is not None
         self.listening.clear()
-        self.read.clear()
+        self.store_read.clear()
         code = await self.process.wait()
         await self._reading_task
         return code
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -323,13 +323,13 @@
         await engine.start()
         router = RouterProcess(tmp_path, {"s-0": engine.port})
         await router.start()
-        await router.read.wait()
+        await router.store_read.wait()
         client = JsonClient(*await asyncio.open_connection("127.0.0.1", router.ports[0]))
         client.query("ticket-load", "INSERT INTO sales_1.t VALUES (1)", txn=TXN, limit=5000)
         await until(lambda: bool(engine.named("POST")))
         await router.kill()
         await router.start()
-        await router.read.wait()
+        await router.store_read.wait()
         client = JsonClient(*await asyncio.open_connection("127.0.0.1", router.ports[0]))
         client.query("ticket-load", "INSERT INTO sales_1.t VALUES (1)", txn=TXN, limit=5000)
         other = JsonClient(*await asyncio.open_connection("127.0.0.1", router.ports[0]))
@@ -358,14 +358,14 @@
         await engine.start()
         router = RouterProcess(tmp_path, {"s-0": http.port}, mysql_file(tmp_path, engine))
         await router.start()
-        await router.read.wait()
+        await router.store_read.wait()
         client = await MysqlClient.connect(router.ports[1])
         client.command(0x03, LOAD.encode())
         await until(lambda: bool(engine.running))
         await router.kill()
         engine.uptime_s = 0  # the server was restarted: its thread numbers belong to other clients
         await router.start()
-        await router.read.wait()
+        await router.store_read.wait()
         repeating = await MysqlClient.connect(router.ports[1])
         with pytest.raises(MysqlError) as problem:
             await repeating.query(LOAD)
@@ -383,14 +383,14 @@
         engine.uptime_s = 10_000
         other = LOAD.replace("k1", "k2")
         await router.start()
-        await router.read.wait()
+        await router.store_read.wait()
         client = await MysqlClient.connect(router.ports[1])
         client.command(0x03, other.encode())
         await until(lambda: other.encode() in engine.running.values())
         second = next(thread for thread, sql in engine.running.items() if sql == other.encode())
         await router.kill()
         await router.start()
-        await router.read.wait()
+        await router.store_read.wait()
         repeating = await MysqlClient.connect(router.ports[1])
         with pytest.raises(MysqlError) as problem:
             await repeating.query(other)
@@ -450,7 +450,7 @@
         await engine.start()
         router = RouterProcess(tmp_path, {"s-0": engine.port})
         await router.start()
-        await router.read.wait()
+        await router.store_read.wait()
         for changes, expected in (
             ({"later_ms": "-1"}, "the old one stays: store.toml: later_ms"),
             ({"later_ms": "5", "segment_mb": "4"}, "next start: store.segment_bytes"),
@@ -458,7 +458,7 @@
             store_file(tmp_path, **changes)
             assert router.process is not None
             router.process.send_signal(signal.SIGHUP)
-            await router.tells(expected)
+            await router.wait_for_lines(expected)
         client = JsonClient(*await asyncio.open_connection("127.0.0.1", router.ports[0]))
         assert "result" in await load(client)
         assert await router.end() == 0
--- a/tests/test_store_losses.py
+++ b/tests/test_store_losses.py
@@ -98,7 +98,7 @@
     """Start a router and wait until it has logged the expected texts."""
     router.lines.clear()
     await router.start()
-    await router.tells(*expected)
+    await router.wait_for_lines(*expected)
 
 
 def adopt(folder: Path, because: str) -> Result:
