--- a/slipbay/frontends/server.py
+++ b/slipbay/frontends/server.py
@@ -16,7 +16,7 @@
 IDLE_TIMEOUT_US = 6_000_000  # clients close idle connections after 4 s; this closes the rest
 FIRST_MESSAGE_TIMEOUT_US = 2_000_000  # from connecting to the first complete message
 SWEEP_US = 500_000
-MAX_CHEAP_EVICTIONS = 8  # at once, of connections whose clients lose no partial message and no recent use
+MAX_CHEAP_EVICTIONS = 8  # in one call, of connections with a cost below EvictionCost.IDLE
 ROOM_CHECK_US = 20_000  # interval, while accepting is paused
 BACKLOG = 512  # connections that the kernel queues until they are accepted
 MAX_ACCEPTS_PER_TURN = 32  # of the event loop, so that earlier clients are read before more are accepted
