--- a/slipbay/rig/__init__.py
+++ b/slipbay/rig/__init__.py
@@ -1,1 +1,1 @@
-"""Several routers as processes, stand-ins round them, and faults between them (docs/rig.md)."""
+"""Several routers as processes, stand-in services around them, and faults between them (docs/rig.md)."""
--- a/slipbay/rig/checker.py
+++ b/slipbay/rig/checker.py
@@ -1,4 +1,4 @@
-"""The verdict on a play, from what clients and engines saw."""
+"""Checks the rules of a run by what clients and engines observed."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 from slipbay.scatter_gather.config_schema import ScatterTable
 
 Span = tuple[float, float]
-"""Of a request that was admitted: when its client asked, and when it first ran; it was admitted between."""
+"""When the client sent a request and when an engine first started it: its admission lies between the two."""
 
-GIVEN_UP_S = 1.0  # after an answer, when nobody asks for a part that is not in it
-SETTLE_S = 1.0  # after a router was told of another plan, when it surely goes by it
+GIVEN_UP_S = 1.0  # s after an answer, when no router requests a part that is not in it
+SETTLE_S = 1.0  # s after a router received another plan, when it certainly applies it
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One attempt of a client; times in s from when all routers were up."""
+    """One attempt of a client; times in s from when all routers are ready."""
 
     txn: str
     service_class: str
@@ -37,27 +37,29 @@
     life: int
     asked: float
     ended: float
-    outcome: str  # served, refused, failed, cut: its router died; unreached: it took no connection
+    outcome: str  # served, refused, failed, cut (its router ended) or unreached (no connection was accepted)
     later_s: float | None = None
     repeat: bool = False
-    runs: int = 0  # how often engines had begun it when the answer came
+    runs: int = 0  # how often engines had started it when the answer arrived
     present: tuple[int, ...] = ()  # groups in the answer to a scattered query
 
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """What the plan of a quota allows: in any t seconds that begin at ``since`` or later ``most + rate x t``
-    requests."""
+    """What the plan of a quota allows.
+
+    In any t seconds that begin at ``since`` or later, at most ``most + rate x t`` requests are admitted.
+    """
 
     quota: str
-    tenants: tuple[str, ...]  # none: all
+    tenants: tuple[str, ...]  # empty: all
     classes: tuple[str, ...]
     rate: float
     most: float
     since: float = 0.0
 
     def worst(self, verdict: Verdict) -> float:
-        """The most by which any window surely passed ``rate x t``."""
+        """Return the largest proven excess of any window over ``rate x t``."""
         return worst(
             [span for span in verdict.spans(self.tenants, self.classes) if span[0] >= self.since], self.rate
         )
@@ -65,41 +67,44 @@
 
 @dataclass
 class Verdict:
-    """What clients and engines saw."""
+    """What clients and engines observed in a run, and the rules that were broken."""
 
     timeline: list[str] = field(default_factory=list)
     answers: list[Answer] = field(default_factory=list)
     wishes: list[Wish] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
     stretches: list[dict[str, Any]] = field(default_factory=list)  # see report.stretches
-    seconds: list[dict[str, Any]] = field(default_factory=list)  # service by second, class and tenant
+    seconds: list[dict[str, Any]] = field(default_factory=list)
     most_threads: int = 0
     extras: int = 0
-    settled_s: float | None = None  # how long views took to be right after the load
-    starved: float = 0.0  # part of the load's time in which the machine kept the rig from running
+    settled_s: float | None = None  # how long after the load the membership views took to become correct
+    starved: float = 0.0  # fraction of the load's duration in which the host kept the rig from running
     book: Book = field(default_factory=Book)
-    began: float = 0.0  # when all routers were up, by the book's clock
-    quotas: list[dict[str, Any]] = field(default_factory=list)  # bounds, and the worst window of each
-    survey: ScatterTable | None = None  # how queries were scattered
-    fullest: int = 0  # bytes that any life of a router sent in any second
+    began: float = 0.0  # when all routers were ready, by the clock of the execution log
+    quotas: list[dict[str, Any]] = field(default_factory=list)  # bound and worst window of each quota
+    survey: ScatterTable | None = None  # how queries are scattered
+    fullest: int = 0  # most bytes that one router process sent in any second
 
     @property
     def good(self) -> bool:
+        """Whether no rule was broken."""
         return not self.faults
 
     @property
     def outcomes(self) -> Counter[str]:
-        """Answers by class and outcome: "lookup served", ..."""
+        """Number of answers by class and outcome: "lookup served", ..."""
         return Counter(f"{answer.service_class} {answer.outcome}" for answer in self.answers)
 
     def served(self, name: str) -> float:
-        """Part of the requests of a class that were served, of all that were answered."""
+        """Return the fraction of a class's answered requests that were served."""
         all_of = [answer.outcome == "served" for answer in self.answers if answer.service_class == name]
         return sum(all_of) / len(all_of) if all_of else 1.0
 
     def spans(self, tenants: Sequence[str] = (), classes: Sequence[str] = ()) -> list[Span]:
-        """Of requests that ran, of some tenants and classes or of all; of scattered queries those parts that
-        cost a token."""
+        """Return the admission spans of requests that ran, of some tenants and classes or of all.
+
+        Of scattered queries it returns those parts that cost a token.
+        """
         first: dict[str, float] = {}
         for at, _, txn in self.book.begun:
             first.setdefault(txn, at - self.began)
@@ -118,13 +123,15 @@
         return [(at, first[txn]) for txn, at in asked.items()]
 
     def _parts(self, query: str) -> list[str]:
-        """Names of the parts of a scattered query that ran."""
+        """Return the request names of those parts of a scattered query that ran."""
         groups = self.survey.groups if self.survey is not None else ()
         return [self.book.part_of[query, group] for group in groups if (query, group) in self.book.part_of]
 
     def unwanted(self, cancels: bool) -> list[str]:
-        """Parts that were given up and were not called off. ``cancels``: whether every word of a router to an
-        engine surely came there."""
+        """Return faults for parts that a router abandoned and did not cancel.
+
+        ``cancels`` tells whether every message of a router to an engine certainly arrived.
+        """
         found = []
         book = self.book
         for answer in self.answers:
@@ -144,6 +151,7 @@
         return found
 
     def as_json(self) -> dict[str, Any]:
+        """Return the report as a JSON object."""
         return {
             "good": self.good,
             "faults": self.faults,
@@ -161,7 +169,7 @@
 
 
 def gathered(book: Book, query: str, survey: ScatterTable, result: dict[str, Any]) -> list[str]:
-    """What is wrong with the answer to a scattered query, by what engines ran for it."""
+    """Check the answer to a scattered query against what engines ran for it, and return the faults."""
     try:
         told = result["parts"]
         asked, present, missing = (list(told[key]) for key in ("asked", "present", "missing"))
@@ -183,8 +191,11 @@
 
 
 def worst(spans: Sequence[Span], rate: float) -> float:
-    """The most by which what was surely admitted in any window passed ``rate x t``: a request counts where
-    it was asked for and ran within it."""
+    """Return the largest number of requests by which certainly admitted requests of any window exceed ``rate
+    x t``.
+
+    A request counts where the client sent it and an engine started it within the window.
+    """
     ended = sorted((ran, asked) for asked, ran in spans)
     most = 0.0
     for begin in {asked for asked, _ in spans}:
@@ -197,8 +208,11 @@
 
 
 def bounds(script: Scenario) -> list[Bound]:
-    """What a script's plans of quotas promise: over all of the play that of the largest, and once all
-    routers were told of the last plan what that allows. Plans that routers refuse count for nothing."""
+    """Return the bounds that a scenario's quota plans guarantee.
+
+    Over the whole run the largest plan holds, and once all routers have received the last plan, that plan's
+    bounds hold. Plans that routers reject are left out.
+    """
 
     def plan(text: str) -> QuotaPlan | None:
         table = tomllib.loads(text)
@@ -232,7 +246,7 @@
 
 
 def _bound(name: str, plans: Sequence[QuotaPlan], routers: int, since: float = 0.0) -> Bound:
-    """Of the largest of some plans."""
+    """Return the largest bound of a quota over some plans."""
     held = [(plan, quota) for plan in plans for quota in plan.quotas if quota.name == name]
     quota = held[-1][1]
     return Bound(
@@ -246,8 +260,10 @@
 
 
 def judge(verdict: Verdict, lives: int, bounds: Sequence[Bound] = (), cancels: bool = True) -> None:
-    """The rules that only the whole play shows; ``lives`` is how many processes there were, ``cancels``: see
-    ``Verdict.unwanted``."""
+    """Check the rules that can only be checked after the whole run.
+
+    ``lives`` is the number of router processes; ``cancels``: see ``Verdict.unwanted``.
+    """
     for bound in bounds:
         found = bound.worst(verdict)
         verdict.quotas.append(
@@ -274,7 +290,8 @@
     verdict.faults += verdict.unwanted(cancels)[:10]
     if verdict.extras > 1.15 * (5 * lives + 0.2 * taken) + lives:
         verdict.faults.append(f"ration: {verdict.extras} further attempts for {taken} requests")
-    last = {answer.txn: answer for answer in verdict.answers}  # a repeat may run what was refused before
+    # a repeated attempt may run a request that was rejected before
+    last = {answer.txn: answer for answer in verdict.answers}
     verdict.faults += [
         f"refused though it ran: {answer.txn}"
         for answer in verdict.answers
--- a/slipbay/rig/endpoint_list.py
+++ b/slipbay/rig/endpoint_list.py
@@ -1,4 +1,7 @@
-"""A journal service that keeps its events: who connects anew gets those it lacks, and a line each second."""
+"""A journal service that keeps its events.
+
+A router that connects again receives the events that it lacks, and a heartbeat line each second.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,9 @@
 
 
 class EndpointListServer:
-    """Each router has a port of its own, as addresses of engines may differ between them."""
+    """Serves the endpoint list; each router has a port of its own, as addresses of engines may differ
+    between routers.
+    """
 
     def __init__(self, marks: Marks, routers: int) -> None:
         self._marks = marks
@@ -26,10 +31,11 @@
 
     @property
     def pos(self) -> int:
-        """The last event's number."""
+        """Number of the last event."""
         return len(self._events)
 
     async def start(self) -> None:
+        """Start to accept connections and to send heartbeats."""
         for number in range(self._routers):
             server, port = await serve(
                 lambda reader, writer, n=number: quietly(self._serve(n, reader, writer))  # type: ignore[misc]
@@ -39,12 +45,13 @@
         self._beating = asyncio.get_running_loop().create_task(self._beat())
 
     def tell(self, hosts: Callable[[int], list[dict[str, Any]]]) -> None:
-        """A change of the list, as each router is told it."""
+        """Publish a change of the list; ``hosts`` returns the entries that each router receives."""
         self._events.append(hosts)
         for number, writer in self._writers:
             writer.write(self._line(self.pos, number))
 
     def close(self) -> None:
+        """Stop the server and abort its connections."""
         self._beating.cancel()
         for server in self._servers:
             server.close()
@@ -64,7 +71,7 @@
         self._marks.add("list_calls", asyncio.get_running_loop().time())
         asked = (await reader.readline()).split()
         if len(asked) < 2:
-            return writer.transport.abort()  # its router died before it asked
+            return writer.transport.abort()  # the router ended before it sent its request
         after = int(asked[1])
         for pos in range(after + 1, self.pos + 1):
             writer.write(self._line(pos, number))
--- a/slipbay/rig/engines.py
+++ b/slipbay/rig/engines.py
@@ -1,4 +1,4 @@
-"""Engines that take their time, and a book of all that ran where, by which the rules are checked."""
+"""Stand-in engines that simulate work, and the log of all executions by which the rules are checked."""
 
 from __future__ import annotations
 
@@ -14,31 +14,35 @@
 
 HOLD_S = 0.25
 UNASKED_S = 2.0
-STATEMENT = re.compile(r"\D*(\d+)(?:\D+_(\d+)\D+ of ([0-9a-f]{16}))?")  # ms; group and query of a part
-DRAIN_S = 1.05  # after a drain was told, when nothing new may come
+# milliseconds of work; table group and query of a part
+STATEMENT = re.compile(r"\D*(\d+)(?:\D+_(\d+)\D+ of ([0-9a-f]{16}))?")
+DRAIN_S = 1.05  # s after the drain event was sent, when no new request may arrive
 
 
 class Book:
-    """Every run of every request, as the engines saw it."""
+    """Every execution of every request, as the engines observe it."""
 
     def __init__(self) -> None:
-        self.running: dict[str, set[str]] = {}  # engines that run a request now
+        self.running: dict[str, set[str]] = {}  # engines that run each request now
         self.runs: Counter[str] = Counter()
-        self.once: set[str] = set()  # requests of a class that must not run twice
+        self.once: set[str] = set()  # requests of a class that must not run twice, which have started
         self.faults: list[str] = []
-        self.drained: dict[str, float] = {}  # engines, and when all routers had been told
-        self.held_up: Callable[[float], float] = lambda since: 0.0  # s that the machine kept us from running
-        self.asked: dict[str, float] = {}  # when requests were last asked for
+        self.drained: dict[str, float] = {}  # when all routers had received the drain event, by engine
+        # s for which the host delayed the rig since a time
+        self.held_up: Callable[[float], float] = lambda since: 0.0
+        self.asked: dict[str, float] = {}  # when each request was last requested
         self.threads: dict[str, int] = {}
         self.most_threads = 0
-        self.begun: list[tuple[float, str, str]] = []  # when which engine began which request; loop's clock
-        self.parts: dict[str, Part] = {}  # of scattered queries, by the name that engines know them by
-        self.part_of: dict[tuple[str, int], str] = {}  # by query and group
+        self.begun: list[tuple[float, str, str]] = []  # start time, engine and request; event loop's clock
+        self.parts: dict[str, Part] = {}  # parts of scattered queries, by their request names at engines
+        self.part_of: dict[tuple[str, int], str] = {}  # request name by query and table group
 
     def begin(self, engine: str, request: str, sort: str, now: float) -> None:
+        """Record that an engine starts a request, and check that this start is allowed."""
         others = self.running.setdefault(request, set())
         asked = self.asked.get(request, now)
-        if others and now - asked + self.held_up(asked - UNASKED_S) <= UNASKED_S:  # else it is given up
+        # otherwise the router has abandoned the first execution
+        if others and now - asked + self.held_up(asked - UNASKED_S) <= UNASKED_S:
             self.faults.append(f"twice at once: {request} on {engine} beside {sorted(others)}")
         others.add(engine)
         self.runs[request] += 1
@@ -53,43 +57,51 @@
             self.faults.append(f"drained: {request} sent to {engine} {since:.2f} s after")
 
     def end(self, engine: str, request: str) -> None:
+        """Record that an engine no longer runs a request."""
         self.running.get(request, set()).discard(engine)
 
     def is_part(self, name: str, query: str, group: int) -> None:
-        """A request that has begun is a part of a scattered query."""
+        """Record that a request that has started is a part of a scattered query."""
         if self.part_of.setdefault((query, group), name) != name:
             self.faults.append(f"parts: group {group} of {query} was sent as two parts")
         self.parts.setdefault(name, Part(query, group))
 
     def hold(self, engine: str, threads: int) -> None:
+        """Add to the number of threads that an engine has in use; a negative number releases threads."""
         self.threads[engine] = self.threads.get(engine, 0) + threads
         self.most_threads = max(self.most_threads, self.threads[engine])
 
 
 @dataclass(slots=True)
 class Part:
-    """Of a scattered query, as engines saw it."""
+    """A part of a scattered query, as engines observe it."""
 
     query: str
     group: int
-    rows: set[bytes] = field(default_factory=set)  # of runs that came to their end
-    dropped: float | None = None  # when an engine let go of it, as nobody asked for it; loop's clock
+    rows: set[bytes] = field(default_factory=set)  # results of completed executions
+    # when an engine cancelled it because no router requested it; event loop's clock
+    dropped: float | None = None
 
 
 @dataclass(slots=True)
 class Run:
+    """One execution of a request on an engine."""
+
     group: int
     threads: int
-    left: float  # s of work that each thread has still to do
+    left: float  # s of work that remain for each thread
     asked: float
     done: asyncio.Event = field(default_factory=asyncio.Event)
-    answer: bytes | None = None  # None: dropped
+    answer: bytes | None = None  # None: cancelled
 
 
 class RigEngine(StandInEngine):
-    """Runs statements like ``SELECT 80`` for so many ms on one core, reports and loads on two threads;
-    threads share the cores evenly. It holds calls for 250 ms, gives a good end again, and drops what nobody
-    asks for."""
+    """Runs statements like ``SELECT 80`` for the given number of milliseconds of one core; reports and loads
+    use two threads.
+
+    Threads share the cores evenly. A call waits at the engine for up to 250 ms; the result of a completed
+    execution is returned again on repeated calls; an execution that no router requests any more is cancelled.
+    """
 
     def __init__(self, name: str, book: Book, marks: Marks, cores: int = 8) -> None:
         super().__init__(self._answer)
@@ -97,19 +109,22 @@
         self.book = book
         self.marks = marks
         self.cores = cores
-        # as the list tells them
+        # state and start time as the endpoint list reports them
         self.state = "SERVING"
         self.born_ms = 0
         self._cold_until = 0.0
-        self._times: dict[int | None, float] = {}  # as long, by group of tables; None: all others
+        # factor of the duration by table group; None: all other groups
+        self._times: dict[int | None, float] = {}
         self._runs: dict[str, Run] = {}
         self._stepping: asyncio.Task[None] | None = None
-        self.open_calls = 0  # that are not answered yet
+        self.open_calls = 0  # calls that are not answered yet
 
     def begin(self) -> None:
+        """Start the simulation of work."""
         self._stepping = asyncio.get_running_loop().create_task(self._step())
 
     def end(self) -> None:
+        """Stop the engine and abort its connections."""
         if self._stepping is not None:
             self._stepping.cancel()
         self.server.close()
@@ -117,8 +132,10 @@
             writer.transport.abort()
 
     def reset(self) -> int:
-        """Break every connection off, calls under way too; queries run on, as they belong to none. Returns
-        how many calls were cut."""
+        """Abort every connection, those with calls under way too, and return how many calls were cut.
+
+        Queries continue, as they belong to no connection.
+        """
         cut = self.open_calls
         for writer in self.writers:
             writer.transport.abort()
@@ -126,7 +143,11 @@
         return cut
 
     def renew(self, born_ms: int) -> None:
-        """Another process at the same address: what ran is lost, and it is cold. ``born_ms``: Unix time."""
+        """Replace the engine by another process at the same address: running queries are lost, and it is in
+        slow start.
+
+        ``born_ms`` is the start time of the new process in Unix time.
+        """
         self.reset()
         for name, run in self._runs.items():
             self._close(name, run, None)
@@ -134,7 +155,7 @@
         self.born_ms, self._cold_until = born_ms, asyncio.get_running_loop().time() + RAMP_S
 
     def slow_down(self, groups: tuple[int, ...], times: float) -> None:
-        """What runs and comes takes so many times as long; inf: it never ends."""
+        """Multiply the duration of current and future queries by ``times``; with infinity they never end."""
         if not groups:
             self._times.clear()
         self._times.update(dict.fromkeys(groups or (None,), times))
@@ -149,7 +170,7 @@
             writer.transport.abort()
 
     async def _step(self) -> None:
-        """Work goes on in steps of 5 ms."""
+        """Advance the simulated work in steps of 5 ms."""
         loop = asyncio.get_running_loop()
         before = loop.time()
         while True:
--- a/slipbay/rig/faults.py
+++ b/slipbay/rig/faults.py
@@ -1,4 +1,4 @@
-"""What a script does to a fleet."""
+"""Performs the actions of a scenario on a fleet of routers."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
 from slipbay.rig.tcp_proxy import WAYS, TcpProxy
 from slipbay.rig.udp_proxy import UdpProxy
 
-TOLD_S = 7.0  # after an event, when it counts as told to a router that the journal does not reach
+# s after an event, when a router that the journal does not reach must have received it otherwise
+TOLD_S = 7.0
 
 
 @dataclass(frozen=True)
 class Parts:
-    """What there is to break."""
+    """The components of a run that actions affect."""
 
     routers: list[RouterProcess]
     engines: list[RigEngine]
@@ -29,19 +30,22 @@
     wires: TcpProxy | None
     script: Scenario
     verdict: Verdict
-    tell: Callable[[tuple[int, ...]], None]  # the journal tells how these engines are now
+    tell: Callable[[tuple[int, ...]], None]  # publishes the current state of these engines
 
 
 class Faults:
-    """Does each action at its time. One that takes long does not hold up others, but for those on the same
-    routers, which wait until it is done."""
+    """Performs each action at its time.
+
+    Actions run concurrently, except that actions on the same router wait for each other.
+    """
 
     def __init__(self, parts: Parts) -> None:
         self.parts = parts
-        self.done: list[tuple[float, str]] = []  # when what was done, in s from when all were up
+        # time in s from when all routers were ready, and text of each action
+        self.done: list[tuple[float, str]] = []
 
     async def run(self, actions: tuple[Action, ...], began: float) -> None:
-        """``began``: from when on the actions' times count, in s of the loop's clock."""
+        """Perform all actions. Their times count from ``began``, in s of the event loop's clock."""
         loop = asyncio.get_running_loop()
         under_way = []
         self._began = began
@@ -155,6 +159,6 @@
             await life.ended()
 
     async def _start(self, router: RouterProcess) -> None:
-        """A new life where there is none; others go on while it starts."""
+        """Start a process of a router that has none; other actions continue meanwhile."""
         if not router.alive:
             await router.spawn()
--- a/slipbay/rig/host_load.py
+++ b/slipbay/rig/host_load.py
@@ -1,4 +1,4 @@
-"""How much the machine itself holds up a play, so that a busy one is not taken for a fault of the program."""
+"""Measures how much the host delays a run, so that a busy host is not taken for a fault of the program."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 def waited_s(pid: int) -> float:
-    """How long a process was ready to run and had no core, since its start; 0 where the system can't tell."""
+    """Return for how many seconds a process was runnable without a core since its start.
+
+    Returns 0 where the system does not provide it.
+    """
     try:
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
     except (OSError, IndexError, ValueError):
@@ -25,17 +28,19 @@
 
 
 class HostLoad:
-    """Samples of how long the rig and the routers waited for a core, and how late the rig's loop was."""
+    """Samples how long the rig and the routers waited for a core, and how late the rig's event loop ran."""
 
     def __init__(self, pids: Callable[[], Iterable[int]]) -> None:
         self._pids = pids
-        # of our loop, and when it is to sample again
+        # delay of the event loop so far, and time of its next sample
         self._late = 0.0
         self._due = inf
-        self._flying: deque[float] = deque()  # datagrams to ourselves that have not come, by when they left
+        # send times of datagrams to the rig itself that have not arrived
+        self._flying: deque[float] = deque()
         self._samples: deque[tuple[float, float, dict[int, float]]] = deque(maxlen=int(KEPT_S / EVERY_S))
 
     async def watch(self) -> None:
+        """Take samples until cancelled."""
         loop = asyncio.get_running_loop()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as itself:
             itself.bind(("127.0.0.1", 0))
@@ -47,7 +52,7 @@
                 loop.remove_reader(itself)
 
     def _came(self, itself: socket.socket) -> None:
-        """What the system's network holds back is late like what we do not come to."""
+        """Count the delay of a datagram in the system's network stack like a delay of the event loop."""
         (left,) = TIME.unpack(itself.recv(TIME.size))
         self._late += max(0.0, asyncio.get_running_loop().time() - left - 0.01)
         while self._flying and self._flying[0] <= left:
@@ -72,8 +77,11 @@
         return waited_s(os.getpid()) + self._late
 
     def held_up(self, since: float) -> float:
-        """Seconds for which we, and besides the router that waited longest, were held up since a moment of
-        the loop's clock. What our loop has not come to yet counts too."""
+        """Return the seconds of delay since a time of the event loop's clock.
+
+        The result is the delay of the rig, plus that of the router that waited longest. Delay that the event
+        loop has not yet noticed is included.
+        """
         for at, own, routers in reversed(self._samples):
             if at <= since:
                 most = max((waited_s(pid) - before for pid, before in routers.items()), default=0.0)
--- a/slipbay/rig/load.py
+++ b/slipbay/rig/load.py
@@ -1,4 +1,4 @@
-"""Clients: the load of a script, and what each request got."""
+"""Clients: they send the load of a scenario and check the answer to each request."""
 
 from __future__ import annotations
 
@@ -16,14 +16,18 @@
 from slipbay.rig.scenario import Scenario, Tenant
 from slipbay.rig.standins import HOST
 
-LOST_S = 20.0  # after its limit, when a client holds its answer for lost
-FIRST_S = 1.0  # who says nothing for so long after it came may be let go, and asks once more
-SLACK_S = 0.3  # on a client's time, besides what the machine kept the router and us from running
+LOST_S = 20.0  # s after its deadline, when a client counts an answer as lost
+# a connection that stays idle for this long after it is accepted may be closed; the client then sends again
+FIRST_S = 1.0
+# s by which an answer may be late, besides the time for which the host delayed the router and the rig
+SLACK_S = 0.3
 
 
 class Clients:
-    """Each request has a connection of its own, to a router that is up: one answer, whole and in time,
-    unless its router dies."""
+    """Sends each request on a connection of its own to a router that is ready.
+
+    Each request must receive one complete answer in time, unless its router ends.
+    """
 
     def __init__(
         self,
@@ -33,14 +37,14 @@
         random: Random,
         held_up: Callable[[float], float],
     ) -> None:
-        """``held_up``: for how long the machine kept us from running since a moment of the loop's clock."""
+        """Create clients; ``held_up`` returns for how many seconds the host delayed the rig since a time."""
         self.script = script
         self.routers = routers
         self.verdict = verdict
         self.random = random
         self._held_up = held_up
         self._survey = script.survey
-        self._present: dict[str, tuple[int, ...]] = {}  # groups in answers to scattered queries
+        self._present: dict[str, tuple[int, ...]] = {}  # table groups in the answers to scattered queries
         self._open: set[asyncio.Task[None]] = set()
         self._count = 0
         self._began = 0.0
@@ -49,7 +53,7 @@
         return asyncio.get_running_loop().time() - self._began
 
     def _wishes(self) -> Iterator[tuple[float, Tenant, str]]:
-        """When who wants what, by chance at the rates of the script."""
+        """Yield time, tenant and class of each request, at random at the rates of the scenario."""
         sources = [
             (tenant, name, rate)
             for tenant in self.script.load.sources
@@ -69,7 +73,9 @@
                 yield at, tenant, name
 
     async def run(self, began: float) -> None:
-        """All of the load, until the last answer. ``began``: in s of the loop's clock."""
+        """Send all of the load and wait for the last answer. ``began`` is a time of the event loop's clock
+        in s.
+        """
         loop = asyncio.get_running_loop()
         self._began = began
         for at, tenant, name in self._wishes():
@@ -87,12 +93,12 @@
             await asyncio.wait(self._open)
 
     def _find(self, number: int, places: Sequence[int]) -> RouterIncarnation | None:
-        """A life of that router, or of another of its client's where it is not up."""
+        """Choose a process of that router, or of another of the client's routers if that one is not ready."""
         ready = self.routers[number].ready or [life for n in places for life in self.routers[n].ready]
         return self.random.choice(ready) if ready else None
 
     async def _want(self, wish: Wish, places: Sequence[int], work_ms: int) -> None:
-        """All attempts for a wish; its time counts from the first."""
+        """Make all attempts for a request; its duration counts from the first attempt."""
         load = self.script.load
         keyed = bool(self.script.store) and wish.service_class == "ticket-load"
         number = wish.router
@@ -115,15 +121,16 @@
             if answer.outcome == "refused":
                 if not load.honour_later:
                     return
-                txn = txn if keyed else ""  # a repeat without a key is a request of its own
+                txn = txn if keyed else ""  # a repeated attempt without a key is a request of its own
                 await asyncio.sleep(answer.later_s or 0.0)
             elif not keyed or answer.outcome == "served" or not await self._back(life.router):
                 return
             if keyed:
-                number, places = life.router.number, [life.router.number]  # which alone knows the key
+                # only this router has the key record
+                number, places = life.router.number, [life.router.number]
 
     async def _back(self, router: RouterProcess) -> bool:
-        """Wait until a router is up again; False where the script leaves it down."""
+        """Wait until a router is ready again; return False if the scenario does not start it again."""
         while not router.ready:
             if not router.alive and self._now() > self.script.seconds:
                 return False
@@ -152,7 +159,7 @@
             self._present.pop(txn, ()),
         )
         self.verdict.answers.append(answer)
-        if life.ready:  # nobody has ended or stopped it: it owes a whole answer
+        if life.ready:  # the router is neither ended nor stopped, so it must send a complete answer
             if outcome == "unreached":
                 self.verdict.faults.append(f"router {life.router.number} takes no connection")
             if outcome in ("cut", "silent"):
@@ -208,7 +215,7 @@
             writer.transport.abort()
 
     async def _more(self, reader: asyncio.StreamReader) -> bool:
-        """Whether more than the one answer comes."""
+        """Whether the router sends more than the one answer."""
         try:
             return bool(await asyncio.wait_for(reader.read(1), 0.02))
         except (OSError, TimeoutError):
--- a/slipbay/rig/platform.py
+++ b/slipbay/rig/platform.py
@@ -1,4 +1,6 @@
-"""What the platform would tell a router: the settings with its rules, and classes as clients know them."""
+"""What the platform provides to a router: settings with its rules, and the service classes as clients use
+them.
+"""
 
 from __future__ import annotations
 
@@ -8,14 +10,16 @@
 
 @dataclass(frozen=True)
 class ServiceClass:
+    """A service class: its effect, time limits in s and utility."""
+
     name: str
     effect: str
-    aim_s: float  # within which an answer counts as in time
+    aim_s: float  # latency objective
     limit_s: float
     worth: float
 
 
-SURVEY = "survey"  # of scattered queries; routers know it where a script has them
+SURVEY = "survey"  # class of scattered queries; routers have it where the scenario configures scattering
 CLASSES = {
     one.name: one
     for one in (
@@ -26,14 +30,16 @@
     )
 }
 TENANT = "ishikari-fuel"
-RAMP_S = 13.0  # that an engine is cold after its birth
+RAMP_S = 13.0  # s of slow start after an engine's start
 
 
 def zone_names(zones: int) -> list[str]:
+    """Return the names of that many zones."""
     return [f"room-{chr(97 + n)}" for n in range(zones)]
 
 
 def settings(me: int, routers: int, zones: int, tenants: list[str], surveys: bool = False) -> dict[str, Any]:
+    """Return the settings object of router ``me``."""
     classes = [one for name, one in CLASSES.items() if surveys or name != SURVEY]
     return {
         "balancers": routers,
--- a/slipbay/rig/process.py
+++ b/slipbay/rig/process.py
@@ -1,4 +1,4 @@
-"""Routers as processes of their own, in their lives."""
+"""Routers as processes; one router may run several processes, one after another or two at a time."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from slipbay.rig.skewed import write_jump
 
-START_S = 60.0  # within which a router listens, on a busy machine too
+START_S = 60.0  # s within which a router must listen, also on a busy host
 
 
 class RouterIncarnation:
@@ -27,13 +27,14 @@
         self.seat = seat
         self.process: asyncio.subprocess.Process | None = None
         self.port = 0
-        self.ready = False  # it listens, and nobody has ended or stopped it
-        self._ended = False  # somebody has killed it, or asked it to end
-        self._stood: list[list[float]] = []  # when it was stopped, and went on; s of the loop's clock
-        self.up = asyncio.Event()  # it listens, or has ended before it did
+        self.ready = False  # it listens, and is neither ended nor stopped by the rig
+        self._ended = False  # the rig has sent SIGKILL or SIGTERM
+        self._stood: list[list[float]] = []  # spans in which it was stopped; s of the event loop's clock
+        self.up = asyncio.Event()  # set when it listens, or has ended before that
         self._reading: asyncio.Task[None] | None = None
 
     async def begin(self, command: list[str], environment: dict[str, str]) -> None:
+        """Start the process, and read its log lines."""
         self.process = await asyncio.create_subprocess_exec(
             *command, stderr=asyncio.subprocess.PIPE, env={**os.environ, **environment}
         )
@@ -45,7 +46,7 @@
             self.router.lines.append(line.rstrip())
             if "listens at" in line:
                 self.port = int(line.split("listens at ")[1].split()[0].rpartition(":")[2].rstrip(","))
-                self.ready = not self._ended and not self.stands  # what we read it may have said before
+                self.ready = not self._ended and not self.stands  # the line may be older than the signal
                 self.router.came_up(self)
                 self.up.set()
         self.ready = False
@@ -53,9 +54,11 @@
 
     @property
     def alive(self) -> bool:
+        """Whether the process runs, also while it is stopped."""
         return self.process is not None and self.process.returncode is None
 
     def signal(self, number: signal.Signals) -> None:
+        """Send a signal to the process, and record what it does to its state."""
         self._ended = self._ended or number in (signal.SIGKILL, signal.SIGTERM)
         if self._ended or number == signal.SIGSTOP:
             self.ready = False
@@ -70,28 +73,32 @@
 
     @property
     def stands(self) -> bool:
-        """Whether it is stopped now."""
+        """Whether the process is stopped by SIGSTOP now."""
         return bool(self._stood) and self._stood[-1][1] == inf
 
     def stood_s(self, since: float) -> float:
-        """For how long it was stopped since a moment of the loop's clock: what it held may be so much
-        later."""
+        """Return for how many seconds the process was stopped since a time of the event loop's clock.
+
+        Its answers may be late by this time.
+        """
         now = asyncio.get_running_loop().time()
         return sum(max(0.0, min(now, until) - max(since, at)) for at, until in self._stood)
 
     def hold(self) -> None:
-        """Stand still for a moment, which clients do not notice."""
+        """Stop the process briefly, without recording it as stopped: clients do not notice."""
         if self.process is not None:
             os.kill(self.process.pid, signal.SIGSTOP)
             state = ""
-            while state not in ("T", "Z", "X"):  # the signal takes effect soon, not at once
+            while state not in ("T", "Z", "X"):  # the signal takes effect after a short delay
                 state = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()[0]
 
     def let_go(self) -> None:
+        """Continue the process after ``hold``."""
         if self.process is not None:
             os.kill(self.process.pid, signal.SIGCONT)
 
     async def ended(self) -> int:
+        """Wait until the process ends and return its exit code."""
         assert self.process is not None
         code = await self.process.wait()
         if self._reading is not None:
@@ -100,9 +107,9 @@
 
 
 class RouterProcess:
-    """One router by its number."""
+    """One router, by its number, with all processes that ran for it."""
 
-    program: tuple[str, ...] = ("-m", "slipbay")  # arguments of the interpreter
+    program: tuple[str, ...] = ("-m", "slipbay")  # arguments of the Python interpreter
 
     def __init__(
         self,
@@ -112,8 +119,12 @@
         files: dict[str, str],
         came_up: Callable[[RouterIncarnation], None],
     ) -> None:
-        """``files``: texts of operator files by name. The word ``{own}`` in one stands for a folder of this
-        router's own that outlives it. A second life beside the first has seat 1, and all of its own."""
+        """Create a router that does not run yet.
+
+        ``files`` holds the texts of operator files by name. ``{own}`` in a text is replaced by a directory of
+        this router that outlives its processes. A second process that runs beside the first has seat 1 and
+        its own files.
+        """
         self.number = number
         self._config = config
         self._folder = folder
@@ -121,17 +132,18 @@
         self.lives: list[RouterIncarnation] = []
         self.lines: list[str] = []
         self.came_up = came_up
-        self.clock_ms = 0.0  # by which the wall clock of its next lives is off
-        self.jumps = False  # whether its clock is one that can jump
-        self.source: Path | None = None  # where ``slipbay`` lies that its next lives run; None: ours
+        self.clock_ms = 0.0  # offset of the wall clock of its next processes
+        self.jumps = False  # whether its clock can jump
+        # directory of the ``slipbay`` package of its next processes; None: the rig's own
+        self.source: Path | None = None
         self._jumped_ms = 0.0
-        self.lock = asyncio.Lock()  # what is done to it is done in turn
+        self.lock = asyncio.Lock()  # actions on the router run one after another
 
     async def spawn(self, seat: int = 0) -> RouterIncarnation:
-        """A new life, which does not listen yet."""
+        """Start another process, which does not listen yet."""
         file = self._folder / f"n{self._tag(seat)}.json"
         file.write_text(json.dumps(self._config(seat)))
-        if not (key := self._folder / "key").exists():  # others may be reading it
+        if not (key := self._folder / "key").exists():  # other routers may be reading the file
             key.write_text("a key of this play\n")
         paths = {name: self._write(name, seat) for name in self._files}
         life = RouterIncarnation(self, len(self.lives), seat)
@@ -154,7 +166,9 @@
 
     @property
     def _safe_path(self) -> tuple[str, ...]:
-        """With a source of its own, nothing is imported from where the rig was started."""
+        """Interpreter option for a router with its own source, so that it imports nothing from the working
+        directory.
+        """
         return ("-P",) if self.source is not None else ()
 
     @property
@@ -162,7 +176,7 @@
         return self._folder / f"jump{self.number}"
 
     def jump(self, ms: float) -> None:
-        """The monotonic clock of its lives leaps ahead, or stands still; only where ``jumps`` is set."""
+        """Let the monotonic clock of its processes jump ahead or stand still; needs ``jumps``."""
         self._jumped_ms += ms
         write_jump(self._jump_file, self._jumped_ms)
 
@@ -171,14 +185,14 @@
 
     @property
     def own(self) -> Path:
-        """Where its store and alike lie."""
+        """Directory of its store and other state."""
         return self._folder / f"own{self.number}"
 
     def _copy(self, name: str) -> Path:
         return self._folder / f"{name}-of{self.number}"
 
     def copy_store(self, name: str) -> None:
-        """Keep what lies on its disk now, as a machine's copy does: it stands still meanwhile."""
+        """Copy its state directory, while its processes are stopped, so that the copy is consistent."""
         shutil.rmtree(self._copy(name), ignore_errors=True)
         running = [life for life in self.lives if life.alive and life.ready]
         for life in running:
@@ -191,13 +205,13 @@
                 life.let_go()
 
     def replace_store(self, name: str | None) -> None:
-        """Its disk is empty (None), or as it was when that copy was taken."""
+        """Empty its state directory (None), or restore it from a copy."""
         shutil.rmtree(self.own, ignore_errors=True)
         if name is not None and self._copy(name).exists():
             shutil.copytree(self._copy(name), self.own)
 
     def write(self, name: str, text: str) -> Path:
-        """An operator file of this router, as it is from now on; a running one reads it at SIGHUP."""
+        """Replace an operator file of this router; a running process reads it at SIGHUP."""
         self._files[name] = text
         for seat in {life.seat for life in self.lives}:
             self._write(name, seat)
@@ -211,16 +225,20 @@
 
     @property
     def alive(self) -> bool:
+        """Whether any of its processes runs."""
         return any(life.alive for life in self.lives)
 
     @property
     def ready(self) -> list[RouterIncarnation]:
-        """Those of its lives that take requests."""
+        """Those of its processes that accept requests."""
         return [life for life in self.lives if life.ready]
 
     def signal(self, number: signal.Signals, lives: str = "all") -> list[RouterIncarnation]:
-        """To ``all`` of its lives, the ``new`` one that began last, or the ``old`` ones; returns whom it
-        reached."""
+        """Send a signal to ``all`` of its processes, to the ``new`` one that started last, or to the ``old``
+        ones.
+
+        Returns the processes that received it.
+        """
         chosen = {"all": self.lives, "new": self.lives[-1:], "old": self.lives[:-1]}[lives]
         living = [life for life in chosen if life.alive]
         for life in living:
--- a/slipbay/rig/report.py
+++ b/slipbay/rig/report.py
@@ -1,5 +1,6 @@
-"""What is reported of a play: service by second, class and tenant, time to full service after what was done,
-and peaks over the fleet."""
+"""Computes a run's report: service by second, class and tenant, recovery times after actions, and peaks
+over the fleet.
+"""
 
 from __future__ import annotations
 
@@ -10,31 +11,32 @@
 
 from slipbay.rig.platform import CLASSES
 
-WINDOW_S = 0.1  # for peaks
-# full service: this part of what was before, for so long
+WINDOW_S = 0.1  # span over which peaks are counted
+# service is full when it stays at this fraction of the earlier service for this many seconds
 FULL = 0.95
 FULL_S = 1.0
 STEP_S = 0.02
-BEFORE_S = 10.0  # how much of the time before the first action counts as steady
+BEFORE_S = 10.0  # how many seconds before the first action count as steady
 PEAKS = ("connects", "list_calls", "probes", "sends", "cold_sends", "messages")
 
 
 class Marks:
-    """When things of some sorts happened, in s of one clock."""
+    """Times of events by kind, and thread counts of engines, in s of one clock."""
 
     def __init__(self) -> None:
         self._times: dict[str, list[float]] = defaultdict(list)
         self._levels: list[tuple[float, int]] = []
 
     def add(self, sort: str, now: float) -> None:
+        """Record an event."""
         self._times[sort].append(now)
 
     def level(self, now: float, threads: int) -> None:
-        """An engine has so many threads at work now."""
+        """Record the number of threads that an engine has in use now."""
         self._levels.append((now, threads))
 
     def peak(self, sort: str, since: float, until: float) -> int:
-        """Most of them in any 100 ms of a span."""
+        """Return the largest number of events of a kind in any 100 ms of a span."""
         times = self._times[sort]
         most = 0
         first = bisect_left(times, since)
@@ -45,34 +47,36 @@
         return most
 
     def highest(self, since: float, until: float) -> int:
-        """Most threads on an engine in a span."""
+        """Return the largest number of threads in use on one engine in a span."""
         return max((threads for at, threads in self._levels if since <= at < until), default=0)
 
 
 @dataclass(slots=True)
 class Wish:
-    """What a client wants, over all of its attempts; times in s from when all routers were up."""
+    """What a client requests, over all of its attempts; times in s from when all routers are ready."""
 
     at: float
     service_class: str
     tenant: str
     router: int
-    outcome: str = "open"  # of its last attempt
-    took_s: float = 0.0  # from its first attempt on
+    outcome: str = "open"  # outcome of its last attempt
+    took_s: float = 0.0  # from its first attempt
     tries: int = 0
-    work_ms: int = 0  # on one core
+    work_ms: int = 0  # work in ms of one core
 
     @property
     def worth(self) -> float:
+        """Utility of an answer in time."""
         return CLASSES[self.service_class].worth
 
     @property
     def in_time(self) -> bool:
+        """Whether the client was served within the latency objective of the class."""
         return self.outcome == "served" and self.took_s <= CLASSES[self.service_class].aim_s
 
 
 class Service:
-    """Worth that was asked for and served in time, by when it was asked for."""
+    """Utility that was requested and that was served in time, by the time of the request."""
 
     def __init__(self, wishes: list[Wish]) -> None:
         self._wishes = sorted(wishes, key=lambda wish: wish.at)
@@ -83,22 +87,28 @@
             self._sums.append((asked + wish.worth, good + wish.worth * wish.in_time))
 
     def share(self, since: float, until: float) -> float | None:
-        """Part of the worth asked for in a span that was served in time; None where none was asked for."""
+        """Return the fraction of the utility requested in a span that was served in time.
+
+        Returns None if there were no requests in it.
+        """
         first = bisect_left(self._times, since)
         last = bisect_left(self._times, until)
         (asked, good), (all_asked, all_good) = self._sums[first], self._sums[last]
         return (all_good - good) / (all_asked - asked) if last > first else None
 
     def without_cut(self) -> Service:
-        """Those alone whose router did not die under them: what was served before deaths."""
+        """Return the service without requests whose router ended under them: the service before a kill."""
         return Service([wish for wish in self._wishes if wish.outcome != "cut"])
 
     def cut(self, since: float, until: float) -> int:
-        """Wishes that ended in a span with the death of their router."""
+        """Return the number of requests that ended in a span because their router ended."""
         return sum(wish.outcome == "cut" and since <= wish.at + wish.took_s < until for wish in self._wishes)
 
     def full_after(self, at: float, before: float, end: float) -> float | None:
-        """Time from ``at`` until service stays at 0.95 of ``before`` for 1 s; None where it was not seen."""
+        """Return the time from ``at`` until service stays at 0.95 of ``before`` for 1 s.
+
+        Returns None if that was not observed.
+        """
         for step in range(int((end - FULL_S - at) / STEP_S) + 1):
             since = at + step * STEP_S
             share = self.share(since, since + FULL_S)
@@ -107,6 +117,7 @@
         return None
 
     def by_second(self) -> list[dict[str, Any]]:
+        """Return counts of outcomes by second, class and tenant."""
         rows: dict[tuple[int, str, str], dict[str, Any]] = {}
         for wish in self._wishes:
             key = int(wish.at), wish.service_class, wish.tenant
@@ -138,10 +149,11 @@
     began: float,
     seconds: float,
 ) -> list[dict[str, Any]]:
-    """The time before the first action, and from each until the next: service, time to full, and peaks.
+    """Return service, time to full service, and peaks for the time before the first action and from each
+    action to the next.
 
-    ``actions``, ``ready`` (when routers came to listen) and ``seconds`` count from ``began``, which is of the
-    clock of ``marks``.
+    ``actions``, ``ready`` (when routers started to listen) and ``seconds`` count from ``began``, a time of
+    the clock of ``marks``.
     """
     marked = [(0.0, "start"), *actions]
     first = actions[0][0] if actions else seconds
@@ -167,7 +179,7 @@
 
 
 def table(rows: list[dict[str, Any]]) -> list[str]:
-    """Stretches for people: peaks are the most in any 100 ms over the fleet."""
+    """Format the intervals as text; peaks are the largest numbers in any 100 ms over the fleet."""
 
     def cell(value: float | None, form: str = ".2f") -> str:
         return "-" if value is None else format(value, form)
--- a/slipbay/rig/runner.py
+++ b/slipbay/rig/runner.py
@@ -1,4 +1,4 @@
-"""Plays a script: routers as processes of their own, load on them, faults between them, and a verdict."""
+"""Runs a scenario: routers as processes, load on them, faults between them, and a check of the rules."""
 
 from __future__ import annotations
 
@@ -36,9 +36,11 @@
 
 
 def own_net() -> tuple[int, socket.socket]:
-    """A net 127.x that no other play on this machine has, and the socket that keeps it until it is closed.
+    """Reserve a network 127.x that no other run on this host uses, and return it with the socket that holds
+    it.
 
-    Plays side by side would else take each other's messages for their own routers'.
+    The network is released when the socket is closed. Runs in parallel would otherwise receive each other's
+    messages.
     """
     for n in range(200):
         net = 20 + (os.getpid() + n) % 200
@@ -54,11 +56,12 @@
 
 
 def joined(address: Address) -> str:
+    """Return an address as ``host:port``."""
     return f"{address[0]}:{address[1]}"
 
 
 class Rig:
-    """All of a play."""
+    """One run of a scenario, with all of its processes and stand-in services."""
 
     def __init__(self, script: Scenario, folder: Path) -> None:
         self.script = script
@@ -108,15 +111,16 @@
         self.faults = Faults(
             Parts(self.routers, self.engines, self.links, self.wires, script, self.verdict, self._tell)
         )
-        self.ready: list[float] = []  # when routers came to listen
+        self.ready: list[float] = []  # when routers started to listen
         self.began = 0.0
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
+        """The running event loop."""
         return asyncio.get_running_loop()
 
     def _hosts(self, router: int) -> list[dict[str, Any]]:
-        """The list as one router is told it."""
+        """Return the endpoint list as one router receives it."""
         zones = zone_names(self.script.zones)
         found = []
         for n, engine in enumerate(self.engines):
@@ -151,7 +155,7 @@
         }
 
     def _tell(self, numbers: tuple[int, ...]) -> None:
-        """The journal tells how these engines are now."""
+        """Publish the current state of these engines in the endpoint list."""
         told = {
             router: [hosts[n] for n in numbers]
             for router, hosts in enumerate(map(self._hosts, range(self.script.routers)))
@@ -163,9 +167,11 @@
             self.ready.append(self.loop.time() - self.began)
 
     def say(self, text: str) -> None:
+        """Add a line to the timeline of the run."""
         self.verdict.timeline.append(f"{self.loop.time() - self.began:7.2f} s  {text}")
 
     async def play(self) -> Verdict:
+        """Start everything, run the scenario, stop everything, and check the rules."""
         watching = self.loop.create_task(self.machine.watch())
         await self.links.open()
         await self.journal.start()
@@ -212,7 +218,9 @@
         return self.verdict
 
     async def _come_up(self) -> None:
-        """Those that were started last listen, or have ended, which is a fault or the script's doing."""
+        """Wait until the most recent processes listen or have ended, whether by a fault or by the
+        scenario.
+        """
         async with asyncio.timeout(START_S):
             for router in self.routers:
                 await router.lives[-1].up.wait()
@@ -230,7 +238,8 @@
                 code = await life.ended()
                 self.verdict.faults.append(f"router {life.router.number} did not end after SIGTERM")
             if code not in (0, -signal.SIGKILL):
-                said = life.router.lines[-1:] if code > 0 else []  # by one that can't start, the reason
+                # a router that cannot start logs the reason last
+                said = life.router.lines[-1:] if code > 0 else []
                 self.verdict.faults.append(
                     ": ".join([f"router {life.router.number} ended with {code}", *said])
                 )
@@ -243,12 +252,12 @@
         self._net.close()
 
     def _peer(self, router: RouterProcess) -> Address:
-        """Where its last life listens for peers."""
+        """Return the address on which a router's latest process listens for peers."""
         seat = [life for life in router.lives if life.alive][-1].seat
         return self.links.twins[router.number] if seat else self.real[router.number]
 
     async def _settle(self) -> None:
-        """Ask every router for its view until all are right."""
+        """Query every router's membership view until all views are correct."""
         from slipbay.membership.status_client import ask
         from slipbay.peer_channel.status_pages import NoAnswerError
 
@@ -274,6 +283,6 @@
 
 
 def play(script: Scenario) -> Verdict:
-    """Play a script in an event loop of its own; its files lie in a temporary folder."""
+    """Run a scenario in an event loop of its own, with its files in a temporary directory."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(Rig(script, Path(folder)).play())
--- a/slipbay/rig/scenario.py
+++ b/slipbay/rig/scenario.py
@@ -1,5 +1,6 @@
-"""Scripts of the rig: a checked TOML file that says what is started, which load it gets, and what is done
-when."""
+"""Scenarios of the rig: a checked TOML file with the processes to start, their load, and the actions with
+their times.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +15,9 @@
 from slipbay.rig.platform import SURVEY, TENANT
 from slipbay.scatter_gather.config_schema import ScatterTable
 
-WIRE = ("wire", "routers", "engines", "router_zones", "engine_zones")  # absent ones: all
-ACTIONS = {  # what can be done, and with which keys
+# keys of actions on TCP connections; an absent key means all
+WIRE = ("wire", "routers", "engines", "router_zones", "engine_zones")
+ACTIONS = {  # actions and their keys
     "kill": ("routers", "lives"),
     "start": ("routers",),
     "stop": ("routers", "lives"),
@@ -46,7 +48,8 @@
     "lose_store": ("routers",),
 }
 NEEDS = ("routers", "engines", "from", "to", "part", "ms", "file", "times")  # keys without a default
-FILES = ("fleet", "channel", "comeback", "quota", "gather", "store")  # operator files that a script may hold
+# operator files that a scenario may contain
+FILES = ("fleet", "channel", "comeback", "quota", "gather", "store")
 
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
@@ -55,7 +58,7 @@
 
 
 class Action(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One thing that is done; times in s, numbers of routers or engines from 0."""
+    """One action; times in s, numbers of routers or engines from 0."""
 
     at: NotNegative
     what: str
@@ -64,19 +67,19 @@
     sources: Numbers = msgspec.field(default=(), name="from")
     targets: Numbers = msgspec.field(default=(), name="to")
     one_way: bool = False
-    lives: Literal["all", "old", "new"] = "all"  # where a router has two
+    lives: Literal["all", "old", "new"] = "all"  # which processes, where a router has two
     part: Annotated[float, Meta(ge=0, le=1)] = 0.0
     ms: float = 0.0
     after_s: NotNegative = 0.3
-    groups: Numbers = ()  # of tables whose queries it is about; none: all
-    times: Annotated[float, Meta(gt=0)] = 1.0  # as long
+    groups: Numbers = ()  # table groups whose queries it affects; empty: all
+    times: Annotated[float, Meta(gt=0)] = 1.0  # factor of the duration
     file: Literal["", "fleet", "channel", "comeback", "quota", "gather", "store"] = ""
     text: str = ""
-    name: Annotated[str, Meta(pattern="^[a-z0-9]+$")] = "copy"  # of copies of stores
+    name: Annotated[str, Meta(pattern="^[a-z0-9]+$")] = "copy"  # of a copy of a store
     wire: Literal["engines", "journal"] = "engines"
     router_zones: Numbers = ()
     engine_zones: Numbers = ()
-    way: Literal["both", "there", "back"] = "both"  # from routers, to routers
+    way: Literal["both", "there", "back"] = "both"  # there: from routers; back: to routers
 
     def __str__(self) -> str:
         keys = [key for key in ACTIONS[self.what] if key != "text"]
@@ -88,34 +91,36 @@
 
 
 class Tenant(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Clients of one tenant; rates in requests a second."""
+    """Clients of one tenant; rates in requests per second."""
 
     name: Annotated[str, Meta(min_length=1)]
     lookups: NotNegative = 0.0
     reports: NotNegative = 0.0
     loads: NotNegative = 0.0
     surveys: NotNegative = 0.0  # scattered queries
-    routers: Numbers = ()  # that they connect to; none: all
-    since_s: NotNegative = 0.0  # when they begin and end
+    routers: Numbers = ()  # routers that the clients connect to; empty: all
+    since_s: NotNegative = 0.0  # when the clients start and end
     until_s: Positive = 1e9
 
 
 class Load(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Rates in requests a second over all routers, work in ms of one core."""
+    """The load: rates in requests per second over all routers, work in ms of one core."""
 
     lookups: NotNegative = 40.0
     reports: NotNegative = 2.0
     loads: NotNegative = 1.0
-    surveys: NotNegative = 0.0  # scattered queries, whose parts are as lookups; they need ``gather``
+    surveys: NotNegative = 0.0  # scattered queries, whose parts resemble lookups; they need ``gather``
     lookup_ms: Count = 40
     report_ms: Count = 400
-    work: Literal["exponential", "even"] = "exponential"  # how the work of single requests differs
-    honour_later: bool = False  # whether clients come back after a refusal, when they were told to
-    tries: Count = 4  # of a client for one wish, the first among them
-    tenants: tuple[Tenant, ...] = ()  # in place of the rates above
+    work: Literal["exponential", "even"] = "exponential"  # distribution of the work of single requests
+    # whether clients repeat a rejected request after the time that the answer names
+    honour_later: bool = False
+    tries: Count = 4  # attempts of a client for one request, including the first
+    tenants: tuple[Tenant, ...] = ()  # replaces the rates above
 
     @property
     def sources(self) -> tuple[Tenant, ...]:
+        """Tenants that send requests."""
         return self.tenants or (Tenant(TENANT, self.lookups, self.reports, self.loads, self.surveys),)
 
 
@@ -124,7 +129,7 @@
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Times in s from when all routers are up."""
+    """Processes, load and actions of a run; times in s from when all routers are ready."""
 
     routers: Annotated[int, Meta(ge=1, le=40)] = 3
     engines: Annotated[int, Meta(ge=1, le=100)] = 4
@@ -132,23 +137,26 @@
     seed: Annotated[int, Meta(ge=0)] = 1
     seconds: Annotated[float, Meta(ge=0.1)] = 5.0
     load: Load = Load()
-    fleet: str = ""  # texts of operator files; empty: off
+    fleet: str = ""  # texts of operator files; an empty one turns the feature off
     channel: str = ""
     comeback: str = ""
     quota: str = ""
     gather: str = ""
     store: str = ""
-    without_view: Numbers = ()  # routers that run as a release before the view did
-    settle_s: NotNegative = 0.0  # after the load, within which all views must be right; 0: not asked
+    without_view: Numbers = ()  # routers that run without the membership view, like an earlier release
+    # time after the load within which all views must become correct; 0: not checked
+    settle_s: NotNegative = 0.0
     do: tuple[Action, ...] = ()
 
     @property
     def wired(self) -> bool:
-        """Whether there are relays before engines and the journal."""
+        """Whether TCP proxies stand between the routers and the engines and journal."""
         return any("wire" in ACTIONS[action.what] for action in self.do)
 
     def wires(self, action: Action) -> list[tuple[int, int | None]]:
-        """Pairs of router and engine that an action is about, or of router and None for the journal."""
+        """Return the pairs of router and engine, or of router and None for the journal, that an action
+        concerns.
+        """
         routers = [
             n
             for n in action.routers or range(self.routers)
@@ -165,22 +173,23 @@
 
     @property
     def survey(self) -> ScatterTable | None:
-        """How the queries of its load are scattered."""
+        """How the load's queries are scattered."""
         found = convert(tomllib.loads(self.gather), _Gather, "gather").scatter if self.gather else ()
         return next((one for one in found if one.service_class == SURVEY), None)
 
     @property
     def jumping(self) -> set[int]:
-        """Routers whose clock the script lets jump."""
+        """Routers whose clock jumps in this scenario."""
         return {n for action in self.do if action.what == "jump" for n in action.routers}
 
     @property
     def files(self) -> dict[str, str]:
+        """Texts of the operator files that are not empty, by name."""
         return {name: text for name in FILES if (text := getattr(self, name))}
 
 
 def _plain(value: Any) -> str:
-    """Numbers in short: ``0-4,7``."""
+    """Format a value; numbers are shortened to ranges: ``0-4,7``."""
     if not isinstance(value, tuple):
         return f"{value:g}" if isinstance(value, float) else str(value).lower()
     spans: list[list[int]] = []
@@ -193,7 +202,7 @@
 
 
 def read(path: Path) -> Scenario:
-    """A script from its file. Raises ``ConfigError`` with file and key."""
+    """Read a scenario from its file. Raises ``ConfigError`` with file and key."""
     try:
         return from_table(tomllib.loads(path.read_text()), path.name)
     except (OSError, ValueError) as problem:
@@ -201,6 +210,7 @@
 
 
 def from_table(table: dict[str, Any], name: str = "script") -> Scenario:
+    """Convert and check a scenario. Raises ``ConfigError`` with file and key."""
     script = convert(table, Scenario, name)
 
     def check(good: bool, key: str, wanted: str) -> None:
--- a/slipbay/rig/skewed.py
+++ b/slipbay/rig/skewed.py
@@ -1,8 +1,9 @@
-"""Runs a program whose clocks are off: ``python -m slipbay.rig.skewed MS -m MODULE`` or ``MS SCRIPT``.
+"""Runs a program whose clocks are wrong: ``python -m slipbay.rig.skewed MS -m MODULE`` or ``MS SCRIPT``.
 
-Its wall clock is off by MS for good. Where the variable ``RIG_JUMP`` names a file, its monotonic clock jumps
-by what that holds, ns in 8 bytes, at the moment that it changes: more lets the clock leap ahead, less lets it
-stand still until true time has caught up, as it never goes back. The program itself knows nothing of this.
+Its wall clock has a constant offset of MS. Where the variable ``RIG_JUMP`` names a file, its monotonic clock
+jumps to the offset in the file (ns in 8 bytes) when that changes: a larger offset moves the clock ahead, a
+smaller one lets it stand still until true time has caught up, as it never moves backwards. The program itself
+is unchanged.
 """
 
 from __future__ import annotations
@@ -15,17 +16,17 @@
 from collections.abc import Callable
 from pathlib import Path
 
-BYTES = 8  # of a file of jumps
+BYTES = 8  # size of the offset file in bytes
 
 
 def write_jump(path: Path, ms: float) -> None:
-    """Jumps of the clock that reads ``path`` add up to ``ms`` from now on."""
+    """Set the offset of the clock that reads ``path`` to ``ms``."""
     with open(path, "r+b" if path.exists() else "wb") as file:
         os.pwrite(file.fileno(), int(ms * 1e6).to_bytes(BYTES, "little", signed=True), 0)
 
 
 def jumping(real: Callable[[], int], path: str) -> Callable[[], int]:
-    """A monotonic clock in ns that jumps as the file says."""
+    """Return a monotonic clock in ns that applies the offset in the file."""
     with open(path, "rb") as file:
         told = mmap.mmap(file.fileno(), BYTES, access=mmap.ACCESS_READ)
         last = 0
@@ -39,6 +40,7 @@
 
 
 def main() -> None:
+    """Run the program that the command line names, with changed clocks."""
     offset_ns = int(float(sys.argv[1]) * 1e6)
     program = sys.argv[2:]
     real = time.time_ns
--- a/slipbay/rig/standins.py
+++ b/slipbay/rig/standins.py
@@ -1,4 +1,6 @@
-"""Stand-ins for what a router talks to: the journal service and engines that speak HTTP, on loopback."""
+"""Stand-ins for the services that a router connects to, on loopback: the journal service, and engines with
+HTTP.
+"""
 
 from __future__ import annotations
 
@@ -13,12 +15,15 @@
 async def serve(
     handler: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]], port: int = 0
 ) -> tuple[asyncio.Server, int]:
+    """Start a TCP server on loopback and return it with its port."""
     server = await asyncio.start_server(handler, HOST, port)
     return server, server.sockets[0].getsockname()[1]
 
 
 async def quietly(work: Awaitable[None]) -> None:
-    """Stand-ins end with their connections, however those end."""
+    """Run a connection handler and ignore errors of its connection, as stand-ins end with their
+    connections.
+    """
     try:
         await work
     except (OSError, EOFError, asyncio.CancelledError):
@@ -26,6 +31,7 @@
 
 
 def host(name: str, port: int, state: str = "SERVING", born_ms: int = 0) -> dict[str, Any]:
+    """Return an entry of the endpoint list."""
     return {
         "host": name,
         "dial": f"{HOST}:{port}",
@@ -39,17 +45,21 @@
 
 
 def event(pos: int, *hosts: dict[str, Any], whole: bool = False) -> dict[str, Any]:
+    """Return a watch event of the endpoint list; ``whole``: it replaces the complete list."""
     return {"pos": pos, "hosts": {"seq": pos, "whole": whole, "hosts": list(hosts)}}
 
 
 class StandInEndpointList:
-    """Tells queued lines to whoever tails it, and keeps what it was asked."""
+    """A journal service that sends given lines to the router that follows it, and keeps the requests it
+    received.
+    """
 
     def __init__(self) -> None:
         self.asked: list[bytes] = []
         self.writers: list[asyncio.StreamWriter] = []
 
     async def start(self) -> None:
+        """Start to accept connections."""
         self.server, self.port = await serve(self._serve)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -57,13 +67,17 @@
         self.writers.append(writer)
 
     def tell(self, line: dict[str, Any]) -> None:
+        """Send a line on the latest connection."""
         self.writers[-1].write(json.dumps(line).encode() + b"\n")
 
     def cut(self) -> None:
+        """Abort the latest connection."""
         self.writers.pop().transport.abort()
 
 
 class HttpCall:
+    """An HTTP request that a stand-in engine received."""
+
     def __init__(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
         self.method = method
         self.path = path
@@ -72,6 +86,7 @@
 
 
 def http_answer(status: int, body: bytes = b"", **headers: str) -> bytes:
+    """Return the bytes of an HTTP response; underscores in header names become hyphens."""
     lines = [
         f"HTTP/1.1 {status} x",
         f"Content-Length: {len(body)}",
@@ -84,13 +99,14 @@
 
 
 async def one_page(call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
+    """Answer every query at once with one page."""
     if call.method in ("DELETE", "PUT"):
         return http_answer(204)
     return http_answer(200, b"a\tb\tc\n", X_Sheets="1")
 
 
 class StandInEngine:
-    """Speaks HTTP as its script says: an answer, or None to break the connection off."""
+    """An HTTP server that answers as its script returns: an answer, or None to abort the connection."""
 
     def __init__(self, script: Script = one_page) -> None:
         self.script = script
@@ -98,9 +114,11 @@
         self.writers: list[asyncio.StreamWriter] = []
 
     async def start(self) -> None:
+        """Start to accept connections."""
         self.server, self.port = await serve(lambda r, w: quietly(self._serve(r, w)))
 
     def named(self, method: str) -> list[HttpCall]:
+        """Return the calls received with this HTTP method."""
         return [call for call in self.calls if call.method == method]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/slipbay/rig/tcp_proxy.py
+++ b/slipbay/rig/tcp_proxy.py
@@ -1,6 +1,6 @@
-"""Relays of TCP between each router and each engine, and the journal, that can be cut, stalled and slow.
+"""TCP proxies between each router and each engine, and the journal, that can be cut, stalled and delayed.
 
-Each pair has an address of its own, so the list that a router is told differs from others' in ``dial`` alone.
+Each pair has an address of its own, so the endpoint lists that the routers receive differ only in ``dial``.
 """
 
 from __future__ import annotations
@@ -11,13 +11,16 @@
 
 from slipbay.address import Address
 
-WAYS = ("there", "back")  # from the router, to the router
-QUEUE = 64  # pieces that are under way one way of a connection; more wait at their sender
+WAYS = ("there", "back")  # there: from the router; back: to the router
+QUEUE = 64  # chunks in flight in one direction of a connection; more wait at their sender
 PORT = 8443
 
 
 class ProxiedConnection:
-    """All connections of one router to one service. ``target`` is asked for at each connection."""
+    """All connections of one router to one service.
+
+    ``target`` is called at each new connection.
+    """
 
     def __init__(self, address: Address, target: Callable[[], Address]) -> None:
         self.address = address
@@ -33,12 +36,15 @@
 
     @property
     def sound(self) -> bool:
+        """Whether connections are neither cut nor stalled."""
         return not self.is_cut and all(event.is_set() for event in self._free.values())
 
     async def open(self) -> None:
+        """Start to accept connections."""
         self._server = await asyncio.start_server(self._serve, *self.address)
 
     def close(self) -> None:
+        """Stop the proxy and abort its connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -46,24 +52,28 @@
             writer.transport.abort()
 
     def cut(self) -> None:
-        """Connections are reset; new ones come up and hear nothing. None is refused: by the platform's
-        protocol that proves the death of the service's process."""
+        """Reset all connections; new connections are accepted and receive nothing.
+
+        No connection is refused, because in the platform's protocol a refused connection proves that the
+        service's process has ended.
+        """
         self.is_cut = True
         self._whole.clear()
         for writer in list(self._writers):
             writer.transport.abort()
 
     def stall(self, ways: tuple[str, ...]) -> None:
-        """Bytes and ends of connections are held; nothing is closed, and new connections come up."""
+        """Hold back bytes and ends of connections; no connection is closed, and new ones are accepted."""
         for way in ways:
             self._free[way].clear()
 
     def heal_stall(self) -> None:
+        """Forward again what was held back."""
         for event in self._free.values():
             event.set()
 
     async def heal(self) -> None:
-        """As at the start; what was held goes on."""
+        """Remove all faults; what was held back is forwarded."""
         self.delay_s = dict.fromkeys(WAYS, 0.0)
         self.heal_stall()
         self.is_cut = False
@@ -115,17 +125,17 @@
                 await asyncio.sleep(due - loop.time())
             await self._free[way].wait()
             if not data:
-                raise _ConnectionOverError  # and with it all of the connection
+                raise _ConnectionOverError  # ends both directions
             sink.write(data)
             await sink.drain()
 
 
 class _ConnectionOverError(Exception):
-    """One side has ended."""
+    """One side of the connection has ended it."""
 
 
 class TcpProxy:
-    """By router and engine; None stands for the journal."""
+    """All proxied connections, by router and engine; None stands for the journal."""
 
     def __init__(
         self,
@@ -135,7 +145,9 @@
         engine: Callable[[int], Address],
         journal: Callable[[int], Address],
     ) -> None:
-        """``engine``, ``journal``: where those really are, by engine and by router."""
+        """Create the proxies; ``engine`` and ``journal`` return the real addresses by engine and by
+        router.
+        """
         self._wires: dict[tuple[int, int | None], ProxiedConnection] = {}
         for router in range(routers):
             for n in range(engines):
@@ -150,14 +162,16 @@
         return self._wires[pair]
 
     async def open(self) -> None:
+        """Start all proxies."""
         for wire in self._wires.values():
             await wire.open()
 
     def close(self) -> None:
+        """Stop all proxies."""
         for wire in self._wires.values():
             wire.close()
 
     @property
     def journal_sound(self) -> bool:
-        """Whether every router hears the journal."""
+        """Whether every router's connection to the journal is neither cut nor stalled."""
         return all(wire.sound for (_, engine), wire in self._wires.items() if engine is None)
--- a/slipbay/rig/udp_proxy.py
+++ b/slipbay/rig/udp_proxy.py
@@ -1,8 +1,8 @@
-"""What stands between processes: datagrams pass relays that lose, delay, double and cut them.
+"""UDP proxies between routers, which lose, delay, duplicate and cut datagrams.
 
-A router knows another by its source address. So for each ordered pair there is a socket of its own: what
-router i sends to the address that it was told for j comes in there, and goes on to j from the one that j
-was told for i.
+A router identifies a peer by its source address, so each ordered pair of routers has a socket of its own. A
+datagram that router i sends to the address that it has for j arrives there, and is forwarded to j from the
+socket whose address j has for i.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from slipbay.address import Address
 from slipbay.rig.report import Marks
 
-WINDOW_S = 1.05  # in which a router sends no more than its budget
+WINDOW_S = 1.05  # s in which a router sends no more than its budget
 
 
 class UdpRelay(asyncio.DatagramProtocol):
-    """The socket that router ``near`` takes for router ``far``; ``far`` None: for all others."""
+    """The socket that router ``near`` uses as the address of router ``far``; ``far`` None: of all others."""
 
     def __init__(self, links: UdpProxy, near: int, far: int | None) -> None:
         self.links = links
@@ -31,9 +31,11 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
+        """Forward a datagram of the router ``near``; ignore datagrams of any other sender."""
         if addr not in (self.links.real[self.near], self.links.twins.get(self.near)):
             return
         self.links.spend(self.near, addr, len(data), asyncio.get_running_loop().time())
@@ -42,10 +44,12 @@
                 self.links.carry(self.near, far, data)
 
     def error_received(self, exc: Exception) -> None:
-        pass  # the router behind it is down
+        """Ignore the error."""
+        pass  # the router does not run
 
     @property
     def address(self) -> Address:
+        """The address of the socket."""
         assert self.transport is not None
         found: Address = self.transport.get_extra_info("sockname")
         return found
@@ -58,21 +62,22 @@
         self.real = real
         self.random = random
         self.marks = marks or Marks()
-        self.twins: dict[int, Address] = {}  # of second lives beside the first
+        self.twins: dict[int, Address] = {}  # addresses of second processes that run beside the first
         self.loss = 0.0
         self.double = 0.0
         self.delay_s = 0.0
         self.cuts: set[tuple[int, int]] = set()
         self.relays: dict[tuple[int, int | None], UdpRelay] = {}
-        self._kept: deque[tuple[int, int, bytes]] = deque(maxlen=400)  # for a replay
+        self._kept: deque[tuple[int, int, bytes]] = deque(maxlen=400)  # recent datagrams, for a replay
         self.counts: Counter[str] = Counter()
-        self.budget = inf  # bytes that a life may send in any second
-        self.over: list[str] = []  # lives that sent more
-        self.fullest = 0  # bytes in any second of one life
+        self.budget = inf  # bytes that one router process may send in any second
+        self.over: list[str] = []  # faults of processes that sent more
+        self.fullest = 0  # most bytes that one process sent in any second
         self._spent: dict[Address, deque[tuple[float, int]]] = {}
-        self._sums: dict[Address, tuple[float, int]] = {}  # when its life began, and bytes since
+        self._sums: dict[Address, tuple[float, int]] = {}  # start of the process, and bytes since then
 
     async def open(self) -> None:
+        """Open the sockets of all pairs."""
         loop = asyncio.get_running_loop()
         for near in range(len(self.real)):
             for far in [None, *(n for n in range(len(self.real)) if n != near)]:
@@ -80,12 +85,16 @@
                 await loop.create_datagram_endpoint(lambda r=relay: r, ("127.0.0.1", 0))  # type: ignore[misc]
 
     def close(self) -> None:
+        """Close all sockets."""
         for relay in self.relays.values():
             if relay.transport is not None:
                 relay.transport.close()
 
     def peers(self, near: int, own: Address | None = None) -> list[str]:
-        """The addresses that a router is told, its own among them; ``own``: where it listens if elsewhere."""
+        """Return the peer addresses for a router's configuration, including its own.
+
+        ``own`` is its own address if it differs from the usual one.
+        """
         addresses = [
             (own or self.real[near]) if n == near else self.relays[near, n].address
             for n in range(len(self.real))
@@ -93,27 +102,35 @@
         return [f"{host}:{port}" for host, port in addresses]
 
     def everyone(self, near: int) -> str:
+        """Return the address whose datagrams are forwarded to all other routers."""
         host, port = self.relays[near, None].address
         return f"{host}:{port}"
 
     def cut(self, sources: Iterable[int], targets: Iterable[int], both: bool = True) -> None:
+        """Drop datagrams from sources to targets, and in the other direction if ``both``."""
         targets = list(targets)
         for source in sources:
             for target in targets:
                 self.cuts |= {(source, target), *([(target, source)] if both else [])}
 
     def heal(self) -> None:
+        """Remove all cuts."""
         self.cuts.clear()
 
     def begins(self, source: Address, now: float) -> None:
-        """A new life, which knows nothing of what the one before it sent."""
+        """Reset the byte counts of a router, because a new process has no record of what the earlier one
+        sent.
+        """
         self._spent.pop(source, None)
         self._sums[source] = now, 0
 
     def spend(self, near: int, source: Address, size: int, now: float) -> None:
-        """A datagram of a router came. A second may hold more than left in one, as the system hands over at
-        once what it kept; but never has more come since a life began than it may have sent by then, and one
-        window's worth that the life before it had under way."""
+        """Count a datagram that a router sent, and check its byte budget.
+
+        More bytes than the budget may arrive in one second, because the system may deliver held-back
+        datagrams together. But the bytes received since the process started must not exceed what it may have
+        sent by then, plus one window's budget that the earlier process had in flight.
+        """
         spent = self._spent.setdefault(source, deque())
         spent.append((now, size))
         while spent[0][0] <= now - 1.0:
@@ -125,6 +142,7 @@
             self.over.append(f"bytes: router {near} sent {total} in its first {now - begun:.2f} s")
 
     def carry(self, near: int, far: int, data: bytes) -> None:
+        """Forward a datagram, subject to cuts, loss, duplication and delay."""
         self.counts["messages"] += 1
         self.marks.add("messages", asyncio.get_running_loop().time())
         self._kept.append((near, far, data))
@@ -136,8 +154,9 @@
             asyncio.get_running_loop().call_later(delay, self._deliver, near, far, data)
 
     def replay(self) -> None:
-        """All of the last messages come again, cut short or garbled every third, and so they do from a
-        stranger."""
+        """Send the most recent datagrams again, every third one truncated or garbled, also from an unknown
+        address.
+        """
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             for number, (near, far, data) in enumerate(self._kept):
                 if number % 3 == 2:
