--- a/slipbay/rig/checker.py
+++ b/slipbay/rig/checker.py
@@ -58,15 +58,16 @@
     max_excess: float
     since: float = 0.0
 
-    def measured_excess(self, verdict: Verdict) -> float:
+    def measured_excess(self, run_report: RunReport) -> float:
         """Return the largest proven excess of any window over ``rate x t``."""
         return worst(
-            [span for span in verdict.spans(self.tenants, self.classes) if span[0] >= self.since], self.rate
+            [span for span in run_report.spans(self.tenants, self.classes) if span[0] >= self.since],
+            self.rate,
         )
 
 
 @dataclass
-class Verdict:
+class RunReport:
     """What clients and engines observed in a run, and the rules that were broken."""
 
     timeline: list[str] = field(default_factory=list)
@@ -271,14 +272,16 @@
     )
 
 
-def judge(verdict: Verdict, process_count: int, bounds: Sequence[Bound] = (), cancels: bool = True) -> None:
+def judge(
+    run_report: RunReport, process_count: int, bounds: Sequence[Bound] = (), cancels: bool = True
+) -> None:
     """Check the rules that can only be checked after the whole run.
 
-    ``process_count`` is the number of router processes; ``cancels``: see ``Verdict.uncancelled_parts``.
+    ``process_count`` is the number of router processes; ``cancels``: see ``RunReport.uncancelled_parts``.
     """
     for bound in bounds:
-        found = bound.measured_excess(verdict)
-        verdict.quotas.append(
+        found = bound.measured_excess(run_report)
+        run_report.quotas.append(
             {
                 "quota": bound.quota,
                 "since": bound.since,
@@ -288,34 +291,36 @@
             }
         )
         if found > bound.max_excess:
-            verdict.faults.append(
+            run_report.faults.append(
                 f"quota: {bound.quota} passed {bound.rate:g} x t by {found:.1f} from "
                 f"{bound.since:g} s on, bound {bound.max_excess:.1f}"
             )
-    book = verdict.book
-    verdict.faults += book.faults
-    verdict.max_threads = book.max_threads
-    verdict.extra_attempts = sum(count - 1 for count in book.runs.values() if count > 1)
+    book = run_report.book
+    run_report.faults += book.faults
+    run_report.max_threads = book.max_threads
+    run_report.extra_attempts = sum(count - 1 for count in book.runs.values() if count > 1)
     accepted = sum(
-        answer.outcome != "unreached" and answer.service_class != SURVEY for answer in verdict.answers
+        answer.outcome != "unreached" and answer.service_class != SURVEY for answer in run_report.answers
     ) + len(book.parts)
-    verdict.faults += verdict.uncancelled_parts(cancels)[:10]
-    if verdict.extra_attempts > 1.15 * (5 * process_count + 0.2 * accepted) + process_count:
-        verdict.faults.append(f"ration: {verdict.extra_attempts} further attempts for {accepted} requests")
+    run_report.faults += run_report.uncancelled_parts(cancels)[:10]
+    if run_report.extra_attempts > 1.15 * (5 * process_count + 0.2 * accepted) + process_count:
+        run_report.faults.append(
+            f"ration: {run_report.extra_attempts} further attempts for {accepted} requests"
+        )
     # a repeated attempt may run a request that was rejected before
-    last = {answer.txn: answer for answer in verdict.answers}
-    verdict.faults += [
+    last = {answer.txn: answer for answer in run_report.answers}
+    run_report.faults += [
         f"refused though it ran: {answer.txn}"
-        for answer in verdict.answers
+        for answer in run_report.answers
         if answer.outcome == "refused"
         and answer.service_class == "ticket-load"
         and (answer.runs or (last[answer.txn] is answer and book.runs[answer.txn]))
     ]
     final_outcomes: dict[str, str] = {}
-    for answer in verdict.answers:
+    for answer in run_report.answers:
         if answer.outcome == "served" and answer.service_class == "ticket-load" and not book.runs[answer.txn]:
-            verdict.faults.append(f"served though it never ran: {answer.txn}")
+            run_report.faults.append(f"served though it never ran: {answer.txn}")
         if answer.outcome in ("served", "failed"):
             earlier = final_outcomes.setdefault(answer.txn, answer.outcome)
             if earlier == "served" and answer.outcome != earlier:
-                verdict.faults.append(f"served, then failed under the same key: {answer.txn}")
+                run_report.faults.append(f"served, then failed under the same key: {answer.txn}")
--- a/slipbay/rig/faults.py
+++ b/slipbay/rig/faults.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from math import inf
 
-from slipbay.rig.checker import Verdict
+from slipbay.rig.checker import RunReport
 from slipbay.rig.engines import RigEngine
 from slipbay.rig.process import RouterProcess
 from slipbay.rig.scenario import Action, Scenario
@@ -29,7 +29,7 @@
     links: UdpProxy
     tcp_proxy: TcpProxy | None
     script: Scenario
-    verdict: Verdict
+    run_report: RunReport
     publish: Callable[[tuple[int, ...]], None]  # publishes the current state of these engines
 
 
@@ -59,7 +59,7 @@
 
     def _add_to_timeline(self, text: str) -> None:
         now = asyncio.get_running_loop().time() - self._began
-        self.components.verdict.timeline.append(f"{now:7.2f} s  {text}")
+        self.components.run_report.timeline.append(f"{now:7.2f} s  {text}")
 
     async def _perform(self, action: Action) -> None:
         components, links = self.components, self.components.links
@@ -92,7 +92,7 @@
                     notified_s += DRAIN_NOTICE_S
                 for engine in engines:
                     engine.state = "DRAINING"
-                    components.verdict.book.drained_at_s[engine.name] = notified_s
+                    components.run_report.book.drained_at_s[engine.name] = notified_s
                 components.publish(action.engines)
             case "cut_wire" | "heal_wire" | "stall_wire" | "delay_wire":
                 await self._change_connections(action)
@@ -143,7 +143,7 @@
                     router.copy_store(action.name)
                 case "old_store" | "lose_store":
                     if router.alive:
-                        self.components.verdict.faults.append(
+                        self.components.run_report.faults.append(
                             f"script: router {router.number} is up at {action}"
                         )
                     else:
@@ -154,7 +154,7 @@
                 case "term":
                     for incarnation in router.signal(signal.SIGTERM, action.lives):
                         if code := await incarnation.wait_until_ended():
-                            self.components.verdict.faults.append(
+                            self.components.run_report.faults.append(
                                 f"router {router.number} ended with {code} after SIGTERM"
                             )
 
--- a/slipbay/rig/load.py
+++ b/slipbay/rig/load.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from slipbay.rig.checker import Answer, Verdict, gathered
+from slipbay.rig.checker import Answer, RunReport, gathered
 from slipbay.rig.platform import CLASSES, SURVEY
 from slipbay.rig.process import RouterIncarnation, RouterProcess
 from slipbay.rig.report import Wish
@@ -33,14 +33,14 @@
         self,
         script: Scenario,
         routers: list[RouterProcess],
-        verdict: Verdict,
+        run_report: RunReport,
         random: Random,
         host_delay_s: Callable[[float], float],
     ) -> None:
         """Create clients; ``host_delay_s`` returns the seconds of delay by the host since a time."""
         self.script = script
         self.routers = routers
-        self.verdict = verdict
+        self.run_report = run_report
         self.random = random
         self._host_delay_s = host_delay_s
         self._survey = script.survey
@@ -86,7 +86,7 @@
             router_numbers = tenant.routers or range(len(self.routers))
             await asyncio.sleep(max(0.0, at - self._now()))
             wish = Wish(at, name, tenant.name, self.random.choice(router_numbers), work_ms=max(5, int(work)))
-            self.verdict.wishes.append(wish)
+            self.run_report.wishes.append(wish)
             task = loop.create_task(self._send_request(wish, router_numbers, wish.work_ms))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -162,15 +162,15 @@
             outcome,
             retry_after_s,
             wish.attempts > 1,
-            self.verdict.book.runs[txn],
+            self.run_report.book.runs[txn],
             self._present_groups.pop(txn, ()),
         )
-        self.verdict.answers.append(answer)
+        self.run_report.answers.append(answer)
         if incarnation.ready:  # the router is neither ended nor stopped, so it must send a complete answer
             if outcome == "unreached":
-                self.verdict.faults.append(f"router {incarnation.router.number} takes no connection")
+                self.run_report.faults.append(f"router {incarnation.router.number} takes no connection")
             if outcome in ("cut", "silent"):
-                self.verdict.faults.append(
+                self.run_report.faults.append(
                     f"lost: {txn} ({name}) {outcome} at router {incarnation.router.number}"
                 )
         return answer
@@ -209,13 +209,13 @@
                 return ("unsaid" if asked - began > IDLE_CLOSE_S else "cut"), None
             duration_s = self._now() - began
             if duration_s > allowed_s:
-                self.verdict.faults.append(
+                self.run_report.faults.append(
                     f"late: {txn} ({name}) after {duration_s:.2f} s at n{incarnation.router.number}, "
                     f"allowed {allowed_s:.2f}"
                 )
             result = self._read_answer(txn, name, json.loads(line))
             if await self._has_more_data(reader):
-                self.verdict.faults.append(f"answered twice: {txn}")
+                self.run_report.faults.append(f"answered twice: {txn}")
             return result
         except TimeoutError:
             return "silent", None
@@ -233,13 +233,13 @@
 
     def _read_answer(self, txn: str, name: str, answer: dict[str, Any]) -> tuple[str, float | None]:
         if "result" in answer and name == SURVEY and self._survey is not None:
-            self.verdict.faults += gathered(self.verdict.book, txn, self._survey, answer["result"])
+            self.run_report.faults += gathered(self.run_report.book, txn, self._survey, answer["result"])
             self._present_groups[txn] = tuple(answer["result"].get("parts", {}).get("present", ()))
             return "served", None
         if "result" in answer:
             body = base64.b64decode(answer["result"]["data"]).decode()
             if not body.startswith(f"{txn}\t") or not body.endswith("\tdone\n"):
-                self.verdict.faults.append(f"served with what no engine made for it: {txn}")
+                self.run_report.faults.append(f"served with what no engine made for it: {txn}")
             return "served", None
         error = answer.get("error", {})
         if error.get("code") == -32002:
--- a/slipbay/rig/runner.py
+++ b/slipbay/rig/runner.py
@@ -16,7 +16,7 @@
 from slipbay.address import Address
 from slipbay.peer_channel.multiplexer import RATE
 from slipbay.rig import report
-from slipbay.rig.checker import Verdict, bounds, judge
+from slipbay.rig.checker import RunReport, bounds, judge
 from slipbay.rig.endpoint_list import EndpointListServer
 from slipbay.rig.engines import RigEngine
 from slipbay.rig.faults import Faults, RunComponents
@@ -30,7 +30,7 @@
 from slipbay.rig.tcp_proxy import TcpProxy
 from slipbay.rig.udp_proxy import UdpProxy
 
-__all__ = ["Rig", "Verdict", "own_net", "play"]
+__all__ = ["Rig", "RunReport", "own_net", "play"]
 
 PEER_PORT = 7946
 
@@ -66,7 +66,7 @@
     def __init__(self, script: Scenario, folder: Path) -> None:
         self.script = script
         self.random = Random(script.seed)
-        self.verdict = Verdict(survey=script.survey)
+        self.run_report = RunReport(survey=script.survey)
         self.marks = Marks()
         net, self._network_socket = own_net()
         self.real: list[Address] = [
@@ -74,7 +74,7 @@
         ]
         self.links = UdpProxy(self.real, self.random, self.marks)
         self.links.twin_addresses = {n: (f"127.{net}.1.{n + 1}", PEER_PORT) for n in range(script.routers)}
-        self.engines = [RigEngine(f"s-{n}", self.verdict.book, self.marks) for n in range(script.engines)]
+        self.engines = [RigEngine(f"s-{n}", self.run_report.book, self.marks) for n in range(script.engines)]
         self.host_load = HostLoad(
             lambda: [
                 incarnation.process.pid
@@ -83,7 +83,7 @@
                 if incarnation.process is not None and incarnation.alive
             ]
         )
-        self.verdict.book.host_delay_s = self.host_load.host_delay_s
+        self.run_report.book.host_delay_s = self.host_load.host_delay_s
         if script.channel and (channel_settings := tomllib.loads(script.channel)).get("enabled"):
             self.links.budget_bytes_per_s = channel_settings.get("rate", RATE)
         self.endpoint_list = EndpointListServer(self.marks, script.routers)
@@ -110,7 +110,7 @@
             self.routers[number].clock_may_jump = True
         self.faults = Faults(
             RunComponents(
-                self.routers, self.engines, self.links, self.tcp_proxy, script, self.verdict, self._publish
+                self.routers, self.engines, self.links, self.tcp_proxy, script, self.run_report, self._publish
             )
         )
         self.ready_times_s: list[float] = []  # when routers started to listen
@@ -175,9 +175,9 @@
 
     def say(self, text: str) -> None:
         """Add a line to the timeline of the run."""
-        self.verdict.timeline.append(f"{self.loop.time() - self.began:7.2f} s  {text}")
+        self.run_report.timeline.append(f"{self.loop.time() - self.began:7.2f} s  {text}")
 
-    async def play(self) -> Verdict:
+    async def play(self) -> RunReport:
         """Start everything, run the scenario, stop everything, and check the rules."""
         watching = self.loop.create_task(self.host_load.watch())
         await self.links.open()
@@ -193,13 +193,13 @@
                 await router.spawn()
             await self._wait_until_ready()
             self.began, waited_before_s = self.loop.time(), cpu_wait_s(os.getpid())
-            self.verdict.began = self.began
+            self.run_report.began = self.began
             self.say(f"{len(self.routers)} routers are up")
             clients = Clients(
-                self.script, self.routers, self.verdict, self.random, self.host_load.host_delay_s
+                self.script, self.routers, self.run_report, self.random, self.host_load.host_delay_s
             )
             await asyncio.gather(self.faults.run(self.script.do, self.began), clients.run(self.began))
-            self.verdict.starved = (cpu_wait_s(os.getpid()) - waited_before_s) / (
+            self.run_report.starved = (cpu_wait_s(os.getpid()) - waited_before_s) / (
                 self.loop.time() - self.began
             )
             await self._wait_until_ready()
@@ -208,25 +208,25 @@
         finally:
             await self._stop_all()
             watching.cancel()
-        self.verdict.max_bytes_in_second = self.links.max_bytes_in_second
-        self.verdict.faults += self.links.over_budget[:5]
+        self.run_report.max_bytes_in_second = self.links.max_bytes_in_second
+        self.run_report.faults += self.links.over_budget[:5]
         judge(
-            self.verdict,
+            self.run_report,
             sum(len(router.lives) for router in self.routers),
             bounds(self.script),
             cancels=not self.script.has_tcp_proxies,
         )
-        for row in self.verdict.quotas:
+        for row in self.run_report.quotas:
             self.say(
                 f"quota {row['quota']} from {row['since']:g} s on: worst window {row['worst']:g} beyond "
                 f"{row['rate']:g} x t, bound {row['bound']:g}"
             )
-        service = Service(self.verdict.wishes)
-        self.verdict.seconds = service.by_second()
-        self.verdict.stretches = report.stretches(
+        service = Service(self.run_report.wishes)
+        self.run_report.seconds = service.by_second()
+        self.run_report.stretches = report.stretches(
             service, self.marks, self.faults.performed, self.ready_times_s, self.began, self.script.seconds
         )
-        return self.verdict
+        return self.run_report
 
     async def _wait_until_ready(self) -> None:
         """Wait until the most recent processes listen or have ended, whether by a fault or by the
@@ -252,11 +252,11 @@
             except TimeoutError:
                 incarnation.signal(signal.SIGKILL)
                 code = await incarnation.wait_until_ended()
-                self.verdict.faults.append(f"router {incarnation.router.number} did not end after SIGTERM")
+                self.run_report.faults.append(f"router {incarnation.router.number} did not end after SIGTERM")
             if code not in (0, -signal.SIGKILL):
                 # a router that cannot start logs the reason last
                 reason = incarnation.router.lines[-1:] if code > 0 else []
-                self.verdict.faults.append(
+                self.run_report.faults.append(
                     ": ".join([f"router {incarnation.router.number} ended with {code}", *reason])
                 )
         for engine in self.engines:
@@ -291,14 +291,14 @@
                 except (NoAnswerError, OSError) as problem:
                     incorrect[router.number] = str(problem)
             if not incorrect:
-                self.verdict.settled_s = self.loop.time() - began
+                self.run_report.settled_s = self.loop.time() - began
                 self.say(f"all {len(queried)} views are right")
                 return
             await asyncio.sleep(0.05)
-        self.verdict.faults.append(f"views are not right after {self.script.settle_s:g} s: {incorrect}")
+        self.run_report.faults.append(f"views are not right after {self.script.settle_s:g} s: {incorrect}")
 
 
-def play(script: Scenario) -> Verdict:
+def play(script: Scenario) -> RunReport:
     """Run a scenario in an event loop of its own, with its files in a temporary directory."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(Rig(script, Path(folder)).play())
--- a/tests/channel_play.py
+++ b/tests/channel_play.py
@@ -17,7 +17,7 @@
 from slipbay.address import Address
 from slipbay.peer_channel.frame import is_framed
 from slipbay.peer_channel.status_pages import ask, question
-from slipbay.rig.runner import Rig, Verdict
+from slipbay.rig.runner import Rig, RunReport
 from slipbay.rig.scenario import from_table
 from slipbay.rig.udp_proxy import UdpRelay
 
@@ -95,7 +95,7 @@
     return Listening
 
 
-def play(channel: dict[int, str], views: dict[int, str], *words: str, **more: Any) -> tuple[Verdict, Heard]:
+def play(channel: dict[int, str], views: dict[int, str], *words: str, **more: Any) -> tuple[RunReport, Heard]:
     """``channel``, ``views``: texts of operator files by router; others run without. ``words``: arguments of
     those with a channel."""
     from slipbay.rig import udp_proxy
--- a/tests/compat/test_mixed_versions.py
+++ b/tests/compat/test_mixed_versions.py
@@ -21,7 +21,7 @@
 from slipbay.membership import status_client
 from slipbay.peer_channel import status_pages
 from slipbay.peer_channel.interfaces import FrameKind
-from slipbay.rig.checker import Verdict
+from slipbay.rig.checker import RunReport
 from slipbay.rig.process import RouterProcess
 from slipbay.rig.runner import Rig
 from slipbay.rig.scenario import Scenario, from_table
@@ -142,14 +142,14 @@
             except (OSError, status_pages.NoAnswerError):
                 self.seen.mute.append(router.number)
 
-    async def watched(self) -> Verdict:
+    async def watched(self) -> RunReport:
         watching = asyncio.create_task(self.watch())
         try:
-            verdict = await self.play()
+            run_report = await self.play()
         finally:
             watching.cancel()
         self.seen.lines = {router.number: router.lines for router in self.routers}
-        return verdict
+        return run_report
 
 
 @pytest.fixture(scope="module")
@@ -162,10 +162,10 @@
 
 
 @pytest.fixture(scope="module")
-def played(old: Path, tmp_path_factory: pytest.TempPathFactory) -> tuple[Verdict, Seen]:
+def played(old: Path, tmp_path_factory: pytest.TempPathFactory) -> tuple[RunReport, Seen]:
     rig = WatchedRig(SCRIPT, tmp_path_factory.mktemp("mixed"), old)
-    verdict = asyncio.run(rig.watched())
-    return verdict, rig.seen
+    run_report = asyncio.run(rig.watched())
+    return run_report, rig.seen
 
 
 def test_a_router_with_a_source_runs_that_alone(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -189,15 +189,15 @@
     assert asyncio.run(lines_of(None)) == [f"{tmp_path}/slipbay/__main__.py"]
 
 
-def test_the_verdict_is_clean_and_both_versions_serve(played: tuple[Verdict, Seen]) -> None:
-    verdict, seen = played
-    assert verdict.good, (verdict.faults, verdict.timeline, verdict.starved)
+def test_the_verdict_is_clean_and_both_versions_serve(played: tuple[RunReport, Seen]) -> None:
+    run_report, seen = played
+    assert run_report.good, (run_report.faults, run_report.timeline, run_report.starved)
     assert not seen.mute, seen.mute
-    served = Counter(answer.router for answer in verdict.answers if answer.outcome == "served")
+    served = Counter(answer.router for answer in run_report.answers if answer.outcome == "served")
     assert all(served[number] > 50 for number in BUSY), served
 
 
-def test_every_router_sees_all_others_alive(played: tuple[Verdict, Seen]) -> None:
+def test_every_router_sees_all_others_alive(played: tuple[RunReport, Seen]) -> None:
     _, seen = played
     for number in range(4):
         view = seen.views[number]
@@ -206,7 +206,7 @@
         assert view["shares_of"] == 4, view
 
 
-def test_no_datagram_is_garbled_unknown_or_foreign(played: tuple[Verdict, Seen]) -> None:
+def test_no_datagram_is_garbled_unknown_or_foreign(played: tuple[RunReport, Seen]) -> None:
     _, seen = played
     assert not +seen.bad, +seen.bad
     assert len(seen.bad) == 4 * 3 * len(BAD)  # all were asked
@@ -218,21 +218,21 @@
 
 
 def test_versions_borrow_from_each_other_and_no_window_passes_the_quota(
-    played: tuple[Verdict, Seen],
+    played: tuple[RunReport, Seen],
 ) -> None:
-    verdict, seen = played
+    run_report, seen = played
     for loans in (seen.borrowed, seen.lent):
         assert any(borrower in OLD and lender in NEW for borrower, lender in loans), loans
         assert any(borrower in NEW and lender in OLD for borrower, lender in loans), loans
-    row = verdict.quotas[0]
-    assert len(verdict.quotas) == 1
+    row = run_report.quotas[0]
+    assert len(run_report.quotas) == 1
     assert row["quota"] == "fuel"
     assert 0 < row["worst"] <= row["bound"], row
     for number in range(4):
         assert seen.quotas[number]["versions"] in ([], [1]), seen.quotas[number]
 
 
-def test_those_that_were_killed_come_back_by_what_others_tell(played: tuple[Verdict, Seen]) -> None:
+def test_those_that_were_killed_come_back_by_what_others_tell(played: tuple[RunReport, Seen]) -> None:
     _, seen = played
     for number in range(4):
         assert seen.comebacks[number]["phase"] == "full", seen.comebacks[number]
--- a/tests/quota_play.py
+++ b/tests/quota_play.py
@@ -16,7 +16,7 @@
 from slipbay.config.validation import convert
 from slipbay.quota.guarantees import excess
 from slipbay.quota.plan import Quota, QuotaPlan
-from slipbay.rig.checker import Verdict, worst
+from slipbay.rig.checker import RunReport, worst
 from slipbay.rig.runner import Rig
 from slipbay.rig.scenario import Scenario
 
@@ -33,7 +33,7 @@
 class Observations:
     """Observations of clients and engines in one run."""
 
-    def __init__(self, verdict: Verdict, started_s: float) -> None:
+    def __init__(self, verdict: RunReport, started_s: float) -> None:
         self.verdict = verdict
         self.asked = {answer.txn: (answer.asked, answer.router) for answer in verdict.answers}
         self.first_run_s: dict[str, float] = {}
--- a/tests/test_gather_processes.py
+++ b/tests/test_gather_processes.py
@@ -10,7 +10,7 @@
 import pytest
 
 from slipbay.config.validation import ConfigError
-from slipbay.rig.checker import Answer, Verdict, gathered, judge
+from slipbay.rig.checker import Answer, RunReport, gathered, judge
 from slipbay.rig.engines import UNASKED_S, Book
 from slipbay.rig.runner import play
 from slipbay.rig.scenario import from_table
@@ -39,7 +39,7 @@
     return {"at": at, "what": what, **more}
 
 
-def run_rig(*actions: dict[str, Any], **more: Any) -> Verdict:
+def run_rig(*actions: dict[str, Any], **more: Any) -> RunReport:
     table = {
         "seconds": 8,
         "gather": GATHER,
@@ -60,7 +60,7 @@
     return verdict
 
 
-def partial_answers(verdict: Verdict) -> int:
+def partial_answers(verdict: RunReport) -> int:
     """Return the number of scattered queries that were answered with some parts missing."""
     return sum(
         answer.service_class == "survey" and answer.outcome == "served" and len(answer.present) < 6
@@ -155,15 +155,15 @@
 
 
 def test_the_checker_finds_parts_that_are_sent_twice_or_not_cancelled() -> None:
-    def answered(outcome: str = "served") -> Verdict:
-        verdict = Verdict(survey=SURVEY)
+    def answered(outcome: str = "served") -> RunReport:
+        verdict = RunReport(survey=SURVEY)
         for group in (7, 3, 12):
             record_part(verdict.book, group)
             verdict.book.asked[f"part{group}"] = 10.4
         verdict.answers.append(Answer("q", "survey", "a", 0, 0, 10.0, 10.5, outcome, present=(7, 3)))
         return verdict
 
-    def faults(verdict: Verdict, **more: Any) -> list[str]:
+    def faults(verdict: RunReport, **more: Any) -> list[str]:
         judge(verdict, 1, **more)
         return [fault for fault in verdict.faults if fault.startswith("parts: ")]
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -20,7 +20,7 @@
 from slipbay.config.validation import ConfigError
 from slipbay.quota.guarantees import excess
 from slipbay.quota.plan import Quota, QuotaPlan
-from slipbay.rig.checker import Answer, Bound, Verdict, bounds, judge
+from slipbay.rig.checker import Answer, Bound, RunReport, bounds, judge
 from slipbay.rig.engines import Book
 from slipbay.rig.host_load import HostLoad
 from slipbay.rig.process import RouterIncarnation, RouterProcess
@@ -39,7 +39,7 @@
     return {"at": at, "what": what, **more}
 
 
-def played(*actions: dict[str, Any], seconds: float = 6, **more: Any) -> Verdict:
+def played(*actions: dict[str, Any], seconds: float = 6, **more: Any) -> RunReport:
     table = {
         "routers": 8,
         "zones": 2,
@@ -50,10 +50,10 @@
         "do": list(actions),
         **more,
     }
-    verdict = play(from_table(table))
-    assert verdict.good, (verdict.faults, verdict.timeline, verdict.starved)
-    assert verdict.outcomes["lookup served"] > 20, verdict.outcomes
-    return verdict
+    run_report = play(from_table(table))
+    assert run_report.good, (run_report.faults, run_report.timeline, run_report.starved)
+    assert run_report.outcomes["lookup served"] > 20, run_report.outcomes
+    return run_report
 
 
 def test_five_of_eight_killed_at_once_and_back_with_new_lives() -> None:
@@ -74,8 +74,8 @@
 
 
 def test_connections_to_engines_break_under_calls_and_what_ran_is_asked_for_anew() -> None:
-    verdict = played(*(do(0.5 + 0.5 * n, "reset", engines=[0, 1, 2]) for n in range(8)), seconds=5)
-    cut = [int(line.split()[-5]) for line in verdict.timeline if line.endswith("calls were under way")]
+    run_report = played(*(do(0.5 + 0.5 * n, "reset", engines=[0, 1, 2]) for n in range(8)), seconds=5)
+    cut = [int(line.split()[-5]) for line in run_report.timeline if line.endswith("calls were under way")]
     assert len(cut) == 8
     assert sum(cut) > 0
 
@@ -135,24 +135,24 @@
 
 
 def test_all_are_restarted_at_once_and_the_way_back_is_measured() -> None:
-    verdict = played(do(2, "restart", routers=list(range(8)), after_s=0.3), seconds=12)
-    start, back = verdict.stretches
+    run_report = played(do(2, "restart", routers=list(range(8)), after_s=0.3), seconds=12)
+    start, back = run_report.stretches
     assert start["in_time"] is not None
     assert start["full_service_s"] is None
     assert back["first_ready_s"] > 0.3
     assert back["list_calls"] > 0
     assert back["in_time"] is not None
-    assert verdict.outcomes["lookup served"] == sum(
-        row["served"] for row in verdict.seconds if row["class"] == "lookup"
+    assert run_report.outcomes["lookup served"] == sum(
+        row["served"] for row in run_report.seconds if row["class"] == "lookup"
     )
-    assert json.loads(json.dumps(verdict.as_json()))["good"]
+    assert json.loads(json.dumps(run_report.as_json()))["good"]
 
 
 STORE = 'enabled = true\nfolder = "{own}"'
 
 
 def test_loads_come_back_under_their_keys_over_deaths_and_none_runs_twice() -> None:
-    verdict = played(
+    run_report = played(
         do(1.5, "kill", routers=[0, 1]),
         do(2, "start", routers=[0, 1]),
         do(4, "restart", routers=[0, 1, 2], after_s=0.1),
@@ -161,14 +161,14 @@
         store=STORE,
         load={"lookups": 40, "reports": 0, "loads": 12, "report_ms": 1500},
     )
-    repeats = [answer for answer in verdict.answers if answer.is_repeat]
+    repeats = [answer for answer in run_report.answers if answer.is_repeat]
     assert repeats
     assert len({answer.txn for answer in repeats}) > 1
     assert {answer.service_class for answer in repeats} == {"ticket-load"}
 
 
 def test_a_store_is_lost_or_put_back_while_its_router_is_down() -> None:
-    verdict = played(
+    run_report = played(
         do(1, "copy_store", routers=[0]),
         do(2, "kill", routers=[0, 1]),
         do(2.1, "old_store", routers=[0]),
@@ -179,7 +179,7 @@
         store=STORE,
         load={"lookups": 40, "reports": 0, "loads": 2, "tries": 1},
     )
-    assert [row["what"] for row in verdict.stretches][3:5] == [
+    assert [row["what"] for row in run_report.stretches][3:5] == [
         "old_store routers 0 name copy",
         "lose_store routers 1",
     ]
@@ -204,19 +204,19 @@
 def test_tenants_have_rates_and_places_and_come_back_when_told() -> None:
     tenants = [{"name": "a", "lookups": 60, "routers": [0, 1]}, {"name": "b", "reports": 90}]
     load = {"tenants": tenants, "report_ms": 3000, "honour_later": True}
-    verdict = play(from_table({"routers": 3, "seconds": 4, "load": load}))
-    assert verdict.good, verdict.faults
-    assert {answer.router for answer in verdict.answers if answer.tenant == "a"} == {0, 1}
-    assert {answer.router for answer in verdict.answers if answer.tenant == "b"} == {0, 1, 2}
-    assert {(row["tenant"], row["class"]) for row in verdict.seconds} == {("a", "lookup"), ("b", "report")}
-    repeats = [answer for answer in verdict.answers if answer.is_repeat]
+    run_report = play(from_table({"routers": 3, "seconds": 4, "load": load}))
+    assert run_report.good, run_report.faults
+    assert {answer.router for answer in run_report.answers if answer.tenant == "a"} == {0, 1}
+    assert {answer.router for answer in run_report.answers if answer.tenant == "b"} == {0, 1, 2}
+    assert {(row["tenant"], row["class"]) for row in run_report.seconds} == {("a", "lookup"), ("b", "report")}
+    repeats = [answer for answer in run_report.answers if answer.is_repeat]
     assert repeats
-    assert all(wish.attempts <= 4 for wish in verdict.wishes)
-    assert len({answer.txn for answer in verdict.answers}) == len(verdict.answers)
+    assert all(wish.attempts <= 4 for wish in run_report.wishes)
+    assert len({answer.txn for answer in run_report.answers}) == len(run_report.answers)
 
 
 def test_wires_to_engines_are_cut_slow_and_stalled_one_way_and_by_zone() -> None:
-    verdict = played(
+    run_report = played(
         do(0.5, "cut_wire", router_zones=[0], engine_zones=[1]),
         do(1.5, "heal_wire"),
         do(2, "stall_wire", routers=[0], engines=[0, 1], way="back"),
@@ -227,12 +227,12 @@
         seconds=7,
         routers=4,
     )
-    cut = verdict.stretches[1]
+    cut = run_report.stretches[1]
     assert cut["what"] == "cut_wire wire engines router_zones 0 engine_zones 1"
 
 
 def test_the_journals_wire_is_stalled_while_an_engine_drains_and_later_cut() -> None:
-    verdict = played(
+    run_report = played(
         do(0.5, "stall_wire", wire="journal"),
         do(1, "drain", engines=[0]),
         do(4, "heal_wire", wire="journal"),
@@ -241,7 +241,7 @@
         seconds=7,
         routers=3,
     )
-    assert sum(row["list_calls"] for row in verdict.stretches[1:]) > 0
+    assert sum(row["list_calls"] for row in run_report.stretches[1:]) > 0
 
 
 def test_what_a_wire_does_is_seen_at_its_ends() -> None:
@@ -295,7 +295,7 @@
 
 
 def test_two_lives_of_one_number_at_once() -> None:
-    verdict = played(
+    run_report = played(
         do(0.5, "stop", routers=[1]),
         do(1, "twin", routers=[1]),
         do(4, "go_on", routers=[1]),
@@ -303,7 +303,7 @@
         seconds=7,
         routers=3,
     )
-    assert {answer.life for answer in verdict.answers if answer.router == 1} == {0, 1}
+    assert {answer.life for answer in run_report.answers if answer.router == 1} == {0, 1}
 
 
 def test_a_router_whose_wall_clock_is_off_is_one_of_the_fleet() -> None:
@@ -317,7 +317,7 @@
 
 
 def test_an_engine_is_replaced_and_cold_and_operator_files_are_read_again() -> None:
-    verdict = played(
+    run_report = played(
         do(0.5, "renew", engines=[0]),
         do(1, "reload", routers=[0], file="fleet", text="no"),
         do(1.5, "reload", routers=[0, 1], file="fleet", text=VIEW),
@@ -325,9 +325,9 @@
         routers=3,
         engines=2,
     )
-    begun = {engine for _, engine, _ in verdict.book.begun}
+    begun = {engine for _, engine, _ in run_report.book.begun}
     assert begun == {"s-0", "s-1"}
-    assert [row["what"].split()[0] for row in verdict.stretches] == [
+    assert [row["what"].split()[0] for row in run_report.stretches] == [
         "start",
         "renew",
         "reload",
@@ -428,13 +428,13 @@
     def told(txn: str, name: str, outcome: str) -> Answer:
         return Answer(txn, name, "a", 0, 0, 0.0, 0.1, outcome)
 
-    verdict = Verdict()
+    run_report = RunReport()
     for engine in ("s-0", "s-1"):
         for request in ("b", "r", "x", "y", "z") if engine == "s-0" else ("x", "y", "z", "v", "w"):
-            verdict.book.begin(engine, request, "ticket-load" if request in "br" else "lookup", 0.0)
-            verdict.book.end(engine, request)
-    verdict.book.runs["x"] += 20
-    verdict.answers += [
+            run_report.book.begin(engine, request, "ticket-load" if request in "br" else "lookup", 0.0)
+            run_report.book.end(engine, request)
+    run_report.book.runs["x"] += 20
+    run_report.answers += [
         told("r", "ticket-load", "refused"),
         told("n", "ticket-load", "served"),
         told("b", "ticket-load", "served"),
@@ -442,29 +442,29 @@
         told("v", "ticket-load", "refused"),
         told("v", "ticket-load", "served"),
     ]
-    judge(verdict, 1)
-    assert [fault.split(":")[0] for fault in verdict.faults] == [
+    judge(run_report, 1)
+    assert [fault.split(":")[0] for fault in run_report.faults] == [
         "ration",
         "refused though it ran",
         "served though it never ran",
         "served, then failed under the same key",
     ]
-    clean = Verdict(answers=[told("c", "ticket-load", "refused")])
+    clean = RunReport(answers=[told("c", "ticket-load", "refused")])
     judge(clean, 1)
     assert clean.good
 
 
 def test_the_judge_finds_a_window_that_passes_a_quota() -> None:
     """Five a second for 4 s, and 20 more at 2 s: each is admitted and run within 10 ms."""
-    verdict = Verdict(began=100.0)
+    run_report = RunReport(began=100.0)
     for number, at in enumerate([*(n / 5 for n in range(20)), *[2.0] * 20]):
-        verdict.book.begin("s-0", f"{number}", "lookup", 100 + at + 0.01)
-        verdict.answers.append(Answer(f"{number}", "lookup", "a", 0, 0, at, at + 0.5, "served"))
+        run_report.book.begin("s-0", f"{number}", "lookup", 100 + at + 0.01)
+        run_report.answers.append(Answer(f"{number}", "lookup", "a", 0, 0, at, at + 0.5, "served"))
     few = Bound("q", ("a",), ("lookup",), 5.0, 20.0)
     many = Bound("q", (), (), 5.0, 22.0)
-    judge(verdict, 1, [few, many, Bound("q", ("b",), (), 1.0, 0.0), Bound("q", (), (), 5.0, 2.0, 2.001)])
-    assert [fault.split(" by ")[0] for fault in verdict.faults] == ["quota: q passed 5 x t"]
-    assert [row["worst"] for row in verdict.quotas] == [pytest.approx(21, abs=0.2)] * 2 + [
+    judge(run_report, 1, [few, many, Bound("q", ("b",), (), 1.0, 0.0), Bound("q", (), (), 5.0, 2.0, 2.001)])
+    assert [fault.split(" by ")[0] for fault in run_report.faults] == ["quota: q passed 5 x t"]
+    assert [row["worst"] for row in run_report.quotas] == [pytest.approx(21, abs=0.2)] * 2 + [
         0.0,
         pytest.approx(1, abs=0.2),
     ]
