--- a/slipbay/rig/checker.py
+++ b/slipbay/rig/checker.py
@@ -13,7 +13,7 @@
 from slipbay.quota.guarantees import excess
 from slipbay.quota.plan import QuotaPlan
 from slipbay.quota.plan_check import check, check_change
-from slipbay.rig.engines import LONG_POLL_S, UNASKED_S, Book
+from slipbay.rig.engines import LONG_POLL_S, UNREQUESTED_TIMEOUT_S, ExecutionLog
 from slipbay.rig.platform import CLASSES, SURVEY
 from slipbay.rig.report import Wish
 from slipbay.rig.scenario import Scenario
@@ -80,7 +80,7 @@
     extra_attempts: int = 0
     settled_s: float | None = None  # how long after the load the membership views took to become correct
     starved: float = 0.0  # fraction of the load's duration in which the host kept the rig from running
-    book: Book = field(default_factory=Book)
+    execution_log: ExecutionLog = field(default_factory=ExecutionLog)
     began: float = 0.0  # when all routers were ready, by the clock of the execution log
     quotas: list[dict[str, Any]] = field(default_factory=list)  # bound and worst window of each quota
     survey: ScatterTable | None = None  # how queries are scattered
@@ -107,7 +107,7 @@
         Of scattered queries it returns those parts that cost a token.
         """
         first: dict[str, float] = {}
-        for at, _, txn in self.book.begun:
+        for at, _, txn in self.execution_log.starts:
             first.setdefault(txn, at - self.began)
         asked: dict[str, float] = {}
         for answer in self.answers:
@@ -127,7 +127,9 @@
         """Return the request names of those parts of a scattered query that ran."""
         groups = self.survey.groups if self.survey is not None else ()
         return [
-            self.book.part_names[query, group] for group in groups if (query, group) in self.book.part_names
+            self.execution_log.part_names[query, group]
+            for group in groups
+            if (query, group) in self.execution_log.part_names
         ]
 
     def uncancelled_parts(self, cancels: bool) -> list[str]:
@@ -136,22 +138,26 @@
         ``cancels`` tells whether every message of a router to an engine certainly arrived.
         """
         found = []
-        book = self.book
+        execution_log = self.execution_log
         for answer in self.answers:
             if answer.service_class != SURVEY or answer.outcome not in ("served", "failed", "refused"):
                 continue
             ended = self.began + answer.ended
             for name in self._parts(answer.txn):
-                part = book.parts[name]
-                delayed_s = book.host_delay_s(ended)
+                part = execution_log.parts[name]
+                delayed_s = execution_log.host_delay_s(ended)
                 if part.group in answer.present:
                     continue
-                lateness_s = book.asked.get(name, ended) - ended - delayed_s
+                lateness_s = execution_log.last_requested_s.get(name, ended) - ended - delayed_s
                 if lateness_s > LONG_POLL_S + ABANDON_GRACE_S:
                     found.append(
                         f"parts: {name} of {answer.txn} is asked for {lateness_s:.2f} s after the answer"
                     )
-                if cancels and part.dropped is not None and part.dropped - ended - delayed_s > UNASKED_S:
+                if (
+                    cancels
+                    and part.cancelled_s is not None
+                    and part.cancelled_s - ended - delayed_s > UNREQUESTED_TIMEOUT_S
+                ):
                     found.append(f"parts: {name} of {answer.txn} was given up and not called off")
         return found
 
@@ -173,7 +179,9 @@
         }
 
 
-def gathered(book: Book, query: str, survey: ScatterTable, result: dict[str, Any]) -> list[str]:
+def gathered(
+    execution_log: ExecutionLog, query: str, survey: ScatterTable, result: dict[str, Any]
+) -> list[str]:
     """Check the answer to a scattered query against what engines ran for it, and return the faults."""
     try:
         parts_reply = result["parts"]
@@ -189,7 +197,7 @@
     if len(rows) < survey.curve[0][0] * len(survey.groups) - 1e-9:
         faults.append(f"parts: {query} is answered with {len(rows)}, which is below the least")
     for group, row in zip(present, rows, strict=False):
-        part = book.parts.get(row.split(b"\t")[0].decode("utf-8", "replace"))
+        part = execution_log.parts.get(row.split(b"\t")[0].decode("utf-8", "replace"))
         if part is None or (part.query, part.group) != (query, group) or row not in part.rows:
             faults.append(f"parts: {query} has for group {group} what no engine made for it: {row!r}")
     return faults
@@ -295,13 +303,13 @@
                 f"quota: {bound.quota} passed {bound.rate:g} x t by {found:.1f} from "
                 f"{bound.since:g} s on, bound {bound.max_excess:.1f}"
             )
-    book = run_report.book
-    run_report.faults += book.faults
-    run_report.max_threads = book.max_threads
-    run_report.extra_attempts = sum(count - 1 for count in book.runs.values() if count > 1)
+    execution_log = run_report.execution_log
+    run_report.faults += execution_log.faults
+    run_report.max_threads = execution_log.max_threads
+    run_report.extra_attempts = sum(count - 1 for count in execution_log.runs.values() if count > 1)
     accepted = sum(
         answer.outcome != "unreached" and answer.service_class != SURVEY for answer in run_report.answers
-    ) + len(book.parts)
+    ) + len(execution_log.parts)
     run_report.faults += run_report.uncancelled_parts(cancels)[:10]
     if run_report.extra_attempts > 1.15 * (5 * process_count + 0.2 * accepted) + process_count:
         run_report.faults.append(
@@ -314,11 +322,15 @@
         for answer in run_report.answers
         if answer.outcome == "refused"
         and answer.service_class == "ticket-load"
-        and (answer.runs or (last[answer.txn] is answer and book.runs[answer.txn]))
+        and (answer.runs or (last[answer.txn] is answer and execution_log.runs[answer.txn]))
     ]
     final_outcomes: dict[str, str] = {}
     for answer in run_report.answers:
-        if answer.outcome == "served" and answer.service_class == "ticket-load" and not book.runs[answer.txn]:
+        if (
+            answer.outcome == "served"
+            and answer.service_class == "ticket-load"
+            and not execution_log.runs[answer.txn]
+        ):
             run_report.faults.append(f"served though it never ran: {answer.txn}")
         if answer.outcome in ("served", "failed"):
             earlier = final_outcomes.setdefault(answer.txn, answer.outcome)
--- a/slipbay/rig/engines.py
+++ b/slipbay/rig/engines.py
@@ -13,13 +13,13 @@
 from slipbay.rig.standins import HttpCall, StandInEngine, http_answer
 
 LONG_POLL_S = 0.25
-UNASKED_S = 2.0
+UNREQUESTED_TIMEOUT_S = 2.0
 # milliseconds of work; table group and query of a part
 STATEMENT_PATTERN = re.compile(r"\D*(\d+)(?:\D+_(\d+)\D+ of ([0-9a-f]{16}))?")
 DRAIN_GRACE_S = 1.05  # s after the drain event was sent, when no new request may arrive
 
 
-class Book:
+class ExecutionLog:
     """Every execution of every request, as the engines observe it."""
 
     def __init__(self) -> None:
@@ -31,24 +31,27 @@
         self.drained_at_s: dict[str, float] = {}  # when all routers had received the drain event, by engine
         # s for which the host delayed the rig since a time
         self.host_delay_s: Callable[[float], float] = lambda since: 0.0
-        self.asked: dict[str, float] = {}  # when each request was last requested
+        self.last_requested_s: dict[str, float] = {}  # when each request was last requested
         self.threads: dict[str, int] = {}
         self.max_threads = 0
-        self.begun: list[tuple[float, str, str]] = []  # start time, engine and request; event loop's clock
+        self.starts: list[tuple[float, str, str]] = []  # start time, engine and request; event loop's clock
         self.parts: dict[str, Part] = {}  # parts of scattered queries, by their request names at engines
         self.part_names: dict[tuple[str, int], str] = {}  # request name by query and table group
 
-    def begin(self, engine: str, request: str, class_name: str, now: float) -> None:
+    def record_start(self, engine: str, request: str, class_name: str, now: float) -> None:
         """Record that an engine starts a request, and check that this start is allowed."""
         other_engines = self.running.setdefault(request, set())
-        asked = self.asked.get(request, now)
+        asked = self.last_requested_s.get(request, now)
         # otherwise the router has abandoned the first execution
-        if other_engines and now - asked + self.host_delay_s(asked - UNASKED_S) <= UNASKED_S:
+        if (
+            other_engines
+            and now - asked + self.host_delay_s(asked - UNREQUESTED_TIMEOUT_S) <= UNREQUESTED_TIMEOUT_S
+        ):
             self.faults.append(f"twice at once: {request} on {engine} beside {sorted(other_engines)}")
         other_engines.add(engine)
         self.runs[request] += 1
-        self.begun.append((now, engine, request))
-        self.asked[request] = now
+        self.starts.append((now, engine, request))
+        self.last_requested_s[request] = now
         if class_name == "ticket-load":
             if request in self.started_loads:
                 self.faults.append(f"run again: {request} on {engine}")
@@ -57,17 +60,17 @@
         if since > DRAIN_GRACE_S and since > DRAIN_GRACE_S + self.host_delay_s(now - since):
             self.faults.append(f"drained: {request} sent to {engine} {since:.2f} s after")
 
-    def end(self, engine: str, request: str) -> None:
+    def record_end(self, engine: str, request: str) -> None:
         """Record that an engine no longer runs a request."""
         self.running.get(request, set()).discard(engine)
 
-    def is_part(self, name: str, query: str, group: int) -> None:
+    def add_part(self, name: str, query: str, group: int) -> None:
         """Record that a request that has started is a part of a scattered query."""
         if self.part_names.setdefault((query, group), name) != name:
             self.faults.append(f"parts: group {group} of {query} was sent as two parts")
         self.parts.setdefault(name, Part(query, group))
 
-    def hold(self, engine: str, threads: int) -> None:
+    def add_threads(self, engine: str, threads: int) -> None:
         """Add to the number of threads that an engine has in use; a negative number releases threads."""
         self.threads[engine] = self.threads.get(engine, 0) + threads
         self.max_threads = max(self.max_threads, self.threads[engine])
@@ -81,7 +84,7 @@
     group: int
     rows: set[bytes] = field(default_factory=set)  # results of completed executions
     # when an engine cancelled it because no router requested it; event loop's clock
-    dropped: float | None = None
+    cancelled_s: float | None = None
 
 
 @dataclass(slots=True)
@@ -91,7 +94,7 @@
     group: int
     threads: int
     remaining_s: float  # s of work that remain for each thread
-    asked: float
+    last_requested_s: float
     done: asyncio.Event = field(default_factory=asyncio.Event)
     answer: bytes | None = None  # None: cancelled
 
@@ -104,10 +107,10 @@
     execution is returned again on repeated calls; an execution that no router requests any more is cancelled.
     """
 
-    def __init__(self, name: str, book: Book, marks: Marks, cores: int = 8) -> None:
+    def __init__(self, name: str, execution_log: ExecutionLog, marks: Marks, cores: int = 8) -> None:
         super().__init__(self._answer)
         self.name = name
-        self.book = book
+        self.execution_log = execution_log
         self.marks = marks
         self.cores = cores
         # state and start time as the endpoint list reports them
@@ -181,7 +184,7 @@
             core_share = min(1.0, self.cores / threads) if threads else 1.0
             for name, run in list(self._runs.items()):
                 if run.done.is_set():
-                    if now - run.asked > 30:
+                    if now - run.last_requested_s > 30:
                         del self._runs[name]
                     continue
                 run.remaining_s -= (
@@ -189,15 +192,15 @@
                     * core_share
                     / self._slowdowns.get(run.group, self._slowdowns.get(None, 1.0))
                 )
-                part = self.book.parts.get(name)
+                part = self.execution_log.parts.get(name)
                 if run.remaining_s <= 0:
                     row = f"{name}\t{self.name}\tdone\n".encode()
                     if part is not None:
                         part.rows.add(row)
                     self._finish(name, run, row)
-                elif now - run.asked > UNASKED_S + LONG_POLL_S:
+                elif now - run.last_requested_s > UNREQUESTED_TIMEOUT_S + LONG_POLL_S:
                     if part is not None:
-                        part.dropped = now
+                        part.cancelled_s = now
                     self._finish(name, run, None)
             before = now
 
@@ -205,8 +208,8 @@
         if not run.done.is_set():
             run.answer = answer
             run.done.set()
-            self.book.hold(self.name, -run.threads)
-            self.book.end(self.name, name)
+            self.execution_log.add_threads(self.name, -run.threads)
+            self.execution_log.record_end(self.name, name)
 
     async def _answer(self, call: HttpCall, writer: asyncio.StreamWriter) -> bytes | None:
         self.open_calls += 1
@@ -227,11 +230,11 @@
             threads = 1 if class_name == "lookup" else 2
             found = STATEMENT_PATTERN.match(call.body.decode())
             ms, group, query = found.groups() if found else (None, None, None)
-            self.book.begin(self.name, name, class_name, now)
-            self.book.hold(self.name, threads)
-            self.marks.record_threads(now, self.book.threads[self.name])
+            self.execution_log.record_start(self.name, name, class_name, now)
+            self.execution_log.add_threads(self.name, threads)
+            self.marks.record_threads(now, self.execution_log.threads[self.name])
             if query is not None:
-                self.book.is_part(name, query, int(group or 0))
+                self.execution_log.add_part(name, query, int(group or 0))
             self.marks.add("sends", now)
             if now < self._cold_until:
                 self.marks.add("cold_sends", now)
@@ -245,10 +248,12 @@
             return http_answer(204)
         if run is None:
             return http_answer(500)
-        run.asked = self.book.asked[name] = now
+        run.last_requested_s = self.execution_log.last_requested_s[name] = now
         try:
             await asyncio.wait_for(run.done.wait(), LONG_POLL_S)
         except TimeoutError:
-            run.asked = self.book.asked[name] = asyncio.get_running_loop().time()
+            run.last_requested_s = self.execution_log.last_requested_s[name] = (
+                asyncio.get_running_loop().time()
+            )
             return http_answer(202)
         return http_answer(500) if run.answer is None else http_answer(200, run.answer, X_Sheets="1")
--- a/slipbay/rig/faults.py
+++ b/slipbay/rig/faults.py
@@ -92,7 +92,7 @@
                     notified_s += DRAIN_NOTICE_S
                 for engine in engines:
                     engine.state = "DRAINING"
-                    components.run_report.book.drained_at_s[engine.name] = notified_s
+                    components.run_report.execution_log.drained_at_s[engine.name] = notified_s
                 components.publish(action.engines)
             case "cut_wire" | "heal_wire" | "stall_wire" | "delay_wire":
                 await self._change_connections(action)
--- a/slipbay/rig/load.py
+++ b/slipbay/rig/load.py
@@ -162,7 +162,7 @@
             outcome,
             retry_after_s,
             wish.attempts > 1,
-            self.run_report.book.runs[txn],
+            self.run_report.execution_log.runs[txn],
             self._present_groups.pop(txn, ()),
         )
         self.run_report.answers.append(answer)
@@ -233,7 +233,9 @@
 
     def _read_answer(self, txn: str, name: str, answer: dict[str, Any]) -> tuple[str, float | None]:
         if "result" in answer and name == SURVEY and self._survey is not None:
-            self.run_report.faults += gathered(self.run_report.book, txn, self._survey, answer["result"])
+            self.run_report.faults += gathered(
+                self.run_report.execution_log, txn, self._survey, answer["result"]
+            )
             self._present_groups[txn] = tuple(answer["result"].get("parts", {}).get("present", ()))
             return "served", None
         if "result" in answer:
--- a/slipbay/rig/runner.py
+++ b/slipbay/rig/runner.py
@@ -74,7 +74,9 @@
         ]
         self.links = UdpProxy(self.real, self.random, self.marks)
         self.links.twin_addresses = {n: (f"127.{net}.1.{n + 1}", PEER_PORT) for n in range(script.routers)}
-        self.engines = [RigEngine(f"s-{n}", self.run_report.book, self.marks) for n in range(script.engines)]
+        self.engines = [
+            RigEngine(f"s-{n}", self.run_report.execution_log, self.marks) for n in range(script.engines)
+        ]
         self.host_load = HostLoad(
             lambda: [
                 incarnation.process.pid
@@ -83,7 +85,7 @@
                 if incarnation.process is not None and incarnation.alive
             ]
         )
-        self.run_report.book.host_delay_s = self.host_load.host_delay_s
+        self.run_report.execution_log.host_delay_s = self.host_load.host_delay_s
         if script.channel and (channel_settings := tomllib.loads(script.channel)).get("enabled"):
             self.links.budget_bytes_per_s = channel_settings.get("rate", RATE)
         self.endpoint_list = EndpointListServer(self.marks, script.routers)
--- a/tests/quota_play.py
+++ b/tests/quota_play.py
@@ -37,7 +37,7 @@
         self.verdict = verdict
         self.asked = {answer.txn: (answer.asked, answer.router) for answer in verdict.answers}
         self.first_run_s: dict[str, float] = {}
-        for at, _, txn in verdict.book.begun:
+        for at, _, txn in verdict.execution_log.starts:
             self.first_run_s.setdefault(txn, at - started_s)
         self.outcomes = Counter(answer.outcome for answer in verdict.answers)
 
--- a/tests/test_gather_processes.py
+++ b/tests/test_gather_processes.py
@@ -11,7 +11,7 @@
 
 from slipbay.config.validation import ConfigError
 from slipbay.rig.checker import Answer, RunReport, gathered, judge
-from slipbay.rig.engines import UNASKED_S, Book
+from slipbay.rig.engines import UNREQUESTED_TIMEOUT_S, ExecutionLog
 from slipbay.rig.runner import play
 from slipbay.rig.scenario import from_table
 from slipbay.scatter_gather.config_schema import ScatterTable
@@ -107,15 +107,17 @@
 SURVEY = ScatterTable("survey", "lookup", (7, 3, 12, 5), curve=((0.5, 0.5), (1.0, 1.0)))
 
 
-def record_part(book: Book, group: int, name: str = "", query: str = "q", is_complete: bool = True) -> bytes:
+def record_part(
+    execution_log: ExecutionLog, group: int, name: str = "", query: str = "q", is_complete: bool = True
+) -> bytes:
     """Record a part that an engine ran, to its end if it is complete, and return its row."""
     name = name or f"part{group}"
     row = f"{name}\ts-0\tdone\n".encode()
-    book.begin("s-0", name, "lookup", 10.0)
-    book.is_part(name, query, group)
-    book.end("s-0", name)
+    execution_log.record_start("s-0", name, "lookup", 10.0)
+    execution_log.add_part(name, query, group)
+    execution_log.record_end("s-0", name)
     if is_complete:
-        book.parts[name].rows.add(row)
+        execution_log.parts[name].rows.add(row)
     return row
 
 
@@ -127,15 +129,15 @@
 
 
 def test_the_checker_finds_answers_that_claim_wrong_parts() -> None:
-    book = Book()
-    rows = {group: record_part(book, group, is_complete=group != 5) for group in (7, 3, 12, 5)}
+    execution_log = ExecutionLog()
+    rows = {group: record_part(execution_log, group, is_complete=group != 5) for group in (7, 3, 12, 5)}
     a = rows[7]
     b = rows[3]
     c = rows[12]
-    record_part(book, 3, "other", "another query")
+    record_part(execution_log, 3, "other", "another query")
 
     def fault_count(result: dict[str, Any]) -> int:
-        return len(gathered(book, "q", SURVEY, result))
+        return len(gathered(execution_log, "q", SURVEY, result))
 
     assert not fault_count(answer_result([a, b, c], [7, 3, 12], [5]))
     for result in (
@@ -158,8 +160,8 @@
     def answered(outcome: str = "served") -> RunReport:
         verdict = RunReport(survey=SURVEY)
         for group in (7, 3, 12):
-            record_part(verdict.book, group)
-            verdict.book.asked[f"part{group}"] = 10.4
+            record_part(verdict.execution_log, group)
+            verdict.execution_log.last_requested_s[f"part{group}"] = 10.4
         verdict.answers.append(Answer("q", "survey", "a", 0, 0, 10.0, 10.5, outcome, present=(7, 3)))
         return verdict
 
@@ -169,19 +171,19 @@
 
     assert not faults(answered())
     late = answered()
-    late.book.asked["part12"] = 13.0
+    late.execution_log.last_requested_s["part12"] = 13.0
     assert len(faults(late)) == 1
     assert "asked for 2.50 s after" in late.faults[0]
     dropped = answered()
-    dropped.book.parts["part12"].dropped = 10.5 + UNASKED_S + 0.1
+    dropped.execution_log.parts["part12"].cancelled_s = 10.5 + UNREQUESTED_TIMEOUT_S + 0.1
     assert len(faults(dropped)) == 1
     assert not dropped.faults[1:]
     for exempt in (answered("cut"), answered()):
-        exempt.book.parts["part12"].dropped = 10.5 + UNASKED_S + 0.1
+        exempt.execution_log.parts["part12"].cancelled_s = 10.5 + UNREQUESTED_TIMEOUT_S + 0.1
         # The query ended with its router, or cancellations to engines may have been lost
         assert not faults(exempt, cancels=exempt.answers[0].outcome == "cut")
     twice = answered()
-    twice.book.is_part("again", "q", 7)
+    twice.execution_log.add_part("again", "q", 7)
     assert len(faults(twice)) == 1
     assert "two parts" in twice.faults[0]
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -21,7 +21,7 @@
 from slipbay.quota.guarantees import excess
 from slipbay.quota.plan import Quota, QuotaPlan
 from slipbay.rig.checker import Answer, Bound, RunReport, bounds, judge
-from slipbay.rig.engines import Book
+from slipbay.rig.engines import ExecutionLog
 from slipbay.rig.host_load import HostLoad
 from slipbay.rig.process import RouterIncarnation, RouterProcess
 from slipbay.rig.report import Marks, Service, Wish, stretches
@@ -325,7 +325,7 @@
         routers=3,
         engines=2,
     )
-    begun = {engine for _, engine, _ in run_report.book.begun}
+    begun = {engine for _, engine, _ in run_report.execution_log.starts}
     assert begun == {"s-0", "s-1"}
     assert [row["what"].split()[0] for row in run_report.stretches] == [
         "start",
@@ -431,9 +431,11 @@
     run_report = RunReport()
     for engine in ("s-0", "s-1"):
         for request in ("b", "r", "x", "y", "z") if engine == "s-0" else ("x", "y", "z", "v", "w"):
-            run_report.book.begin(engine, request, "ticket-load" if request in "br" else "lookup", 0.0)
-            run_report.book.end(engine, request)
-    run_report.book.runs["x"] += 20
+            run_report.execution_log.record_start(
+                engine, request, "ticket-load" if request in "br" else "lookup", 0.0
+            )
+            run_report.execution_log.record_end(engine, request)
+    run_report.execution_log.runs["x"] += 20
     run_report.answers += [
         told("r", "ticket-load", "refused"),
         told("n", "ticket-load", "served"),
@@ -458,7 +460,7 @@
     """Five a second for 4 s, and 20 more at 2 s: each is admitted and run within 10 ms."""
     run_report = RunReport(began=100.0)
     for number, at in enumerate([*(n / 5 for n in range(20)), *[2.0] * 20]):
-        run_report.book.begin("s-0", f"{number}", "lookup", 100 + at + 0.01)
+        run_report.execution_log.record_start("s-0", f"{number}", "lookup", 100 + at + 0.01)
         run_report.answers.append(Answer(f"{number}", "lookup", "a", 0, 0, at, at + 0.5, "served"))
     few = Bound("q", ("a",), ("lookup",), 5.0, 20.0)
     many = Bound("q", (), (), 5.0, 22.0)
@@ -568,21 +570,26 @@
 
 
 def test_the_book_finds_what_must_not_be() -> None:
-    book = Book()
-    book.begin("s-0", "a", "ticket-load", 0.0)
-    book.begin("s-1", "a", "ticket-load", 0.1)
-    book.drained_at_s["s-2"] = 0.0
-    book.begin("s-2", "b", "lookup", 1.0)
-    book.begin("s-2", "c", "lookup", 1.2)
-    assert [fault.split(":")[0] for fault in book.faults] == ["twice at once", "run again", "drained"]
-    book.begin("s-1", "d", "lookup", 5.0)
-    book.begin("s-0", "d", "lookup", 7.1)  # nobody asked for the first for 2 s: it is given up
-    held = Book()
+    execution_log = ExecutionLog()
+    execution_log.record_start("s-0", "a", "ticket-load", 0.0)
+    execution_log.record_start("s-1", "a", "ticket-load", 0.1)
+    execution_log.drained_at_s["s-2"] = 0.0
+    execution_log.record_start("s-2", "b", "lookup", 1.0)
+    execution_log.record_start("s-2", "c", "lookup", 1.2)
+    assert [fault.split(":")[0] for fault in execution_log.faults] == [
+        "twice at once",
+        "run again",
+        "drained",
+    ]
+    execution_log.record_start("s-1", "d", "lookup", 5.0)
+    # No router requested the first execution for 2 s, so the router has abandoned it.
+    execution_log.record_start("s-0", "d", "lookup", 7.1)
+    held = ExecutionLog()
     held.host_delay_s = lambda since: 0.5
     held.drained_at_s["s-2"] = 0.0
-    held.begin("s-2", "c", "lookup", 1.2)
-    held.begin("s-2", "c", "lookup", 1.6)
-    assert len(book.faults) == 3
+    held.record_start("s-2", "c", "lookup", 1.2)
+    held.record_start("s-2", "c", "lookup", 1.6)
+    assert len(execution_log.faults) == 3
     assert len(held.faults) == 2
 
 
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -59,7 +59,7 @@
 ) -> None:
     run_report, lines = played
     loads = {answer.txn for answer in run_report.answers if answer.service_class == "ticket-load"}
-    runs = Counter(txn for _, _, txn in run_report.book.begun if txn in loads)
+    runs = Counter(txn for _, _, txn in run_report.execution_log.starts if txn in loads)
     assert loads
     assert max(runs.values()) == 1
     for number in range(4):  # two put back, two lost
