--- a/benchmarks/real.py
+++ b/benchmarks/real.py
@@ -28,7 +28,7 @@
 from slipbay.emulator.engines import CAPACITY
 from slipbay.emulator.fleet_model import MIX
 from slipbay.rig.process import RouterIncarnation
-from slipbay.rig.report import Wish
+from slipbay.rig.report import ClientRequest
 from slipbay.rig.runner import Rig
 from slipbay.rig.scenario import Action, Load, Scenario
 
@@ -52,13 +52,18 @@
         return config
 
 
-def ended(wish: Wish) -> str:
+def ended(client_request: ClientRequest) -> str:
     """How it ended for its client; ``late`` where it was served beyond its aim."""
-    spec = NAMES[wish.service_class].spec
+    spec = NAMES[client_request.service_class].spec
     aim_s = (
-        spec.latency_objective_us + spec.latency_objective_stretch * wish.work_ms * 1e3 / spec.threads
+        spec.latency_objective_us
+        + spec.latency_objective_stretch * client_request.work_ms * 1e3 / spec.threads
     ) / 1e6
-    return "late" if wish.outcome == "served" and wish.took_s > aim_s else wish.outcome
+    return (
+        "late"
+        if client_request.outcome == "served" and client_request.duration_s > aim_s
+        else client_request.outcome
+    )
 
 
 def play(routers: int, level: float, seed: int, seconds: float, kill: int = 0) -> str:
@@ -75,7 +80,9 @@
     )
     with tempfile.TemporaryDirectory() as folder:
         verdict = asyncio.run(Measured(script, Path(folder)).play())
-    counts = Counter((wish.service_class, ended(wish)) for wish in verdict.wishes)
+    counts = Counter(
+        (client_request.service_class, ended(client_request)) for client_request in verdict.client_requests
+    )
     asked = got = 0.0
     for (name, how), count in counts.items():
         spec = NAMES[name].spec
--- a/slipbay/rig/checker.py
+++ b/slipbay/rig/checker.py
@@ -15,7 +15,7 @@
 from slipbay.quota.plan_check import check, check_change
 from slipbay.rig.engines import LONG_POLL_S, UNREQUESTED_TIMEOUT_S, ExecutionLog
 from slipbay.rig.platform import CLASSES, SURVEY
-from slipbay.rig.report import Wish
+from slipbay.rig.report import ClientRequest
 from slipbay.rig.scenario import Scenario
 from slipbay.scatter_gather.config_schema import ScatterTable
 
@@ -72,7 +72,7 @@
 
     timeline: list[str] = field(default_factory=list)
     answers: list[Answer] = field(default_factory=list)
-    wishes: list[Wish] = field(default_factory=list)
+    client_requests: list[ClientRequest] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
     stretches: list[dict[str, Any]] = field(default_factory=list)  # see report.stretches
     seconds: list[dict[str, Any]] = field(default_factory=list)
--- a/slipbay/rig/load.py
+++ b/slipbay/rig/load.py
@@ -12,7 +12,7 @@
 from slipbay.rig.checker import Answer, RunReport, gathered
 from slipbay.rig.platform import CLASSES, SURVEY
 from slipbay.rig.process import RouterIncarnation, RouterProcess
-from slipbay.rig.report import Wish
+from slipbay.rig.report import ClientRequest
 from slipbay.rig.scenario import Scenario, Tenant
 from slipbay.rig.standins import HOST
 
@@ -85,9 +85,13 @@
             work = mean * (self.random.expovariate(1.0) if load.work == "exponential" else 1.0)
             router_numbers = tenant.routers or range(len(self.routers))
             await asyncio.sleep(max(0.0, at - self._now()))
-            wish = Wish(at, name, tenant.name, self.random.choice(router_numbers), work_ms=max(5, int(work)))
-            self.run_report.wishes.append(wish)
-            task = loop.create_task(self._send_request(wish, router_numbers, wish.work_ms))
+            client_request = ClientRequest(
+                at, name, tenant.name, self.random.choice(router_numbers), work_ms=max(5, int(work))
+            )
+            self.run_report.client_requests.append(client_request)
+            task = loop.create_task(
+                self._send_request(client_request, router_numbers, client_request.work_ms)
+            )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         while self._tasks:
@@ -100,26 +104,31 @@
         ]
         return self.random.choice(ready) if ready else None
 
-    async def _send_request(self, wish: Wish, router_numbers: Sequence[int], work_ms: int) -> None:
+    async def _send_request(
+        self, client_request: ClientRequest, router_numbers: Sequence[int], work_ms: int
+    ) -> None:
         """Make all attempts for a request; its duration counts from the first attempt."""
         load = self.script.load
-        keyed = bool(self.script.store) and wish.service_class == "ticket-load"
-        number = wish.router
+        keyed = bool(self.script.store) and client_request.service_class == "ticket-load"
+        number = client_request.router
         txn = ""
         failures = 0
         while True:
             incarnation = self._choose_incarnation(number, router_numbers)
-            wish.attempts += 1
+            client_request.attempts += 1
             if incarnation is None:
-                wish.outcome = "unreached"
+                client_request.outcome = "unreached"
                 return
             if not txn:
                 self._request_count += 1
                 txn = f"{self._request_count:016x}"
-            answer = await self._attempt(wish, incarnation, txn, work_ms)
-            wish.outcome, wish.took_s = answer.outcome, self._now() - wish.at
+            answer = await self._attempt(client_request, incarnation, txn, work_ms)
+            client_request.outcome, client_request.duration_s = (
+                answer.outcome,
+                self._now() - client_request.at,
+            )
             failures += answer.outcome == "failed"
-            if wish.attempts >= load.tries or failures > 1:
+            if client_request.attempts >= load.tries or failures > 1:
                 return
             if answer.outcome == "refused":
                 if not load.honour_later:
@@ -144,24 +153,26 @@
             await asyncio.sleep(0.05)
         return True
 
-    async def _attempt(self, wish: Wish, incarnation: RouterIncarnation, txn: str, work_ms: int) -> Answer:
-        name = wish.service_class
+    async def _attempt(
+        self, client_request: ClientRequest, incarnation: RouterIncarnation, txn: str, work_ms: int
+    ) -> Answer:
+        name = client_request.service_class
         asked = self._now()
         for _ in range(5):
-            outcome, retry_after_s = await self._exchange(incarnation, wish, txn, work_ms)
+            outcome, retry_after_s = await self._exchange(incarnation, client_request, txn, work_ms)
             if outcome != "unsaid":
                 break
         answer = Answer(
             txn,
             name,
-            wish.tenant,
+            client_request.tenant,
             incarnation.router.number,
             incarnation.number,
             asked,
             self._now(),
             outcome,
             retry_after_s,
-            wish.attempts > 1,
+            client_request.attempts > 1,
             self.run_report.execution_log.runs[txn],
             self._present_groups.pop(txn, ()),
         )
@@ -176,9 +187,9 @@
         return answer
 
     async def _exchange(
-        self, incarnation: RouterIncarnation, wish: Wish, txn: str, work_ms: int
+        self, incarnation: RouterIncarnation, client_request: ClientRequest, txn: str, work_ms: int
     ) -> tuple[str, float | None]:
-        name = wish.service_class
+        name = client_request.service_class
         deadline_s = CLASSES[name].deadline_s
         began = self._now()
         statement = f"SELECT {work_ms}"
@@ -190,8 +201,8 @@
             "txn": txn,
             "limit": int(deadline_s * 1000),
             "cpu": float(work),
-            "team": wish.tenant,
-            **({"second": 1} if wish.attempts > 1 else {}),
+            "team": client_request.tenant,
+            **({"second": 1} if client_request.attempts > 1 else {}),
             "data": base64.b64encode(statement.encode()).decode(),
         }
         message = {"jsonrpc": "2.0", "id": 1, "method": name, "params": params}
--- a/slipbay/rig/report.py
+++ b/slipbay/rig/report.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True)
-class Wish:
+class ClientRequest:
     """What a client requests, over all of its attempts; times in s from when all routers are ready."""
 
     at: float
@@ -60,7 +60,7 @@
     tenant: str
     router: int
     outcome: str = "open"  # outcome of its last attempt
-    took_s: float = 0.0  # from its first attempt
+    duration_s: float = 0.0  # from its first attempt
     attempts: int = 0
     work_ms: int = 0  # work in ms of one core
 
@@ -72,19 +72,21 @@
     @property
     def in_time(self) -> bool:
         """Whether the client was served within the latency objective of the class."""
-        return self.outcome == "served" and self.took_s <= CLASSES[self.service_class].latency_objective_s
+        return self.outcome == "served" and self.duration_s <= CLASSES[self.service_class].latency_objective_s
 
 
 class Service:
     """Utility that was requested and that was served in time, by the time of the request."""
 
-    def __init__(self, wishes: list[Wish]) -> None:
-        self._requests = sorted(wishes, key=lambda wish: wish.at)
-        self._times = [wish.at for wish in self._requests]
+    def __init__(self, client_requests: list[ClientRequest]) -> None:
+        self._requests = sorted(client_requests, key=lambda client_request: client_request.at)
+        self._times = [client_request.at for client_request in self._requests]
         self._sums = [(0.0, 0.0)]
-        for wish in self._requests:
+        for client_request in self._requests:
             requested, served = self._sums[-1]
-            self._sums.append((requested + wish.utility, served + wish.utility * wish.in_time))
+            self._sums.append(
+                (requested + client_request.utility, served + client_request.utility * client_request.in_time)
+            )
 
     def share_in_time(self, since: float, until: float) -> float | None:
         """Return the fraction of the utility requested in a span that was served in time.
@@ -98,12 +100,15 @@
 
     def without_cut_requests(self) -> Service:
         """Return the service without requests whose router ended under them: the service before a kill."""
-        return Service([wish for wish in self._requests if wish.outcome != "cut"])
+        return Service(
+            [client_request for client_request in self._requests if client_request.outcome != "cut"]
+        )
 
     def count_cut(self, since: float, until: float) -> int:
         """Return the number of requests that ended in a span because their router ended."""
         return sum(
-            wish.outcome == "cut" and since <= wish.at + wish.took_s < until for wish in self._requests
+            client_request.outcome == "cut" and since <= client_request.at + client_request.duration_s < until
+            for client_request in self._requests
         )
 
     def time_to_full_service(self, at: float, before: float, end: float) -> float | None:
@@ -121,8 +126,8 @@
     def by_second(self) -> list[dict[str, Any]]:
         """Return counts of outcomes by second, class and tenant."""
         rows: dict[tuple[int, str, str], dict[str, Any]] = {}
-        for wish in self._requests:
-            key = int(wish.at), wish.service_class, wish.tenant
+        for client_request in self._requests:
+            key = int(client_request.at), client_request.service_class, client_request.tenant
             row = rows.setdefault(
                 key,
                 {
@@ -138,8 +143,8 @@
                 },
             )
             row["asked"] += 1
-            row["in_time"] += wish.in_time
-            row[wish.outcome if wish.outcome in row else "lost"] += 1
+            row["in_time"] += client_request.in_time
+            row[client_request.outcome if client_request.outcome in row else "lost"] += 1
         return [rows[key] for key in sorted(rows)]
 
 
--- a/slipbay/rig/runner.py
+++ b/slipbay/rig/runner.py
@@ -223,7 +223,7 @@
                 f"quota {row['quota']} from {row['since']:g} s on: worst window {row['worst']:g} beyond "
                 f"{row['rate']:g} x t, bound {row['bound']:g}"
             )
-        service = Service(self.run_report.wishes)
+        service = Service(self.run_report.client_requests)
         self.run_report.seconds = service.by_second()
         self.run_report.stretches = report.stretches(
             service, self.marks, self.faults.performed, self.ready_times_s, self.began, self.script.seconds
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -24,7 +24,7 @@
 from slipbay.rig.engines import ExecutionLog
 from slipbay.rig.host_load import HostLoad
 from slipbay.rig.process import RouterIncarnation, RouterProcess
-from slipbay.rig.report import Marks, Service, Wish, stretches
+from slipbay.rig.report import ClientRequest, Marks, Service, stretches
 from slipbay.rig.runner import own_net, play
 from slipbay.rig.scenario import from_table, read
 from slipbay.rig.skewed import jumping_clock, write_jump
@@ -211,7 +211,7 @@
     assert {(row["tenant"], row["class"]) for row in run_report.seconds} == {("a", "lookup"), ("b", "report")}
     repeats = [answer for answer in run_report.answers if answer.is_repeat]
     assert repeats
-    assert all(wish.attempts <= 4 for wish in run_report.wishes)
+    assert all(client_request.attempts <= 4 for client_request in run_report.client_requests)
     assert len({answer.txn for answer in run_report.answers}) == len(run_report.answers)
 
 
@@ -389,11 +389,11 @@
 
 
 def test_full_service_is_found_when_it_lasts_and_not_before() -> None:
-    def wish(at: float, good: bool) -> Wish:
-        return Wish(at, "lookup", "a", 0, "served" if good else "refused", 0.1)
+    def client_request(at: float, good: bool) -> ClientRequest:
+        return ClientRequest(at, "lookup", "a", 0, "served" if good else "refused", 0.1)
 
-    wishes = [wish(n / 100, not 200 <= n < 250 and not 300 <= n < 320) for n in range(600)]
-    service = Service(wishes)
+    client_requests = [client_request(n / 100, not 200 <= n < 250 and not 300 <= n < 320) for n in range(600)]
+    service = Service(client_requests)
     assert service.share_in_time(0, 2) == 1.0
     assert service.share_in_time(2, 2.5) == 0.0
     full = service.time_to_full_service(2.0, 1.0, 6.0)
@@ -401,16 +401,21 @@
     assert 1.1 < full < 1.2
     assert service.time_to_full_service(2.0, 1.0, 4.0) is None  # the load ends before it has lasted
     assert (
-        Service([*wishes, *(wish(6 + n / 100, False) for n in range(200))]).time_to_full_service(5.5, 1, 8)
+        Service(
+            [*client_requests, *(client_request(6 + n / 100, False) for n in range(200))]
+        ).time_to_full_service(5.5, 1, 8)
         is None
     )
-    under_way = [*(wish(n / 100, True) for n in range(200)), Wish(1.95, "report", "a", 0, "cut", 0.06)]
+    under_way = [
+        *(client_request(n / 100, True) for n in range(200)),
+        ClientRequest(1.95, "report", "a", 0, "cut", 0.06),
+    ]
     rows = stretches(Service(under_way), Marks(), [(2.0, "kill")], [2.4], 50.0, 4.0)
     assert Service(under_way).without_cut_requests().share_in_time(0, 2) == 1.0
     assert [row["cut"] for row in rows] == [0, 1]
     assert rows[1]["first_ready_s"] == 0.4
     assert rows[1]["in_time"] is None
-    slow = Wish(0.0, "lookup", "a", 0, "served", 0.6)
+    slow = ClientRequest(0.0, "lookup", "a", 0, "served", 0.6)
     assert not slow.in_time
     assert Service([slow]).share_in_time(0, 1) == 0.0
 
