--- a/slipbay/rig/endpoint_list.py
+++ b/slipbay/rig/endpoint_list.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from slipbay.rig.report import Marks
+from slipbay.rig.report import EventRecorder
 from slipbay.rig.standins import event, quietly, serve
 
 HEARTBEAT_INTERVAL_S = 1.0
@@ -21,8 +21,8 @@
     between routers.
     """
 
-    def __init__(self, marks: Marks, routers: int) -> None:
-        self._marks = marks
+    def __init__(self, recorder: EventRecorder, routers: int) -> None:
+        self._marks = recorder
         self._routers = routers
         self._events: list[Callable[[int], list[dict[str, Any]]]] = []
         self._writers: set[tuple[int, asyncio.StreamWriter]] = set()
--- a/slipbay/rig/engines.py
+++ b/slipbay/rig/engines.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from slipbay.rig.platform import SLOW_START_S
-from slipbay.rig.report import Marks
+from slipbay.rig.report import EventRecorder
 from slipbay.rig.standins import HttpCall, StandInEngine, http_answer
 
 LONG_POLL_S = 0.25
@@ -107,11 +107,13 @@
     execution is returned again on repeated calls; an execution that no router requests any more is cancelled.
     """
 
-    def __init__(self, name: str, execution_log: ExecutionLog, marks: Marks, cores: int = 8) -> None:
+    def __init__(
+        self, name: str, execution_log: ExecutionLog, recorder: EventRecorder, cores: int = 8
+    ) -> None:
         super().__init__(self._answer)
         self.name = name
         self.execution_log = execution_log
-        self.marks = marks
+        self.recorder = recorder
         self.cores = cores
         # state and start time as the endpoint list reports them
         self.state = "SERVING"
@@ -165,7 +167,7 @@
         self._slowdowns.update(dict.fromkeys(groups or (None,), factor))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.marks.add("connects", asyncio.get_running_loop().time())
+        self.recorder.add("connects", asyncio.get_running_loop().time())
         try:
             await super()._serve(reader, writer)
         finally:
@@ -221,7 +223,7 @@
     async def _serve_call(self, call: HttpCall) -> bytes:
         now = asyncio.get_running_loop().time()
         if call.path in ("/ping", "/stats"):
-            self.marks.add("probes", now)
+            self.recorder.add("probes", now)
         if call.method == "PUT" or call.path == "/ping":
             return http_answer(204 if call.method == "PUT" else 200)
         if call.method == "POST":
@@ -232,12 +234,12 @@
             ms, group, query = found.groups() if found else (None, None, None)
             self.execution_log.record_start(self.name, name, class_name, now)
             self.execution_log.add_threads(self.name, threads)
-            self.marks.record_threads(now, self.execution_log.threads[self.name])
+            self.recorder.record_threads(now, self.execution_log.threads[self.name])
             if query is not None:
                 self.execution_log.add_part(name, query, int(group or 0))
-            self.marks.add("sends", now)
+            self.recorder.add("sends", now)
             if now < self._cold_until:
-                self.marks.add("cold_sends", now)
+                self.recorder.add("cold_sends", now)
             self._runs[name] = Run(int(group or 0), threads, int(ms or 80) / 1000 / threads, now)
         else:
             name = call.path.split("/")[2]
--- a/slipbay/rig/report.py
+++ b/slipbay/rig/report.py
@@ -20,7 +20,7 @@
 PEAK_KINDS = ("connects", "list_calls", "probes", "sends", "cold_sends", "messages")
 
 
-class Marks:
+class EventRecorder:
     """Times of events by kind, and thread counts of engines, in s of one clock."""
 
     def __init__(self) -> None:
@@ -150,7 +150,7 @@
 
 def stretches(
     service: Service,
-    marks: Marks,
+    recorder: EventRecorder,
     actions: list[tuple[float, str]],
     ready_times_s: list[float],
     began: float,
@@ -160,7 +160,7 @@
     action to the next.
 
     ``actions``, ``ready_times_s`` (when routers started to listen) and ``seconds`` count from ``began``, a
-    time of the clock of ``marks``.
+    time of the clock of ``recorder``.
     """
     starts = [(0.0, "start"), *actions]
     first = actions[0][0] if actions else seconds
@@ -180,8 +180,8 @@
                 "full_service_s": None if full is None else round(full, 3),
                 "first_ready_s": round(min(ready_delays_s), 3) if number and ready_delays_s else None,
                 "cut": service.count_cut(at, until),
-                "threads": marks.max_threads(began + at, began + until),
-                **{kind: marks.peak_count(kind, began + at, began + until) for kind in PEAK_KINDS},
+                "threads": recorder.max_threads(began + at, began + until),
+                **{kind: recorder.peak_count(kind, began + at, began + until) for kind in PEAK_KINDS},
             }
         )
     return rows
--- a/slipbay/rig/runner.py
+++ b/slipbay/rig/runner.py
@@ -24,7 +24,7 @@
 from slipbay.rig.load import Clients
 from slipbay.rig.platform import settings, zone_names
 from slipbay.rig.process import START_S, RouterIncarnation, RouterProcess
-from slipbay.rig.report import Marks, Service
+from slipbay.rig.report import EventRecorder, Service
 from slipbay.rig.scenario import Scenario
 from slipbay.rig.standins import HOST, event, host
 from slipbay.rig.tcp_proxy import TcpProxy
@@ -67,15 +67,15 @@
         self.script = script
         self.random = Random(script.seed)
         self.run_report = RunReport(survey=script.survey)
-        self.marks = Marks()
+        self.recorder = EventRecorder()
         net, self._network_socket = own_net()
         self.real: list[Address] = [
             (f"127.{net}.{n // 250}.{n % 250 + 1}", PEER_PORT) for n in range(script.routers)
         ]
-        self.links = UdpProxy(self.real, self.random, self.marks)
+        self.links = UdpProxy(self.real, self.random, self.recorder)
         self.links.twin_addresses = {n: (f"127.{net}.1.{n + 1}", PEER_PORT) for n in range(script.routers)}
         self.engines = [
-            RigEngine(f"s-{n}", self.run_report.execution_log, self.marks) for n in range(script.engines)
+            RigEngine(f"s-{n}", self.run_report.execution_log, self.recorder) for n in range(script.engines)
         ]
         self.host_load = HostLoad(
             lambda: [
@@ -88,7 +88,7 @@
         self.run_report.execution_log.host_delay_s = self.host_load.host_delay_s
         if script.channel and (channel_settings := tomllib.loads(script.channel)).get("enabled"):
             self.links.budget_bytes_per_s = channel_settings.get("rate", RATE)
-        self.endpoint_list = EndpointListServer(self.marks, script.routers)
+        self.endpoint_list = EndpointListServer(self.recorder, script.routers)
         self.tcp_proxy: TcpProxy | None = None
         if script.has_tcp_proxies:
             self.tcp_proxy = TcpProxy(
@@ -226,7 +226,7 @@
         service = Service(self.run_report.client_requests)
         self.run_report.seconds = service.by_second()
         self.run_report.stretches = report.stretches(
-            service, self.marks, self.faults.performed, self.ready_times_s, self.began, self.script.seconds
+            service, self.recorder, self.faults.performed, self.ready_times_s, self.began, self.script.seconds
         )
         return self.run_report
 
--- a/slipbay/rig/udp_proxy.py
+++ b/slipbay/rig/udp_proxy.py
@@ -16,7 +16,7 @@
 from typing import cast
 
 from slipbay.address import Address
-from slipbay.rig.report import Marks
+from slipbay.rig.report import EventRecorder
 
 WINDOW_S = 1.05  # s in which a router sends no more than its budget
 
@@ -58,10 +58,10 @@
 class UdpProxy:
     """All datagram links between routers."""
 
-    def __init__(self, real: list[Address], random: Random, marks: Marks | None = None) -> None:
+    def __init__(self, real: list[Address], random: Random, recorder: EventRecorder | None = None) -> None:
         self.real = real
         self.random = random
-        self.marks = marks or Marks()
+        self.recorder = recorder or EventRecorder()
         # addresses of second processes that run beside the first
         self.twin_addresses: dict[int, Address] = {}
         self.loss = 0.0
@@ -149,7 +149,7 @@
     def forward(self, near: int, far: int, data: bytes) -> None:
         """Forward a datagram, subject to cuts, loss, duplication and delay."""
         self.counts["messages"] += 1
-        self.marks.add("messages", asyncio.get_running_loop().time())
+        self.recorder.add("messages", asyncio.get_running_loop().time())
         self._recent.append((near, far, data))
         if (near, far) in self.cut_pairs or self.random.random() < self.loss:
             self.counts["lost"] += 1
--- a/tests/contracts/test_channel_contract.py
+++ b/tests/contracts/test_channel_contract.py
@@ -24,7 +24,7 @@
 from slipbay.peer_channel.multiplexer import RATE, Multiplexer
 from slipbay.peer_channel.udp_link import UdpLink
 from slipbay.peers.udp import PeerSocket
-from slipbay.rig.report import Marks
+from slipbay.rig.report import EventRecorder
 from slipbay.rig.runner import PEER_PORT, own_net
 from slipbay.rig.udp_proxy import UdpProxy
 
@@ -216,7 +216,7 @@
 
     async def _told(self, me: int) -> list[tuple[str, int]]:
         if not me:
-            self.relays = UdpProxy(self.real, Random(1), Marks())
+            self.relays = UdpProxy(self.real, Random(1), EventRecorder())
             await self.relays.open()
         told = self.relays.peers(me, self.real[me])
         return [(host, int(port)) for host, _, port in (address.partition(":") for address in told)]
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -24,7 +24,7 @@
 from slipbay.rig.engines import ExecutionLog
 from slipbay.rig.host_load import HostLoad
 from slipbay.rig.process import RouterIncarnation, RouterProcess
-from slipbay.rig.report import ClientRequest, Marks, Service, stretches
+from slipbay.rig.report import ClientRequest, EventRecorder, Service, stretches
 from slipbay.rig.runner import own_net, play
 from slipbay.rig.scenario import from_table, read
 from slipbay.rig.skewed import jumping_clock, write_jump
@@ -410,7 +410,7 @@
         *(client_request(n / 100, True) for n in range(200)),
         ClientRequest(1.95, "report", "a", 0, "cut", 0.06),
     ]
-    rows = stretches(Service(under_way), Marks(), [(2.0, "kill")], [2.4], 50.0, 4.0)
+    rows = stretches(Service(under_way), EventRecorder(), [(2.0, "kill")], [2.4], 50.0, 4.0)
     assert Service(under_way).without_cut_requests().share_in_time(0, 2) == 1.0
     assert [row["cut"] for row in rows] == [0, 1]
     assert rows[1]["first_ready_s"] == 0.4
@@ -421,12 +421,12 @@
 
 
 def test_peaks_are_of_any_100_ms() -> None:
-    marks = Marks()
+    recorder = EventRecorder()
     for at in (0.0, 0.09, 0.1, 0.15, 0.189, 5.0):
-        marks.add("connects", at)
-    assert marks.peak_count("connects", 0, 10) == 4
-    assert marks.peak_count("connects", 0.1, 10) == 3
-    assert marks.peak_count("probes", 0, 10) == 0
+        recorder.add("connects", at)
+    assert recorder.peak_count("connects", 0, 10) == 4
+    assert recorder.peak_count("connects", 0.1, 10) == 3
+    assert recorder.peak_count("probes", 0, 10) == 0
 
 
 def test_the_judge_finds_what_must_not_be() -> None:
