--- a/slipbay/rig/checker.py
+++ b/slipbay/rig/checker.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bound:
+class QuotaBound:
     """What the plan of a quota allows.
 
     In any t seconds that begin at ``since`` or later, it admits at most ``max_excess + rate x t`` requests.
@@ -60,7 +60,7 @@
 
     def measured_excess(self, run_report: RunReport) -> float:
         """Return the largest proven excess of any window over ``rate x t``."""
-        return worst(
+        return max_window_excess(
             [span for span in run_report.spans(self.tenants, self.classes) if span[0] >= self.since],
             self.rate,
         )
@@ -179,7 +179,7 @@
         }
 
 
-def gathered(
+def check_scattered_answer(
     execution_log: ExecutionLog, query: str, survey: ScatterTable, result: dict[str, Any]
 ) -> list[str]:
     """Check the answer to a scattered query against what engines ran for it, and return the faults."""
@@ -203,7 +203,7 @@
     return faults
 
 
-def worst(spans: Sequence[Span], rate: float) -> float:
+def max_window_excess(spans: Sequence[Span], rate: float) -> float:
     """Return the largest number of requests by which certainly admitted requests of any window exceed ``rate
     x t``.
 
@@ -220,7 +220,7 @@
     return max_excess
 
 
-def bounds(script: Scenario) -> list[Bound]:
+def quota_bounds(script: Scenario) -> list[QuotaBound]:
     """Return the bounds that a scenario's quota plans guarantee.
 
     Over the whole run the largest plan holds, and once all routers have received the last plan, that plan's
@@ -266,11 +266,11 @@
     return found
 
 
-def _largest_bound(name: str, plans: Sequence[QuotaPlan], routers: int, since: float = 0.0) -> Bound:
+def _largest_bound(name: str, plans: Sequence[QuotaPlan], routers: int, since: float = 0.0) -> QuotaBound:
     """Return the largest bound of a quota over some plans."""
     candidates = [(plan, quota) for plan in plans for quota in plan.quotas if quota.name == name]
     quota = candidates[-1][1]
-    return Bound(
+    return QuotaBound(
         name,
         tuple(quota.tenants),
         tuple(quota.classes),
@@ -280,14 +280,14 @@
     )
 
 
-def judge(
-    run_report: RunReport, process_count: int, bounds: Sequence[Bound] = (), cancels: bool = True
+def check_rules(
+    run_report: RunReport, process_count: int, quota_bounds: Sequence[QuotaBound] = (), cancels: bool = True
 ) -> None:
     """Check the rules that can only be checked after the whole run.
 
     ``process_count`` is the number of router processes; ``cancels``: see ``RunReport.uncancelled_parts``.
     """
-    for bound in bounds:
+    for bound in quota_bounds:
         found = bound.measured_excess(run_report)
         run_report.quotas.append(
             {
--- a/slipbay/rig/endpoint_list.py
+++ b/slipbay/rig/endpoint_list.py
@@ -22,7 +22,7 @@
     """
 
     def __init__(self, recorder: EventRecorder, routers: int) -> None:
-        self._marks = recorder
+        self._recorder = recorder
         self._routers = routers
         self._events: list[Callable[[int], list[dict[str, Any]]]] = []
         self._writers: set[tuple[int, asyncio.StreamWriter]] = set()
@@ -68,7 +68,7 @@
                 writer.write(b'{"pos":%d}\n' % self.position)
 
     async def _serve(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._marks.add("list_calls", asyncio.get_running_loop().time())
+        self._recorder.add("list_calls", asyncio.get_running_loop().time())
         request_words = (await reader.readline()).split()
         if len(request_words) < 2:
             return writer.transport.abort()  # the router ended before it sent its request
--- a/slipbay/rig/load.py
+++ b/slipbay/rig/load.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from slipbay.rig.checker import Answer, RunReport, gathered
+from slipbay.rig.checker import Answer, RunReport, check_scattered_answer
 from slipbay.rig.platform import CLASSES, SURVEY
 from slipbay.rig.process import RouterIncarnation, RouterProcess
 from slipbay.rig.report import ClientRequest
@@ -244,7 +244,7 @@
 
     def _read_answer(self, txn: str, name: str, answer: dict[str, Any]) -> tuple[str, float | None]:
         if "result" in answer and name == SURVEY and self._survey is not None:
-            self.run_report.faults += gathered(
+            self.run_report.faults += check_scattered_answer(
                 self.run_report.execution_log, txn, self._survey, answer["result"]
             )
             self._present_groups[txn] = tuple(answer["result"].get("parts", {}).get("present", ()))
--- a/slipbay/rig/runner.py
+++ b/slipbay/rig/runner.py
@@ -16,7 +16,7 @@
 from slipbay.address import Address
 from slipbay.peer_channel.multiplexer import RATE
 from slipbay.rig import report
-from slipbay.rig.checker import RunReport, bounds, judge
+from slipbay.rig.checker import RunReport, check_rules, quota_bounds
 from slipbay.rig.endpoint_list import EndpointListServer
 from slipbay.rig.engines import RigEngine
 from slipbay.rig.faults import Faults, RunComponents
@@ -212,10 +212,10 @@
             watching.cancel()
         self.run_report.max_bytes_in_second = self.links.max_bytes_in_second
         self.run_report.faults += self.links.over_budget[:5]
-        judge(
+        check_rules(
             self.run_report,
             sum(len(router.lives) for router in self.routers),
-            bounds(self.script),
+            quota_bounds(self.script),
             cancels=not self.script.has_tcp_proxies,
         )
         for row in self.run_report.quotas:
--- a/tests/quota_play.py
+++ b/tests/quota_play.py
@@ -16,7 +16,7 @@
 from slipbay.config.validation import convert
 from slipbay.quota.guarantees import excess
 from slipbay.quota.plan import Quota, QuotaPlan
-from slipbay.rig.checker import RunReport, worst
+from slipbay.rig.checker import RunReport, max_window_excess
 from slipbay.rig.runner import Rig
 from slipbay.rig.scenario import Scenario
 
@@ -55,7 +55,7 @@
         A request is admitted after its client sent it and before it runs. So it counts only in windows that
         contain both times.
         """
-        return worst([span for span in self.verdict.spans() if span[0] >= since], rate)
+        return max_window_excess([span for span in self.verdict.spans() if span[0] >= since], rate)
 
 
 def run_scenario(
--- a/tests/test_gather_processes.py
+++ b/tests/test_gather_processes.py
@@ -10,7 +10,7 @@
 import pytest
 
 from slipbay.config.validation import ConfigError
-from slipbay.rig.checker import Answer, RunReport, gathered, judge
+from slipbay.rig.checker import Answer, RunReport, check_rules, check_scattered_answer
 from slipbay.rig.engines import UNREQUESTED_TIMEOUT_S, ExecutionLog
 from slipbay.rig.runner import play
 from slipbay.rig.scenario import from_table
@@ -137,7 +137,7 @@
     record_part(execution_log, 3, "other", "another query")
 
     def fault_count(result: dict[str, Any]) -> int:
-        return len(gathered(execution_log, "q", SURVEY, result))
+        return len(check_scattered_answer(execution_log, "q", SURVEY, result))
 
     assert not fault_count(answer_result([a, b, c], [7, 3, 12], [5]))
     for result in (
@@ -166,7 +166,7 @@
         return verdict
 
     def faults(verdict: RunReport, **more: Any) -> list[str]:
-        judge(verdict, 1, **more)
+        check_rules(verdict, 1, **more)
         return [fault for fault in verdict.faults if fault.startswith("parts: ")]
 
     assert not faults(answered())
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -20,7 +20,7 @@
 from slipbay.config.validation import ConfigError
 from slipbay.quota.guarantees import excess
 from slipbay.quota.plan import Quota, QuotaPlan
-from slipbay.rig.checker import Answer, Bound, RunReport, bounds, judge
+from slipbay.rig.checker import Answer, QuotaBound, RunReport, check_rules, quota_bounds
 from slipbay.rig.engines import ExecutionLog
 from slipbay.rig.host_load import HostLoad
 from slipbay.rig.process import RouterIncarnation, RouterProcess
@@ -449,7 +449,7 @@
         told("v", "ticket-load", "refused"),
         told("v", "ticket-load", "served"),
     ]
-    judge(run_report, 1)
+    check_rules(run_report, 1)
     assert [fault.split(":")[0] for fault in run_report.faults] == [
         "ration",
         "refused though it ran",
@@ -457,7 +457,7 @@
         "served, then failed under the same key",
     ]
     clean = RunReport(answers=[told("c", "ticket-load", "refused")])
-    judge(clean, 1)
+    check_rules(clean, 1)
     assert clean.good
 
 
@@ -467,9 +467,13 @@
     for number, at in enumerate([*(n / 5 for n in range(20)), *[2.0] * 20]):
         run_report.execution_log.record_start("s-0", f"{number}", "lookup", 100 + at + 0.01)
         run_report.answers.append(Answer(f"{number}", "lookup", "a", 0, 0, at, at + 0.5, "served"))
-    few = Bound("q", ("a",), ("lookup",), 5.0, 20.0)
-    many = Bound("q", (), (), 5.0, 22.0)
-    judge(run_report, 1, [few, many, Bound("q", ("b",), (), 1.0, 0.0), Bound("q", (), (), 5.0, 2.0, 2.001)])
+    few = QuotaBound("q", ("a",), ("lookup",), 5.0, 20.0)
+    many = QuotaBound("q", (), (), 5.0, 22.0)
+    check_rules(
+        run_report,
+        1,
+        [few, many, QuotaBound("q", ("b",), (), 1.0, 0.0), QuotaBound("q", (), (), 5.0, 2.0, 2.001)],
+    )
     assert [fault.split(" by ")[0] for fault in run_report.faults] == ["quota: q passed 5 x t"]
     assert [row["worst"] for row in run_report.quotas] == [pytest.approx(21, abs=0.2)] * 2 + [
         0.0,
@@ -499,7 +503,7 @@
         spare = {rate: excess(QuotaPlan(1, []), Quota("q", rate, rate + 20), 3) for rate in (10, 40, 50)}
         return [
             (bound.rate, round(bound.max_excess - spare[int(bound.rate)]), bound.since)
-            for bound in bounds(script)
+            for bound in quota_bounds(script)
         ]
 
     assert told() == [(40.0, 60, 0.0)]
@@ -507,7 +511,7 @@
     assert told(*refused, (1, [0, 1, 2], plan(2, -1)), (1, [0], "enabled = false")) == [(40.0, 60, 0.0)]
     assert told((1, [0, 1], plan(2, 10)), (2, [2], plan(2, 10))) == [(40.0, 60, 0.0), (10.0, 30, 3.0)]
     assert told((1, [0, 1], plan(2, 50))) == [(50.0, 70, 0.0)]  # a router never heard of it
-    assert bounds(from_table({"quota": "enabled = false"})) == []
+    assert quota_bounds(from_table({"quota": "enabled = false"})) == []
 
 
 def test_relays_find_a_life_that_sent_more_than_it_may() -> None:
