--- a/benchmarks/real.py
+++ b/benchmarks/real.py
@@ -112,11 +112,11 @@
                 "from slipbay.__main__ import main\nsys.exit(main())",  # which every release has
             )
 
-    def _came_up(self, life: RouterIncarnation) -> None:
-        super()._came_up(life)
-        number = life.router.number
-        self.spent[number] -= cpu_s(life)
-        if shutil.which("perf") and life.process is not None:
+    def _came_up(self, incarnation: RouterIncarnation) -> None:
+        super()._came_up(incarnation)
+        number = incarnation.router.number
+        self.spent[number] -= cpu_s(incarnation)
+        if shutil.which("perf") and incarnation.process is not None:
             self.counters[number] = subprocess.Popen(
                 [
                     "perf",
@@ -127,13 +127,13 @@
                     "-o",
                     str(self.folder / f"count{number}"),
                     "-p",
-                    str(life.process.pid),
+                    str(incarnation.process.pid),
                 ]
             )
 
     async def _settle(self) -> None:
         for router in self.routers:
-            self.spent[router.number] += cpu_s(router.lives[0])
+            self.spent[router.number] += cpu_s(router.incarnations[0])
         for number, counter in self.counters.items():
             counter.send_signal(signal.SIGINT)
             await asyncio.to_thread(counter.wait)
@@ -143,10 +143,10 @@
             )  # 0: the system does not let us count
 
 
-def cpu_s(life: RouterIncarnation) -> float:
+def cpu_s(incarnation: RouterIncarnation) -> float:
     """What a process has spent on cores; in s."""
-    assert life.process is not None
-    return int(Path(f"/proc/{life.process.pid}/schedstat").read_text().split()[0]) / 1e9
+    assert incarnation.process is not None
+    return int(Path(f"/proc/{incarnation.process.pid}/schedstat").read_text().split()[0]) / 1e9
 
 
 def told(ratios: list[float]) -> str:
--- a/slipbay/rig/checker.py
+++ b/slipbay/rig/checker.py
@@ -34,7 +34,7 @@
     service_class: str
     tenant: str
     router: int
-    life: int
+    incarnation: int
     asked: float
     ended: float
     outcome: str  # served, refused, failed, cut (its router ended) or unreached (no connection was accepted)
--- a/slipbay/rig/process.py
+++ b/slipbay/rig/process.py
@@ -134,7 +134,7 @@
         self._config = config
         self._folder = folder
         self._files = files
-        self.lives: list[RouterIncarnation] = []
+        self.incarnations: list[RouterIncarnation] = []
         self.lines: list[str] = []
         self.on_ready = on_ready
         self.clock_offset_ms = 0.0  # offset of the wall clock of its next processes
@@ -151,8 +151,8 @@
         if not (key := self._folder / "key").exists():  # other routers may be reading the file
             key.write_text("a key of this play\n")
         paths = {name: self._write(name, seat) for name in self._files}
-        incarnation = RouterIncarnation(self, len(self.lives), seat)
-        self.lives.append(incarnation)
+        incarnation = RouterIncarnation(self, len(self.incarnations), seat)
+        self.incarnations.append(incarnation)
         skewed = self.clock_offset_ms or self.clock_may_jump
         clock = ("-m", "slipbay.rig.skewed", str(self.clock_offset_ms)) if skewed else ()
         if self.clock_may_jump:
@@ -199,7 +199,9 @@
     def copy_store(self, name: str) -> None:
         """Copy its state directory, while its processes are stopped, so that the copy is consistent."""
         shutil.rmtree(self._copy_path(name), ignore_errors=True)
-        running = [incarnation for incarnation in self.lives if incarnation.alive and incarnation.ready]
+        running = [
+            incarnation for incarnation in self.incarnations if incarnation.alive and incarnation.ready
+        ]
         for incarnation in running:
             incarnation.pause()
         try:
@@ -218,7 +220,7 @@
     def write(self, name: str, text: str) -> Path:
         """Replace an operator file of this router; a running process reads it at SIGHUP."""
         self._files[name] = text
-        for seat in {incarnation.seat for incarnation in self.lives}:
+        for seat in {incarnation.seat for incarnation in self.incarnations}:
             self._write(name, seat)
         return self._write(name, 0)
 
@@ -231,12 +233,12 @@
     @property
     def alive(self) -> bool:
         """Whether any of its processes runs."""
-        return any(incarnation.alive for incarnation in self.lives)
+        return any(incarnation.alive for incarnation in self.incarnations)
 
     @property
     def ready(self) -> list[RouterIncarnation]:
         """Those of its processes that accept requests."""
-        return [incarnation for incarnation in self.lives if incarnation.ready]
+        return [incarnation for incarnation in self.incarnations if incarnation.ready]
 
     def signal(self, number: signal.Signals, which: str = "all") -> list[RouterIncarnation]:
         """Send a signal to ``all`` of its processes, to the ``new`` one that started last, or to the ``old``
@@ -244,7 +246,9 @@
 
         Returns the processes that received it.
         """
-        candidates = {"all": self.lives, "new": self.lives[-1:], "old": self.lives[:-1]}[which]
+        candidates = {"all": self.incarnations, "new": self.incarnations[-1:], "old": self.incarnations[:-1]}[
+            which
+        ]
         running = [incarnation for incarnation in candidates if incarnation.alive]
         for incarnation in running:
             incarnation.signal(number)
--- a/slipbay/rig/runner.py
+++ b/slipbay/rig/runner.py
@@ -81,7 +81,7 @@
             lambda: [
                 incarnation.process.pid
                 for router in self.routers
-                for incarnation in router.lives
+                for incarnation in router.incarnations
                 if incarnation.process is not None and incarnation.alive
             ]
         )
@@ -214,7 +214,7 @@
         self.run_report.faults += self.links.over_budget[:5]
         check_rules(
             self.run_report,
-            sum(len(router.lives) for router in self.routers),
+            sum(len(router.incarnations) for router in self.routers),
             quota_bounds(self.script),
             cancels=not self.script.has_tcp_proxies,
         )
@@ -236,19 +236,19 @@
         """
         async with asyncio.timeout(START_S):
             for router in self.routers:
-                await router.lives[-1].ready_or_ended.wait()
+                await router.incarnations[-1].ready_or_ended.wait()
 
     async def _stop_all(self) -> None:
-        lives = [
+        incarnations = [
             incarnation
             for router in self.routers
-            for incarnation in router.lives
+            for incarnation in router.incarnations
             if incarnation.process is not None
         ]
-        for incarnation in lives:
+        for incarnation in incarnations:
             incarnation.signal(signal.SIGCONT)
             incarnation.signal(signal.SIGTERM)
-        for incarnation in lives:
+        for incarnation in incarnations:
             try:
                 code = await asyncio.wait_for(asyncio.shield(incarnation.wait_until_ended()), 20)
             except TimeoutError:
@@ -271,7 +271,7 @@
 
     def _peer(self, router: RouterProcess) -> Address:
         """Return the address on which a router's latest process listens for peers."""
-        seat = [incarnation for incarnation in router.lives if incarnation.alive][-1].seat
+        seat = [incarnation for incarnation in router.incarnations if incarnation.alive][-1].seat
         return self.links.twin_addresses[router.number] if seat else self.real[router.number]
 
     async def _settle(self) -> None:
--- a/tests/compat/test_mixed_versions.py
+++ b/tests/compat/test_mixed_versions.py
@@ -179,10 +179,10 @@
     monkeypatch.chdir(tmp_path)
 
     async def lines_of(source_directory: Path | None) -> list[str]:
-        router = RouterProcess(0, lambda seat: {}, tmp_path, {}, lambda life: None)
+        router = RouterProcess(0, lambda seat: {}, tmp_path, {}, lambda incarnation: None)
         router.source_directory = source_directory
-        life = await router.spawn()
-        assert await life.wait_until_ended() == 0
+        incarnation = await router.spawn()
+        assert await incarnation.wait_until_ended() == 0
         return router.lines
 
     assert asyncio.run(lines_of(tree)) == [f"{tree}/slipbay/__main__.py"]
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -516,7 +516,7 @@
     )
     verdict = asyncio.run(rig.play())
     assert verdict.good, verdict.faults
-    assert len([r for r in rig.routers if len(r.lives) == 2]) == 7
+    assert len([r for r in rig.routers if len(r.incarnations) == 2]) == 7
 
 
 def test_a_router_alone_uses_the_snapshot_of_its_last_incarnation(tmp_path: Path) -> None:
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -190,7 +190,7 @@
 
 
 def test_a_copy_of_a_store_is_put_back_and_a_lost_one_is_gone(tmp_path: Path) -> None:
-    router = RouterProcess(3, lambda seat: {}, tmp_path, {}, lambda life: None)
+    router = RouterProcess(3, lambda seat: {}, tmp_path, {}, lambda incarnation: None)
     router.state_directory.mkdir()
     (router.state_directory / "log").write_text("old")
     router.copy_store("first")
@@ -303,7 +303,7 @@
         seconds=7,
         routers=3,
     )
-    assert {answer.life for answer in run_report.answers if answer.router == 1} == {0, 1}
+    assert {answer.incarnation for answer in run_report.answers if answer.router == 1} == {0, 1}
 
 
 def test_a_router_whose_wall_clock_is_off_is_one_of_the_fleet() -> None:
@@ -541,14 +541,16 @@
 
     async def read(*signals: signal.Signals) -> bool:
         seen: list[bool] = []
-        router = RouterProcess(0, lambda seat: {}, Path(), {}, lambda life: seen.append(life.ready))
-        life = RouterIncarnation(router, 0, 0)
+        router = RouterProcess(
+            0, lambda seat: {}, Path(), {}, lambda incarnation: seen.append(incarnation.ready)
+        )
+        incarnation = RouterIncarnation(router, 0, 0)
         told = asyncio.StreamReader()
         for number in signals:
-            life.signal(number)
+            incarnation.signal(number)
         told.feed_data(b"start: n0 listens at 127.0.0.1:5\n")
         told.feed_eof()
-        await life._read_log(SimpleNamespace(stderr=told))  # type: ignore[arg-type]
+        await incarnation._read_log(SimpleNamespace(stderr=told))  # type: ignore[arg-type]
         return seen[0]
 
     assert asyncio.run(read())
@@ -559,18 +561,22 @@
 
 def test_a_router_that_stood_still_is_late_by_just_that_time() -> None:
     async def stop() -> tuple[float, float, bool]:
-        router = RouterProcess(0, lambda seat: {}, Path(), {}, lambda life: None)
-        life = RouterIncarnation(router, 0, 0)
+        router = RouterProcess(0, lambda seat: {}, Path(), {}, lambda incarnation: None)
+        incarnation = RouterIncarnation(router, 0, 0)
         loop = asyncio.get_running_loop()
         began = loop.time()
-        life.signal(signal.SIGSTOP)
-        life.signal(signal.SIGSTOP)
+        incarnation.signal(signal.SIGSTOP)
+        incarnation.signal(signal.SIGSTOP)
         await asyncio.sleep(0.1)
-        life.signal(signal.SIGCONT)
-        life.signal(signal.SIGCONT)
+        incarnation.signal(signal.SIGCONT)
+        incarnation.signal(signal.SIGCONT)
         went_on = loop.time()
         await asyncio.sleep(0.1)
-        return life.stopped_s(began) - (went_on - began), life.stopped_s(went_on), life.is_stopped
+        return (
+            incarnation.stopped_s(began) - (went_on - began),
+            incarnation.stopped_s(went_on),
+            incarnation.is_stopped,
+        )
 
     difference, after, is_stopped = asyncio.run(stop())
     assert abs(difference) < 1e-3
