--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -123,8 +123,8 @@
             }
         )
     )
-    steady = verdict.stretches[0]
-    back = verdict.stretches[-1]
+    steady = verdict.intervals[0]
+    back = verdict.intervals[-1]
     first = back["first_ready_s"] or 0.0
     full = None if back["full_service_s"] is None else back["full_service_s"] - first
     peaks = ", ".join(
--- a/benchmarks/lives.py
+++ b/benchmarks/lives.py
@@ -85,7 +85,7 @@
     )
     print(
         f"  over budget {dict(refused)}, bytes {dict(sent)}; starved {verdict.starved:.2f}; "
-        f"full service after {verdict.stretches[-1]['full_service_s']} s; {verdict.faults or 'no fault'}"
+        f"full service after {verdict.intervals[-1]['full_service_s']} s; {verdict.faults or 'no fault'}"
     )
 
 
--- a/slipbay/cli/rig.py
+++ b/slipbay/cli/rig.py
@@ -45,7 +45,7 @@
         click.echo(line)
     for what, count in sorted(report.outcomes.items()):
         click.echo(f"{what:<24} {count}")
-    for line in table(report.stretches):
+    for line in table(report.intervals):
         click.echo(line)
     click.echo(f"most threads on an engine {report.max_threads}, further attempts {report.extra_attempts}")
     if report.starved > MAX_STARVED_FRACTION:
--- a/slipbay/rig/checker.py
+++ b/slipbay/rig/checker.py
@@ -74,7 +74,7 @@
     answers: list[Answer] = field(default_factory=list)
     client_requests: list[ClientRequest] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
-    stretches: list[dict[str, Any]] = field(default_factory=list)  # see report.stretches
+    intervals: list[dict[str, Any]] = field(default_factory=list)  # see report.stretches
     seconds: list[dict[str, Any]] = field(default_factory=list)
     max_threads: int = 0
     extra_attempts: int = 0
@@ -168,7 +168,7 @@
             "faults": self.faults,
             "timeline": self.timeline,
             "outcomes": dict(sorted(self.outcomes.items())),
-            "stretches": self.stretches,
+            "stretches": self.intervals,
             "seconds": self.seconds,
             "most_threads": self.max_threads,
             "extras": self.extra_attempts,
--- a/slipbay/rig/report.py
+++ b/slipbay/rig/report.py
@@ -148,7 +148,7 @@
         return [rows[key] for key in sorted(rows)]
 
 
-def stretches(
+def intervals(
     service: Service,
     recorder: EventRecorder,
     actions: list[tuple[float, str]],
--- a/slipbay/rig/runner.py
+++ b/slipbay/rig/runner.py
@@ -225,7 +225,7 @@
             )
         service = Service(self.run_report.client_requests)
         self.run_report.seconds = service.by_second()
-        self.run_report.stretches = report.stretches(
+        self.run_report.intervals = report.intervals(
             service, self.recorder, self.faults.performed, self.ready_times_s, self.began, self.script.seconds
         )
         return self.run_report
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -24,7 +24,7 @@
 from slipbay.rig.engines import ExecutionLog
 from slipbay.rig.host_load import HostLoad
 from slipbay.rig.process import RouterIncarnation, RouterProcess
-from slipbay.rig.report import ClientRequest, EventRecorder, Service, stretches
+from slipbay.rig.report import ClientRequest, EventRecorder, Service, intervals
 from slipbay.rig.runner import own_net, play
 from slipbay.rig.scenario import from_table, read
 from slipbay.rig.skewed import jumping_clock, write_jump
@@ -136,7 +136,7 @@
 
 def test_all_are_restarted_at_once_and_the_way_back_is_measured() -> None:
     run_report = played(do(2, "restart", routers=list(range(8)), after_s=0.3), seconds=12)
-    start, back = run_report.stretches
+    start, back = run_report.intervals
     assert start["in_time"] is not None
     assert start["full_service_s"] is None
     assert back["first_ready_s"] > 0.3
@@ -179,7 +179,7 @@
         store=STORE,
         load={"lookups": 40, "reports": 0, "loads": 2, "tries": 1},
     )
-    assert [row["what"] for row in run_report.stretches][3:5] == [
+    assert [row["what"] for row in run_report.intervals][3:5] == [
         "old_store routers 0 name copy",
         "lose_store routers 1",
     ]
@@ -227,7 +227,7 @@
         seconds=7,
         routers=4,
     )
-    cut = run_report.stretches[1]
+    cut = run_report.intervals[1]
     assert cut["what"] == "cut_wire wire engines router_zones 0 engine_zones 1"
 
 
@@ -241,7 +241,7 @@
         seconds=7,
         routers=3,
     )
-    assert sum(row["list_calls"] for row in run_report.stretches[1:]) > 0
+    assert sum(row["list_calls"] for row in run_report.intervals[1:]) > 0
 
 
 def test_what_a_wire_does_is_seen_at_its_ends() -> None:
@@ -327,7 +327,7 @@
     )
     begun = {engine for _, engine, _ in run_report.execution_log.starts}
     assert begun == {"s-0", "s-1"}
-    assert [row["what"].split()[0] for row in run_report.stretches] == [
+    assert [row["what"].split()[0] for row in run_report.intervals] == [
         "start",
         "renew",
         "reload",
@@ -410,7 +410,7 @@
         *(client_request(n / 100, True) for n in range(200)),
         ClientRequest(1.95, "report", "a", 0, "cut", 0.06),
     ]
-    rows = stretches(Service(under_way), EventRecorder(), [(2.0, "kill")], [2.4], 50.0, 4.0)
+    rows = intervals(Service(under_way), EventRecorder(), [(2.0, "kill")], [2.4], 50.0, 4.0)
     assert Service(under_way).without_cut_requests().share_in_time(0, 2) == 1.0
     assert [row["cut"] for row in rows] == [0, 1]
     assert rows[1]["first_ready_s"] == 0.4
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -49,7 +49,7 @@
     run_report, lines = played
     kept(run_report, quotas=2)
     assert run_report.outcomes["lookup served"] > 100
-    assert len(run_report.stretches) == 1 + len(SCRIPT.do)
+    assert len(run_report.intervals) == 1 + len(SCRIPT.do)
     for told in lines:
         assert sum("comeback: full service after" in line for line in told) >= 2  # a life may die before
 
