--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -17,7 +17,7 @@
 from slipbay.emulator.engines import SECOND
 from slipbay.emulator.fleet_model import MIX
 from slipbay.emulator.restart_model import RestartModel
-from slipbay.rig.runner import play
+from slipbay.rig.runner import run_scenario
 from slipbay.rig.scenario import from_table
 from slipbay.warmup.plan import WarmupPlan
 
@@ -93,7 +93,7 @@
     rate = level * engines * CORES * CAPACITY / work_s
     cold, _, kill_s, _ = case
     renewed = [{"at": kill_s - 1, "what": "renew", "engines": list(range(0, engines, cold))}] if cold else []
-    verdict = play(
+    verdict = run_scenario(
         from_table(
             {
                 "routers": routers,
--- a/benchmarks/lives.py
+++ b/benchmarks/lives.py
@@ -62,7 +62,7 @@
     )
     with tempfile.TemporaryDirectory() as folder:
         rig = Asking(script, Path(folder))
-        verdict = asyncio.run(rig.play())
+        verdict = asyncio.run(rig.execute())
     noted = [
         [
             float(line.partition(" seconds=")[2].split()[0])
--- a/benchmarks/real.py
+++ b/benchmarks/real.py
@@ -79,7 +79,7 @@
         do=(Action(at=seconds / 5, what="kill", routers=tuple(range(kill))),) if kill else (),
     )
     with tempfile.TemporaryDirectory() as folder:
-        verdict = asyncio.run(Measured(script, Path(folder)).play())
+        verdict = asyncio.run(Measured(script, Path(folder)).execute())
     counts = Counter(
         (client_request.service_class, ended(client_request)) for client_request in verdict.client_requests
     )
@@ -164,7 +164,7 @@
         seat = (number + 1) % 2  # ours
         with tempfile.TemporaryDirectory() as folder:
             rig = Pair(script, Path(folder), [other, own] if seat else [own, other])
-            verdict = asyncio.run(rig.play())
+            verdict = asyncio.run(rig.execute())
         asked = Counter(answer.router for answer in verdict.answers)
         refused = Counter(answer.router for answer in verdict.answers if answer.outcome == "refused")
         costs = [1e6 * spent / asked[n] for n, spent in enumerate(rig.spent)]
--- a/slipbay/cli/rig.py
+++ b/slipbay/cli/rig.py
@@ -34,11 +34,11 @@
     Exit code 0 if no rule was broken, 1 if one was, 2 for an error in the script.
     """
     from slipbay.rig.report import table
-    from slipbay.rig.runner import play
+    from slipbay.rig.runner import run_scenario
     from slipbay.rig.scenario import read
 
     try:
-        report = play(read(script))
+        report = run_scenario(read(script))
     except ConfigError as problem:
         fail(str(problem))
     for line in report.timeline:
--- a/slipbay/rig/checker.py
+++ b/slipbay/rig/checker.py
@@ -74,7 +74,7 @@
     answers: list[Answer] = field(default_factory=list)
     client_requests: list[ClientRequest] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
-    intervals: list[dict[str, Any]] = field(default_factory=list)  # see report.stretches
+    intervals: list[dict[str, Any]] = field(default_factory=list)  # see report.intervals
     seconds: list[dict[str, Any]] = field(default_factory=list)
     max_threads: int = 0
     extra_attempts: int = 0
--- a/slipbay/rig/runner.py
+++ b/slipbay/rig/runner.py
@@ -30,7 +30,7 @@
 from slipbay.rig.tcp_proxy import TcpProxy
 from slipbay.rig.udp_proxy import UdpProxy
 
-__all__ = ["Rig", "RunReport", "own_net", "play"]
+__all__ = ["Rig", "RunReport", "own_net", "run_scenario"]
 
 PEER_PORT = 7946
 
@@ -179,7 +179,7 @@
         """Add a line to the timeline of the run."""
         self.run_report.timeline.append(f"{self.loop.time() - self.began:7.2f} s  {text}")
 
-    async def play(self) -> RunReport:
+    async def execute(self) -> RunReport:
         """Start everything, run the scenario, stop everything, and check the rules."""
         watching = self.loop.create_task(self.host_load.watch())
         await self.links.open()
@@ -300,7 +300,7 @@
         self.run_report.faults.append(f"views are not right after {self.script.settle_s:g} s: {incorrect}")
 
 
-def play(script: Scenario) -> RunReport:
+def run_scenario(script: Scenario) -> RunReport:
     """Run a scenario in an event loop of its own, with its files in a temporary directory."""
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(Rig(script, Path(folder)).play())
+        return asyncio.run(Rig(script, Path(folder)).execute())
--- a/tests/channel_play.py
+++ b/tests/channel_play.py
@@ -114,7 +114,7 @@
                 router.write("fleet", views.get(number, ""))
                 if number in channel:
                     router.program = (str(CHATTY), *words)
-            return asyncio.run(rig.play()), heard
+            return asyncio.run(rig.execute()), heard
     finally:
         udp_proxy.UdpRelay = relay  # type: ignore[misc]
 
--- a/tests/compat/test_mixed_versions.py
+++ b/tests/compat/test_mixed_versions.py
@@ -145,7 +145,7 @@
     async def watched(self) -> RunReport:
         watching = asyncio.create_task(self.watch())
         try:
-            run_report = await self.play()
+            run_report = await self.execute()
         finally:
             watching.cancel()
         self.seen.lines = {router.number: router.lines for router in self.routers}
--- a/tests/quota_play.py
+++ b/tests/quota_play.py
@@ -84,7 +84,7 @@
     }
     with tempfile.TemporaryDirectory() as directory:
         rig = Rig(convert(table, Scenario, "script"), Path(directory))
-        verdict = asyncio.run(rig.play())
+        verdict = asyncio.run(rig.execute())
         return Observations(verdict, rig.began), rig
 
 
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -483,7 +483,7 @@
             ),
             tmp_path / str(len(text)),
         )
-        verdict = asyncio.run(rig.play())
+        verdict = asyncio.run(rig.execute())
         assert verdict.good, verdict.faults
         assert verdict.outcomes["lookup served"]
         opened[text] = rig.since_death(
@@ -514,7 +514,7 @@
         ),
         tmp_path,
     )
-    verdict = asyncio.run(rig.play())
+    verdict = asyncio.run(rig.execute())
     assert verdict.good, verdict.faults
     assert len([r for r in rig.routers if len(r.incarnations) == 2]) == 7
 
@@ -535,7 +535,7 @@
         ),
         tmp_path,
     )
-    verdict = asyncio.run(rig.play())
+    verdict = asyncio.run(rig.execute())
     assert verdict.good, verdict.faults
     told = [line for line in rig.routers[0].lines if "s old" in line]
     assert len(told) == 2 and "costs" in told[0] and "full service after" in told[1], rig.routers[0].lines
--- a/tests/test_gather_processes.py
+++ b/tests/test_gather_processes.py
@@ -12,7 +12,7 @@
 from slipbay.config.validation import ConfigError
 from slipbay.rig.checker import Answer, RunReport, check_rules, check_scattered_answer
 from slipbay.rig.engines import UNREQUESTED_TIMEOUT_S, ExecutionLog
-from slipbay.rig.runner import play
+from slipbay.rig.runner import run_scenario
 from slipbay.rig.scenario import from_table
 from slipbay.scatter_gather.config_schema import ScatterTable
 
@@ -54,7 +54,7 @@
             **more.get("load", {}),
         },
     }
-    verdict = play(from_table(table))
+    verdict = run_scenario(from_table(table))
     assert verdict.good, (verdict.faults, verdict.timeline, verdict.starved)
     assert verdict.outcomes["survey served"] > 5 and verdict.outcomes["lookup served"] > 20, verdict.outcomes
     return verdict
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -25,7 +25,7 @@
 from slipbay.rig.host_load import HostLoad
 from slipbay.rig.process import RouterIncarnation, RouterProcess
 from slipbay.rig.report import ClientRequest, EventRecorder, Service, intervals
-from slipbay.rig.runner import own_net, play
+from slipbay.rig.runner import own_net, run_scenario
 from slipbay.rig.scenario import from_table, read
 from slipbay.rig.skewed import jumping_clock, write_jump
 from slipbay.rig.standins import HOST, serve
@@ -50,7 +50,7 @@
         "do": list(actions),
         **more,
     }
-    run_report = play(from_table(table))
+    run_report = run_scenario(from_table(table))
     assert run_report.good, (run_report.faults, run_report.timeline, run_report.starved)
     assert run_report.outcomes["lookup served"] > 20, run_report.outcomes
     return run_report
@@ -183,7 +183,7 @@
         "old_store routers 0 name copy",
         "lose_store routers 1",
     ]
-    faulty = play(
+    faulty = run_scenario(
         from_table({"routers": 1, "seconds": 0.5, "store": STORE, "do": [do(0.1, "lose_store", routers=[0])]})
     )
     assert [fault.split(":")[0] for fault in faulty.faults] == ["script"]
@@ -204,7 +204,7 @@
 def test_tenants_have_rates_and_places_and_come_back_when_told() -> None:
     tenants = [{"name": "a", "lookups": 60, "routers": [0, 1]}, {"name": "b", "reports": 90}]
     load = {"tenants": tenants, "report_ms": 3000, "honour_later": True}
-    run_report = play(from_table({"routers": 3, "seconds": 4, "load": load}))
+    run_report = run_scenario(from_table({"routers": 3, "seconds": 4, "load": load}))
     assert run_report.good, run_report.faults
     assert {answer.router for answer in run_report.answers if answer.tenant == "a"} == {0, 1}
     assert {answer.router for answer in run_report.answers if answer.tenant == "b"} == {0, 1, 2}
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -21,7 +21,7 @@
 def lines_of(script: Scenario, folder: Path) -> tuple[RunReport, list[list[str]]]:
     """The verdict, and what each router logged."""
     rig = Rig(script, folder)
-    return asyncio.run(rig.play()), [router.lines for router in rig.routers]
+    return asyncio.run(rig.execute()), [router.lines for router in rig.routers]
 
 
 def kept(run_report: RunReport, quotas: int) -> None:
