--- a/benchmarks/lives.py
+++ b/benchmarks/lives.py
@@ -32,7 +32,7 @@
 class Asking(Rig):
     """Asks each router for the counters of its channel, once the load is over."""
 
-    async def _settle(self) -> None:
+    async def _check_views(self) -> None:
         self.told: list[dict[str, Any]] = []
         for target in self.real:
             try:
--- a/benchmarks/real.py
+++ b/benchmarks/real.py
@@ -112,8 +112,8 @@
                 "from slipbay.__main__ import main\nsys.exit(main())",  # which every release has
             )
 
-    def _came_up(self, incarnation: RouterIncarnation) -> None:
-        super()._came_up(incarnation)
+    def _on_router_ready(self, incarnation: RouterIncarnation) -> None:
+        super()._on_router_ready(incarnation)
         number = incarnation.router.number
         self.spent[number] -= cpu_s(incarnation)
         if shutil.which("perf") and incarnation.process is not None:
@@ -131,7 +131,7 @@
                 ]
             )
 
-    async def _settle(self) -> None:
+    async def _check_views(self) -> None:
         for router in self.routers:
             self.spent[router.number] += cpu_s(router.incarnations[0])
         for number, counter in self.counters.items():
--- a/slipbay/rig/faults.py
+++ b/slipbay/rig/faults.py
@@ -134,7 +134,7 @@
                 case "go_on":
                     router.signal(signal.SIGCONT, action.lives)
                 case "twin":
-                    await router.spawn(seat=1 - router.incarnations[-1].seat)
+                    await router.spawn(slot=1 - router.incarnations[-1].slot)
                 case "clock":
                     router.clock_offset_ms = action.ms
                 case "jump":
--- a/slipbay/rig/process.py
+++ b/slipbay/rig/process.py
@@ -21,10 +21,10 @@
 class RouterIncarnation:
     """One process of a router."""
 
-    def __init__(self, router: RouterProcess, number: int, seat: int) -> None:
+    def __init__(self, router: RouterProcess, number: int, slot: int) -> None:
         self.router = router
         self.number = number
-        self.seat = seat
+        self.slot = slot
         self.process: asyncio.subprocess.Process | None = None
         self.port = 0
         self.ready = False  # it listens, and is neither ended nor stopped by the rig
@@ -144,14 +144,14 @@
         self._jump_offset_ms = 0.0
         self.lock = asyncio.Lock()  # actions on the router run one after another
 
-    async def spawn(self, seat: int = 0) -> RouterIncarnation:
+    async def spawn(self, slot: int = 0) -> RouterIncarnation:
         """Start another process, which does not listen yet."""
-        file = self._folder / f"n{self._file_tag(seat)}.json"
-        file.write_text(json.dumps(self._config(seat)))
+        file = self._folder / f"n{self._file_tag(slot)}.json"
+        file.write_text(json.dumps(self._config(slot)))
         if not (key := self._folder / "key").exists():  # other routers may be reading the file
             key.write_text("a key of this play\n")
-        paths = {name: self._write(name, seat) for name in self._files}
-        incarnation = RouterIncarnation(self, len(self.incarnations), seat)
+        paths = {name: self._write(name, slot) for name in self._files}
+        incarnation = RouterIncarnation(self, len(self.incarnations), slot)
         self.incarnations.append(incarnation)
         skewed = self.clock_offset_ms or self.clock_may_jump
         clock = ("-m", "slipbay.rig.skewed", str(self.clock_offset_ms)) if skewed else ()
@@ -185,8 +185,8 @@
         self._jump_offset_ms += ms
         write_jump(self._jump_file, self._jump_offset_ms)
 
-    def _file_tag(self, seat: int) -> str:
-        return f"{self.number}{'b' * seat}"
+    def _file_tag(self, slot: int) -> str:
+        return f"{self.number}{'b' * slot}"
 
     @property
     def state_directory(self) -> Path:
@@ -220,13 +220,13 @@
     def write(self, name: str, text: str) -> Path:
         """Replace an operator file of this router; a running process reads it at SIGHUP."""
         self._files[name] = text
-        for seat in {incarnation.seat for incarnation in self.incarnations}:
-            self._write(name, seat)
+        for slot in {incarnation.slot for incarnation in self.incarnations}:
+            self._write(name, slot)
         return self._write(name, 0)
 
-    def _write(self, name: str, seat: int) -> Path:
-        path = self._folder / f"{name}{self._file_tag(seat)}.toml"
-        own_directory = f"{self.state_directory}{'b' * seat}"
+    def _write(self, name: str, slot: int) -> Path:
+        path = self._folder / f"{name}{self._file_tag(slot)}.toml"
+        own_directory = f"{self.state_directory}{'b' * slot}"
         path.write_text(self._files[name].replace("{own}", own_directory) or "enabled = false\n")
         return path
 
--- a/slipbay/rig/runner.py
+++ b/slipbay/rig/runner.py
@@ -30,12 +30,12 @@
 from slipbay.rig.tcp_proxy import TcpProxy
 from slipbay.rig.udp_proxy import UdpProxy
 
-__all__ = ["Rig", "RunReport", "own_net", "run_scenario"]
+__all__ = ["Rig", "RunReport", "reserve_network", "run_scenario"]
 
 PEER_PORT = 7946
 
 
-def own_net() -> tuple[int, socket.socket]:
+def reserve_network() -> tuple[int, socket.socket]:
     """Reserve a network 127.x that no other run on this host uses, and return it with the socket that holds
     it.
 
@@ -55,7 +55,7 @@
     raise OSError(errno.EADDRINUSE, "all 200 nets are taken by other plays")
 
 
-def joined(address: Address) -> str:
+def format_address(address: Address) -> str:
     """Return an address as ``host:port``."""
     return f"{address[0]}:{address[1]}"
 
@@ -68,7 +68,7 @@
         self.random = Random(script.seed)
         self.run_report = RunReport(survey=script.survey)
         self.recorder = EventRecorder()
-        net, self._network_socket = own_net()
+        net, self._network_socket = reserve_network()
         self.real: list[Address] = [
             (f"127.{net}.{n // 250}.{n % 250 + 1}", PEER_PORT) for n in range(script.routers)
         ]
@@ -101,10 +101,10 @@
         self.routers = [
             RouterProcess(
                 n,
-                lambda seat, n=n: self._config(n, seat),  # type: ignore[misc]
+                lambda slot, n=n: self._config(n, slot),  # type: ignore[misc]
                 folder,
                 {**script.operator_files, "fleet": "" if n in script.without_view else script.fleet},
-                self._came_up,
+                self._on_router_ready,
             )
             for n in range(script.routers)
         ]
@@ -130,12 +130,12 @@
         for n, engine in enumerate(self.engines):
             entry = host(engine.name, engine.port, engine.state, engine.started_ms)
             if self.tcp_proxy is not None:
-                entry["dial"] = joined(self.tcp_proxy[router, n].address)
+                entry["dial"] = format_address(self.tcp_proxy[router, n].address)
             entries.append({**entry, "site": zones[n % len(zones)]})
         return entries
 
-    def _config(self, number: int, seat: int) -> dict[str, Any]:
-        own = self.links.twin_addresses[number] if seat else self.real[number]
+    def _config(self, number: int, slot: int) -> dict[str, Any]:
+        own = self.links.twin_addresses[number] if slot else self.real[number]
         self.links.start_incarnation(own, self.loop.time())
         endpoint_list = (HOST, self.endpoint_list.ports[number])
         position = self.endpoint_list.position
@@ -144,10 +144,10 @@
             "listen": f"{HOST}:0",
             "seed": f"{self.random.randrange(2**60):x}",
             "limits": {"cores": 1, "memory_mb": 192, "sockets": 512},
-            "peer_listen": joined(own),
+            "peer_listen": format_address(own),
             "peers": self.links.peers(number, own),
             "peers_all": self.links.broadcast_address(number),
-            "journal": joined(
+            "journal": format_address(
                 self.tcp_proxy[number, None].address if self.tcp_proxy is not None else endpoint_list
             ),
             "settings": settings(
@@ -171,7 +171,7 @@
         }
         self.endpoint_list.publish(entry.__getitem__)
 
-    def _came_up(self, incarnation: RouterIncarnation) -> None:
+    def _on_router_ready(self, incarnation: RouterIncarnation) -> None:
         if self.began:
             self.ready_times_s.append(self.loop.time() - self.began)
 
@@ -206,7 +206,7 @@
             )
             await self._wait_until_ready()
             if self.script.settle_s:
-                await self._settle()
+                await self._check_views()
         finally:
             await self._stop_all()
             watching.cancel()
@@ -269,12 +269,12 @@
         self.links.close()
         self._network_socket.close()
 
-    def _peer(self, router: RouterProcess) -> Address:
+    def _peer_address(self, router: RouterProcess) -> Address:
         """Return the address on which a router's latest process listens for peers."""
-        seat = [incarnation for incarnation in router.incarnations if incarnation.alive][-1].seat
-        return self.links.twin_addresses[router.number] if seat else self.real[router.number]
+        slot = [incarnation for incarnation in router.incarnations if incarnation.alive][-1].slot
+        return self.links.twin_addresses[router.number] if slot else self.real[router.number]
 
-    async def _settle(self) -> None:
+    async def _check_views(self) -> None:
         """Query every router's membership view until all views are correct."""
         from slipbay.membership.status_client import ask
         from slipbay.peer_channel.status_pages import NoAnswerError
@@ -287,7 +287,7 @@
             incorrect = {}
             for router in queried:
                 try:
-                    view = await asyncio.to_thread(ask, self._peer(router), 0.5)
+                    view = await asyncio.to_thread(ask, self._peer_address(router), 0.5)
                     if view["living"] != len(running) or view["suspect"]:
                         incorrect[router.number] = view["living"], view["gone"], view["suspect"]
                 except (NoAnswerError, OSError) as problem:
--- a/slipbay/rig/udp_proxy.py
+++ b/slipbay/rig/udp_proxy.py
@@ -24,10 +24,10 @@
 class UdpRelay(asyncio.DatagramProtocol):
     """The socket that router ``near`` uses as the address of router ``far``; ``far`` None: of all others."""
 
-    def __init__(self, links: UdpProxy, near: int, far: int | None) -> None:
+    def __init__(self, links: UdpProxy, source_router: int, target_router: int | None) -> None:
         self.links = links
-        self.near = near
-        self.far = far
+        self.source_router = source_router
+        self.target_router = target_router
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -36,12 +36,17 @@
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         """Forward a datagram of the router ``near``; ignore datagrams of any other sender."""
-        if addr not in (self.links.real[self.near], self.links.twin_addresses.get(self.near)):
+        if addr not in (
+            self.links.real[self.source_router],
+            self.links.twin_addresses.get(self.source_router),
+        ):
             return
-        self.links.count_datagram(self.near, addr, len(data), asyncio.get_running_loop().time())
-        for far in [self.far] if self.far is not None else range(len(self.links.real)):
-            if far != self.near:
-                self.links.forward(self.near, far, data)
+        self.links.count_datagram(self.source_router, addr, len(data), asyncio.get_running_loop().time())
+        for target_router in (
+            [self.target_router] if self.target_router is not None else range(len(self.links.real))
+        ):
+            if target_router != self.source_router:
+                self.links.forward(self.source_router, target_router, data)
 
     def error_received(self, exc: Exception) -> None:
         """Ignore the error."""
@@ -80,9 +85,11 @@
     async def open(self) -> None:
         """Open the sockets of all pairs."""
         loop = asyncio.get_running_loop()
-        for near in range(len(self.real)):
-            for far in [None, *(n for n in range(len(self.real)) if n != near)]:
-                relay = self.relays[near, far] = UdpRelay(self, near, far)
+        for source_router in range(len(self.real)):
+            for target_router in [None, *(n for n in range(len(self.real)) if n != source_router)]:
+                relay = self.relays[source_router, target_router] = UdpRelay(
+                    self, source_router, target_router
+                )
                 await loop.create_datagram_endpoint(lambda r=relay: r, ("127.0.0.1", 0))  # type: ignore[misc]
 
     def close(self) -> None:
@@ -91,20 +98,20 @@
             if relay.transport is not None:
                 relay.transport.close()
 
-    def peers(self, near: int, own: Address | None = None) -> list[str]:
+    def peers(self, source_router: int, own: Address | None = None) -> list[str]:
         """Return the peer addresses for a router's configuration, including its own.
 
         ``own`` is its own address if it differs from the usual one.
         """
         addresses = [
-            (own or self.real[near]) if n == near else self.relays[near, n].address
+            (own or self.real[source_router]) if n == source_router else self.relays[source_router, n].address
             for n in range(len(self.real))
         ]
         return [f"{host}:{port}" for host, port in addresses]
 
-    def broadcast_address(self, near: int) -> str:
+    def broadcast_address(self, source_router: int) -> str:
         """Return the address whose datagrams are forwarded to all other routers."""
-        host, port = self.relays[near, None].address
+        host, port = self.relays[source_router, None].address
         return f"{host}:{port}"
 
     def cut(self, sources: Iterable[int], targets: Iterable[int], both: bool = True) -> None:
@@ -125,7 +132,7 @@
         self._recent_sizes.pop(source, None)
         self._totals[source] = now, 0
 
-    def count_datagram(self, near: int, source: Address, size_bytes: int, now: float) -> None:
+    def count_datagram(self, source_router: int, source: Address, size_bytes: int, now: float) -> None:
         """Count a datagram that a router sent, and check its byte budget.
 
         More bytes than the budget may arrive in one second, because the system may deliver held-back
@@ -143,35 +150,37 @@
         self._totals[source] = started_s, (total_bytes := earlier_bytes + size_bytes)
         if total_bytes > self.budget_bytes_per_s * (1 + ceil(max(0.001, now - started_s) / WINDOW_S)):
             self.over_budget.append(
-                f"bytes: router {near} sent {total_bytes} in its first {now - started_s:.2f} s"
+                f"bytes: router {source_router} sent {total_bytes} in its first {now - started_s:.2f} s"
             )
 
-    def forward(self, near: int, far: int, data: bytes) -> None:
+    def forward(self, source_router: int, target_router: int, data: bytes) -> None:
         """Forward a datagram, subject to cuts, loss, duplication and delay."""
         self.counts["messages"] += 1
         self.recorder.add("messages", asyncio.get_running_loop().time())
-        self._recent.append((near, far, data))
-        if (near, far) in self.cut_pairs or self.random.random() < self.loss:
+        self._recent.append((source_router, target_router, data))
+        if (source_router, target_router) in self.cut_pairs or self.random.random() < self.loss:
             self.counts["lost"] += 1
             return
         for _ in range(1 + (self.random.random() < self.double)):
             random_delay_s = self.random.random() * self.delay_s
-            asyncio.get_running_loop().call_later(random_delay_s, self._deliver, near, far, data)
+            asyncio.get_running_loop().call_later(
+                random_delay_s, self._deliver, source_router, target_router, data
+            )
 
     def replay(self) -> None:
         """Send the most recent datagrams again, every third one truncated or garbled, also from an unknown
         address.
         """
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_sender:
-            for number, (near, far, data) in enumerate(self._recent):
+            for number, (source_router, target_router, data) in enumerate(self._recent):
                 if number % 3 == 2:
                     data = data[: self.random.randrange(len(data))] + self.random.randbytes(3)
-                self._deliver(near, far, data)
-                unknown_sender.sendto(data, self.real[far])
+                self._deliver(source_router, target_router, data)
+                unknown_sender.sendto(data, self.real[target_router])
 
-    def _deliver(self, near: int, far: int, data: bytes) -> None:
-        transport = self.relays[far, near].transport
+    def _deliver(self, source_router: int, target_router: int, data: bytes) -> None:
+        transport = self.relays[target_router, source_router].transport
         if transport is not None and not transport.is_closing():
-            transport.sendto(data, self.real[far])
-            if far in self.twin_addresses:
-                transport.sendto(data, self.twin_addresses[far])
+            transport.sendto(data, self.real[target_router])
+            if target_router in self.twin_addresses:
+                transport.sendto(data, self.twin_addresses[target_router])
--- a/tests/channel_play.py
+++ b/tests/channel_play.py
@@ -78,7 +78,7 @@
     heard: Heard
     asked: Iterable[int]
 
-    async def _settle(self) -> None:
+    async def _check_views(self) -> None:
         for number in self.asked:
             self.heard.at_status[number] = sum(size for _, size in self.heard.sent[number])
             self.heard.status[number] = await asyncio.to_thread(ask, self.real[number], question(0), 5.0)
@@ -87,9 +87,9 @@
 def listening(heard: Heard) -> type[UdpRelay]:
     class Listening(UdpRelay):
         def datagram_received(self, data: bytes, addr: Address) -> None:
-            if addr == self.links.real[self.near]:
-                heard.sent[self.near].append((time.monotonic(), len(data)))
-                heard.framed[self.near] += is_framed(data)
+            if addr == self.links.real[self.source_router]:
+                heard.sent[self.source_router].append((time.monotonic(), len(data)))
+                heard.framed[self.source_router] += is_framed(data)
             super().datagram_received(data, addr)
 
     return Listening
--- a/tests/compat/test_mixed_versions.py
+++ b/tests/compat/test_mixed_versions.py
@@ -134,8 +134,8 @@
                 key = number, f"{part}: {kind}"
                 seen.bad[key] = max(seen.bad[key], counts.get(kind, 0))
 
-    async def _settle(self) -> None:
-        await super()._settle()
+    async def _check_views(self) -> None:
+        await super()._check_views()
         for router in self.routers:
             try:
                 await self._ask(router.number)
@@ -179,7 +179,7 @@
     monkeypatch.chdir(tmp_path)
 
     async def lines_of(source_directory: Path | None) -> list[str]:
-        router = RouterProcess(0, lambda seat: {}, tmp_path, {}, lambda incarnation: None)
+        router = RouterProcess(0, lambda slot: {}, tmp_path, {}, lambda incarnation: None)
         router.source_directory = source_directory
         incarnation = await router.spawn()
         assert await incarnation.wait_until_ended() == 0
--- a/tests/contracts/test_channel_contract.py
+++ b/tests/contracts/test_channel_contract.py
@@ -25,7 +25,7 @@
 from slipbay.peer_channel.udp_link import UdpLink
 from slipbay.peers.udp import PeerSocket
 from slipbay.rig.report import EventRecorder
-from slipbay.rig.runner import PEER_PORT, own_net
+from slipbay.rig.runner import PEER_PORT, reserve_network
 from slipbay.rig.udp_proxy import UdpProxy
 
 SIZE = 3
@@ -137,7 +137,7 @@
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
-        net, self._kept = own_net()
+        net, self._kept = reserve_network()
         self.real = [(f"127.{net}.0.{n + 1}", PEER_PORT) for n in range(SIZE)]
         self.sent = Counter[int]()
         self.loop.run_until_complete(self._open())
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -35,7 +35,7 @@
     WarmupChanged,
 )
 from slipbay.policy.settings import Effect, ServiceClass, Settings
-from slipbay.rig.runner import Rig, joined
+from slipbay.rig.runner import Rig, format_address
 from slipbay.rig.scenario import from_table
 from slipbay.warmup import codec, snapshot
 from slipbay.warmup.codec import Message, MessageType
@@ -438,7 +438,7 @@
 
     asked = ""  # what a command says of a router then
 
-    async def _settle(self) -> None:
+    async def _check_views(self) -> None:
         for router in self.routers if self.script.comeback else ():
             while not self.told(router.lines):
                 await asyncio.sleep(0.05)
@@ -446,7 +446,14 @@
             result = await asyncio.to_thread(
                 CliRunner().invoke,
                 main,
-                ["comeback", "status", joined(self._peer(self.routers[0])), "--seconds", "60", "--json"],
+                [
+                    "comeback",
+                    "status",
+                    format_address(self._peer_address(self.routers[0])),
+                    "--seconds",
+                    "60",
+                    "--json",
+                ],
             )
             self.asked = result.output
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -25,7 +25,7 @@
 from slipbay.rig.host_load import HostLoad
 from slipbay.rig.process import RouterIncarnation, RouterProcess
 from slipbay.rig.report import ClientRequest, EventRecorder, Service, intervals
-from slipbay.rig.runner import own_net, run_scenario
+from slipbay.rig.runner import reserve_network, run_scenario
 from slipbay.rig.scenario import from_table, read
 from slipbay.rig.skewed import jumping_clock, write_jump
 from slipbay.rig.standins import HOST, serve
@@ -128,7 +128,7 @@
 
 def test_plays_side_by_side_have_nets_of_their_own() -> None:
     """Guards against plays of two test processes whose routers meet, as the net hung on the pid alone."""
-    taken = [own_net() for _ in range(5)]
+    taken = [reserve_network() for _ in range(5)]
     assert len({net for net, _ in taken}) == 5
     for _, kept in taken:
         kept.close()
@@ -190,7 +190,7 @@
 
 
 def test_a_copy_of_a_store_is_put_back_and_a_lost_one_is_gone(tmp_path: Path) -> None:
-    router = RouterProcess(3, lambda seat: {}, tmp_path, {}, lambda incarnation: None)
+    router = RouterProcess(3, lambda slot: {}, tmp_path, {}, lambda incarnation: None)
     router.state_directory.mkdir()
     (router.state_directory / "log").write_text("old")
     router.copy_store("first")
@@ -251,7 +251,7 @@
                 writer.write(data)
             writer.close()
 
-        net, kept = own_net()
+        net, kept = reserve_network()
         server, port = await serve(echo)
         wire = ProxiedConnection((f"127.{net}.64.1", 8443), lambda: (HOST, port))
         await wire.open()
@@ -542,7 +542,7 @@
     async def read(*signals: signal.Signals) -> bool:
         seen: list[bool] = []
         router = RouterProcess(
-            0, lambda seat: {}, Path(), {}, lambda incarnation: seen.append(incarnation.ready)
+            0, lambda slot: {}, Path(), {}, lambda incarnation: seen.append(incarnation.ready)
         )
         incarnation = RouterIncarnation(router, 0, 0)
         told = asyncio.StreamReader()
@@ -561,7 +561,7 @@
 
 def test_a_router_that_stood_still_is_late_by_just_that_time() -> None:
     async def stop() -> tuple[float, float, bool]:
-        router = RouterProcess(0, lambda seat: {}, Path(), {}, lambda incarnation: None)
+        router = RouterProcess(0, lambda slot: {}, Path(), {}, lambda incarnation: None)
         incarnation = RouterIncarnation(router, 0, 0)
         loop = asyncio.get_running_loop()
         began = loop.time()
