--- a/benchmarks/lives.py
+++ b/benchmarks/lives.py
@@ -32,7 +32,7 @@
 class Asking(Rig):
     """Asks each router for the counters of its channel, once the load is over."""
 
-    async def _settle(self) -> None:
+    async def _check_views(self) -> None:
         self.told: list[dict[str, Any]] = []
         for target in self.real:
             try:
@@ -62,7 +62,7 @@
     )
     with tempfile.TemporaryDirectory() as folder:
         rig = Asking(script, Path(folder))
-        verdict = asyncio.run(rig.play())
+        verdict = asyncio.run(rig.execute())
     noted = [
         [
             float(line.partition(" seconds=")[2].split()[0])
@@ -85,7 +85,7 @@
     )
     print(
         f"  over budget {dict(refused)}, bytes {dict(sent)}; starved {verdict.starved:.2f}; "
-        f"full service after {verdict.stretches[-1]['full_service_s']} s; {verdict.faults or 'no fault'}"
+        f"full service after {verdict.intervals[-1]['full_service_s']} s; {verdict.faults or 'no fault'}"
     )
 
 
--- a/benchmarks/real.py
+++ b/benchmarks/real.py
@@ -28,7 +28,7 @@
 from slipbay.emulator.engines import CAPACITY
 from slipbay.emulator.fleet_model import MIX
 from slipbay.rig.process import RouterIncarnation
-from slipbay.rig.report import Wish
+from slipbay.rig.report import ClientRequest
 from slipbay.rig.runner import Rig
 from slipbay.rig.scenario import Action, Load, Scenario
 
@@ -52,13 +52,18 @@
         return config
 
 
-def ended(wish: Wish) -> str:
+def ended(client_request: ClientRequest) -> str:
     """How it ended for its client; ``late`` where it was served beyond its aim."""
-    spec = NAMES[wish.service_class].spec
+    spec = NAMES[client_request.service_class].spec
     aim_s = (
-        spec.latency_objective_us + spec.latency_objective_stretch * wish.work_ms * 1e3 / spec.threads
+        spec.latency_objective_us
+        + spec.latency_objective_stretch * client_request.work_ms * 1e3 / spec.threads
     ) / 1e6
-    return "late" if wish.outcome == "served" and wish.took_s > aim_s else wish.outcome
+    return (
+        "late"
+        if client_request.outcome == "served" and client_request.duration_s > aim_s
+        else client_request.outcome
+    )
 
 
 def play(routers: int, level: float, seed: int, seconds: float, kill: int = 0) -> str:
@@ -74,8 +79,10 @@
         do=(Action(at=seconds / 5, what="kill", routers=tuple(range(kill))),) if kill else (),
     )
     with tempfile.TemporaryDirectory() as folder:
-        verdict = asyncio.run(Measured(script, Path(folder)).play())
-    counts = Counter((wish.service_class, ended(wish)) for wish in verdict.wishes)
+        verdict = asyncio.run(Measured(script, Path(folder)).execute())
+    counts = Counter(
+        (client_request.service_class, ended(client_request)) for client_request in verdict.client_requests
+    )
     asked = got = 0.0
     for (name, how), count in counts.items():
         spec = NAMES[name].spec
@@ -105,11 +112,11 @@
                 "from slipbay.__main__ import main\nsys.exit(main())",  # which every release has
             )
 
-    def _came_up(self, life: RouterIncarnation) -> None:
-        super()._came_up(life)
-        number = life.router.number
-        self.spent[number] -= cpu_s(life)
-        if shutil.which("perf") and life.process is not None:
+    def _on_router_ready(self, incarnation: RouterIncarnation) -> None:
+        super()._on_router_ready(incarnation)
+        number = incarnation.router.number
+        self.spent[number] -= cpu_s(incarnation)
+        if shutil.which("perf") and incarnation.process is not None:
             self.counters[number] = subprocess.Popen(
                 [
                     "perf",
@@ -120,13 +127,13 @@
                     "-o",
                     str(self.folder / f"count{number}"),
                     "-p",
-                    str(life.process.pid),
+                    str(incarnation.process.pid),
                 ]
             )
 
-    async def _settle(self) -> None:
+    async def _check_views(self) -> None:
         for router in self.routers:
-            self.spent[router.number] += cpu_s(router.lives[0])
+            self.spent[router.number] += cpu_s(router.incarnations[0])
         for number, counter in self.counters.items():
             counter.send_signal(signal.SIGINT)
             await asyncio.to_thread(counter.wait)
@@ -136,10 +143,10 @@
             )  # 0: the system does not let us count
 
 
-def cpu_s(life: RouterIncarnation) -> float:
+def cpu_s(incarnation: RouterIncarnation) -> float:
     """What a process has spent on cores; in s."""
-    assert life.process is not None
-    return int(Path(f"/proc/{life.process.pid}/schedstat").read_text().split()[0]) / 1e9
+    assert incarnation.process is not None
+    return int(Path(f"/proc/{incarnation.process.pid}/schedstat").read_text().split()[0]) / 1e9
 
 
 def told(ratios: list[float]) -> str:
@@ -157,7 +164,7 @@
         seat = (number + 1) % 2  # ours
         with tempfile.TemporaryDirectory() as folder:
             rig = Pair(script, Path(folder), [other, own] if seat else [own, other])
-            verdict = asyncio.run(rig.play())
+            verdict = asyncio.run(rig.execute())
         asked = Counter(answer.router for answer in verdict.answers)
         refused = Counter(answer.router for answer in verdict.answers if answer.outcome == "refused")
         costs = [1e6 * spent / asked[n] for n, spent in enumerate(rig.spent)]
--- a/slipbay/rig/tcp_proxy.py
+++ b/slipbay/rig/tcp_proxy.py
@@ -1,6 +1,6 @@
-"""Relays of TCP between each router and each engine, and the journal, that can be cut, stalled and slow.
+"""TCP proxies between each router and each engine, and the journal, that can be cut, stalled and delayed.
 
-Each pair has an address of its own, so the list that a router is told differs from others' in ``dial`` alone.
+Each pair has an address of its own, so the endpoint lists that the routers receive differ only in ``dial``.
 """
 
 from __future__ import annotations
@@ -11,34 +11,40 @@
 
 from slipbay.address import Address
 
-WAYS = ("there", "back")  # from the router, to the router
-QUEUE = 64  # pieces that are under way one way of a connection; more wait at their sender
+DIRECTIONS = ("there", "back")  # there: from the router; back: to the router
+MAX_CHUNKS = 64  # chunks in flight in one direction of a connection; more wait at their sender
 PORT = 8443
 
 
 class ProxiedConnection:
-    """All connections of one router to one service. ``target`` is asked for at each connection."""
+    """All connections of one router to one service.
+
+    ``target`` is called at each new connection.
+    """
 
     def __init__(self, address: Address, target: Callable[[], Address]) -> None:
         self.address = address
         self._target = target
         self.is_cut = False
-        self.delay_s = dict.fromkeys(WAYS, 0.0)
-        self._free = {way: asyncio.Event() for way in WAYS}
-        self._whole = asyncio.Event()
-        self._whole.set()
+        self.delay_s = dict.fromkeys(DIRECTIONS, 0.0)
+        self._may_forward = {direction: asyncio.Event() for direction in DIRECTIONS}
+        self._not_cut = asyncio.Event()
+        self._not_cut.set()
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self.heal_stall()
+        self.end_stall()
 
     @property
-    def sound(self) -> bool:
-        return not self.is_cut and all(event.is_set() for event in self._free.values())
+    def is_intact(self) -> bool:
+        """Whether connections are neither cut nor stalled."""
+        return not self.is_cut and all(event.is_set() for event in self._may_forward.values())
 
     async def open(self) -> None:
+        """Start to accept connections."""
         self._server = await asyncio.start_server(self._serve, *self.address)
 
     def close(self) -> None:
+        """Stop the proxy and abort its connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -46,56 +52,63 @@
             writer.transport.abort()
 
     def cut(self) -> None:
-        """Connections are reset; new ones come up and hear nothing. None is refused: by the platform's
-        protocol that proves the death of the service's process."""
+        """Reset all connections; new connections are accepted and receive nothing.
+
+        No connection is refused, because in the platform's protocol a refused connection proves that the
+        service's process has ended.
+        """
         self.is_cut = True
-        self._whole.clear()
+        self._not_cut.clear()
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def stall(self, ways: tuple[str, ...]) -> None:
-        """Bytes and ends of connections are held; nothing is closed, and new connections come up."""
-        for way in ways:
-            self._free[way].clear()
+    def stall(self, directions: tuple[str, ...]) -> None:
+        """Hold back bytes and ends of connections; no connection is closed, and new ones are accepted."""
+        for direction in directions:
+            self._may_forward[direction].clear()
 
-    def heal_stall(self) -> None:
-        for event in self._free.values():
+    def end_stall(self) -> None:
+        """Forward again what was held back."""
+        for event in self._may_forward.values():
             event.set()
 
     async def heal(self) -> None:
-        """As at the start; what was held goes on."""
-        self.delay_s = dict.fromkeys(WAYS, 0.0)
-        self.heal_stall()
+        """Remove all faults; what was held back is forwarded."""
+        self.delay_s = dict.fromkeys(DIRECTIONS, 0.0)
+        self.end_stall()
         self.is_cut = False
-        self._whole.set()
+        self._not_cut.set()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
-        far: asyncio.StreamWriter | None = None
+        service_writer: asyncio.StreamWriter | None = None
         try:
             if self.is_cut:
-                await self._whole.wait()
+                await self._not_cut.wait()
                 return writer.transport.abort()
-            await self._free["there"].wait()
-            far_reader, far = await asyncio.open_connection(*self._target())
-            self._writers.add(far)
+            await self._may_forward["there"].wait()
+            service_reader, service_writer = await asyncio.open_connection(*self._target())
+            self._writers.add(service_writer)
             if self.is_cut:
                 return None
             async with asyncio.TaskGroup() as group:
-                for way, source, sink in (("there", reader, far), ("back", far_reader, writer)):
-                    queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(QUEUE)
-                    group.create_task(self._take(way, source, queue))
-                    group.create_task(self._give(way, queue, sink))
+                for direction, source, sink in (
+                    ("there", reader, service_writer),
+                    ("back", service_reader, writer),
+                ):
+                    queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_CHUNKS)
+                    group.create_task(self._receive(direction, source, queue))
+                    group.create_task(self._forward(direction, queue, sink))
         except* (OSError, _ConnectionOverError):
             pass
         finally:
-            for one in (writer, far):
-                if one is not None:
-                    one.close()
-                    self._writers.discard(one)
+            for each_writer in (writer, service_writer):
+                if each_writer is not None:
+                    each_writer.close()
+                    self._writers.discard(each_writer)
 
-    async def _take(
-        self, way: str, source: asyncio.StreamReader, queue: asyncio.Queue[tuple[float, bytes]]
+    async def _receive(
+        self, direction: str, source: asyncio.StreamReader, queue: asyncio.Queue[tuple[float, bytes]]
     ) -> None:
         data = b"-"
         while data:
@@ -103,29 +116,29 @@
                 data = await source.read(65_536)
             except OSError:
                 data = b""
-            await queue.put((asyncio.get_running_loop().time() + self.delay_s[way], data))
+            await queue.put((asyncio.get_running_loop().time() + self.delay_s[direction], data))
 
-    async def _give(
-        self, way: str, queue: asyncio.Queue[tuple[float, bytes]], sink: asyncio.StreamWriter
+    async def _forward(
+        self, direction: str, queue: asyncio.Queue[tuple[float, bytes]], sink: asyncio.StreamWriter
     ) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due, data = await queue.get()
-            if due > loop.time():
-                await asyncio.sleep(due - loop.time())
-            await self._free[way].wait()
+            due_s, data = await queue.get()
+            if due_s > loop.time():
+                await asyncio.sleep(due_s - loop.time())
+            await self._may_forward[direction].wait()
             if not data:
-                raise _ConnectionOverError  # and with it all of the connection
+                raise _ConnectionOverError  # ends both directions
             sink.write(data)
             await sink.drain()
 
 
 class _ConnectionOverError(Exception):
-    """One side has ended."""
+    """One side of the connection has ended it."""
 
 
 class TcpProxy:
-    """By router and engine; None stands for the journal."""
+    """All proxied connections, by router and engine; None stands for the journal."""
 
     def __init__(
         self,
@@ -135,29 +148,35 @@
         engine: Callable[[int], Address],
         journal: Callable[[int], Address],
     ) -> None:
-        """``engine``, ``journal``: where those really are, by engine and by router."""
-        self._wires: dict[tuple[int, int | None], ProxiedConnection] = {}
+        """Create the proxies; ``engine`` and ``journal`` return the real addresses by engine and by
+        router.
+        """
+        self._connections: dict[tuple[int, int | None], ProxiedConnection] = {}
         for router in range(routers):
             for n in range(engines):
-                self._wires[router, n] = ProxiedConnection(
+                self._connections[router, n] = ProxiedConnection(
                     (f"127.{net}.{64 + router}.{n + 1}", PORT), partial(engine, n)
                 )
-            self._wires[router, None] = ProxiedConnection(
+            self._connections[router, None] = ProxiedConnection(
                 (f"127.{net}.{64 + router}.254", PORT), partial(journal, router)
             )
 
     def __getitem__(self, pair: tuple[int, int | None]) -> ProxiedConnection:
-        return self._wires[pair]
+        return self._connections[pair]
 
     async def open(self) -> None:
-        for wire in self._wires.values():
-            await wire.open()
+        """Start all proxies."""
+        for connection in self._connections.values():
+            await connection.open()
 
     def close(self) -> None:
-        for wire in self._wires.values():
-            wire.close()
+        """Stop all proxies."""
+        for connection in self._connections.values():
+            connection.close()
 
     @property
-    def journal_sound(self) -> bool:
-        """Whether every router hears the journal."""
-        return all(wire.sound for (_, engine), wire in self._wires.items() if engine is None)
+    def is_journal_intact(self) -> bool:
+        """Whether every router's connection to the journal is neither cut nor stalled."""
+        return all(
+            connection.is_intact for (_, engine), connection in self._connections.items() if engine is None
+        )
--- a/tests/channel_play.py
+++ b/tests/channel_play.py
@@ -17,7 +17,7 @@
 from slipbay.address import Address
 from slipbay.peer_channel.frame import is_framed
 from slipbay.peer_channel.status_pages import encode_request, request_status
-from slipbay.rig.runner import Rig, Verdict
+from slipbay.rig.runner import Rig, RunReport
 from slipbay.rig.scenario import from_table
 from slipbay.rig.udp_proxy import UdpRelay
 
@@ -79,7 +79,7 @@
     traffic: Traffic
     routers_with_channel: Iterable[int]
 
-    async def _settle(self) -> None:
+    async def _check_views(self) -> None:
         for number in self.routers_with_channel:
             self.traffic.at_status[number] = sum(size for _, size in self.traffic.sent[number])
             self.traffic.status[number] = await asyncio.to_thread(
@@ -90,9 +90,9 @@
 def recording_relay(traffic: Traffic) -> type[UdpRelay]:
     class RecordingRelay(UdpRelay):
         def datagram_received(self, data: bytes, addr: Address) -> None:
-            if addr == self.links.real[self.near]:
-                traffic.sent[self.near].append((time.monotonic(), len(data)))
-                traffic.framed[self.near] += is_framed(data)
+            if addr == self.links.real[self.source_router]:
+                traffic.sent[self.source_router].append((time.monotonic(), len(data)))
+                traffic.framed[self.source_router] += is_framed(data)
             super().datagram_received(data, addr)
 
     return RecordingRelay
@@ -100,7 +100,7 @@
 
 def run_scenario(
     channel_files: dict[int, str], fleet_files: dict[int, str], *arguments: str, **more: Any
-) -> tuple[Verdict, Traffic]:
+) -> tuple[RunReport, Traffic]:
     """Run the scenario. ``channel_files``, ``fleet_files``: texts of channel.toml and fleet.toml by router;
     other routers have none. ``arguments``: of the routers with a channel."""
     from slipbay.rig import udp_proxy
@@ -119,7 +119,7 @@
                 router.write("fleet", fleet_files.get(number, ""))
                 if number in channel_files:
                     router.program = (str(CHATTY), *arguments)
-            return asyncio.run(rig.play()), traffic
+            return asyncio.run(rig.execute()), traffic
     finally:
         udp_proxy.UdpRelay = relay  # type: ignore[misc]
 
--- a/tests/contracts/test_channel_contract.py
+++ b/tests/contracts/test_channel_contract.py
@@ -24,8 +24,8 @@
 from slipbay.peer_channel.multiplexer import RATE, Multiplexer
 from slipbay.peer_channel.udp_link import UdpLink
 from slipbay.peers.udp import PeerSocket
-from slipbay.rig.report import Marks
-from slipbay.rig.runner import PEER_PORT, own_net
+from slipbay.rig.report import EventRecorder
+from slipbay.rig.runner import PEER_PORT, reserve_network
 from slipbay.rig.udp_proxy import UdpProxy
 
 SIZE = 3
@@ -137,7 +137,7 @@
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
-        net, self._reserved_socket = own_net()
+        net, self._reserved_socket = reserve_network()
         self.real = [(f"127.{net}.0.{n + 1}", PEER_PORT) for n in range(SIZE)]
         self.sent = Counter[int]()
         self.loop.run_until_complete(self._open())
@@ -217,7 +217,7 @@
 
     async def _peer_addresses(self, me: int) -> list[tuple[str, int]]:
         if not me:
-            self.relays = UdpProxy(self.real, Random(1), Marks())
+            self.relays = UdpProxy(self.real, Random(1), EventRecorder())
             await self.relays.open()
         addresses = self.relays.peers(me, self.real[me])
         return [(host, int(port)) for host, _, port in (address.partition(":") for address in addresses)]
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -35,7 +35,7 @@
     WarmupChanged,
 )
 from slipbay.policy.settings import Effect, ServiceClass, Settings
-from slipbay.rig.runner import Rig, joined
+from slipbay.rig.runner import Rig, format_address
 from slipbay.rig.scenario import from_table
 from slipbay.warmup import codec, snapshot
 from slipbay.warmup.codec import Message, MessageType
@@ -454,7 +454,7 @@
 
     status_output = ""  # output of the status command of the first router
 
-    async def _settle(self) -> None:
+    async def _check_views(self) -> None:
         for router in self.routers if self.script.comeback else ():
             while not self.full_service_lines(router.lines):
                 await asyncio.sleep(0.05)
@@ -462,7 +462,14 @@
             result = await asyncio.to_thread(
                 CliRunner().invoke,
                 main,
-                ["comeback", "status", joined(self._peer(self.routers[0])), "--seconds", "60", "--json"],
+                [
+                    "comeback",
+                    "status",
+                    format_address(self._peer_address(self.routers[0])),
+                    "--seconds",
+                    "60",
+                    "--json",
+                ],
             )
             self.status_output = result.output
 
@@ -472,8 +479,8 @@
 
     def events_after_restart(self, event: str, end_s: float) -> int:
         """Number of events of a kind within ``end_s`` after the new incarnations can run."""
-        killed_at = self.began + self.verdict.stretches[-1]["at"]
-        return sum(killed_at + 0.3 <= at < killed_at + 0.3 + end_s for at in self.marks._times[event])
+        killed_at = self.began + self.run_report.intervals[-1]["at"]
+        return sum(killed_at + 0.3 <= at < killed_at + 0.3 + end_s for at in self.recorder._times[event])
 
 
 def test_eight_routers_restarted_with_a_cold_engine_keep_to_few_connections(tmp_path: Path) -> None:
@@ -499,7 +506,7 @@
             ),
             tmp_path / str(len(text)),
         )
-        report = asyncio.run(rig.play())
+        report = asyncio.run(rig.execute())
         assert report.good, report.faults
         assert report.outcomes["lookup served"]
         # no router is in full service before that time
@@ -529,9 +536,9 @@
         ),
         tmp_path,
     )
-    report = asyncio.run(rig.play())
+    report = asyncio.run(rig.execute())
     assert report.good, report.faults
-    assert len([r for r in rig.routers if len(r.lives) == 2]) == 7
+    assert len([r for r in rig.routers if len(r.incarnations) == 2]) == 7
 
 
 def test_a_single_router_uses_the_snapshot_of_its_previous_incarnation(tmp_path: Path) -> None:
@@ -550,7 +557,7 @@
         ),
         tmp_path,
     )
-    report = asyncio.run(rig.play())
+    report = asyncio.run(rig.execute())
     assert report.good, report.faults
     snapshot_lines = [line for line in rig.routers[0].lines if "s old" in line]
     assert (
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -20,16 +20,16 @@
 from slipbay.config.validation import ConfigError
 from slipbay.quota.guarantees import excess
 from slipbay.quota.plan import Quota, QuotaPlan
-from slipbay.rig.checker import Answer, Bound, Verdict, bounds, judge
-from slipbay.rig.engines import Book
+from slipbay.rig.checker import Answer, QuotaBound, RunReport, check_rules, quota_bounds
+from slipbay.rig.engines import ExecutionLog
 from slipbay.rig.host_load import HostLoad
 from slipbay.rig.process import RouterIncarnation, RouterProcess
-from slipbay.rig.report import Marks, Service, Wish, stretches
-from slipbay.rig.runner import own_net, play
+from slipbay.rig.report import ClientRequest, EventRecorder, Service, intervals
+from slipbay.rig.runner import reserve_network, run_scenario
 from slipbay.rig.scenario import from_table, read
-from slipbay.rig.skewed import jumping, write_jump
+from slipbay.rig.skewed import jumping_clock, write_jump
 from slipbay.rig.standins import HOST, serve
-from slipbay.rig.tcp_proxy import WAYS, ProxiedConnection
+from slipbay.rig.tcp_proxy import DIRECTIONS, ProxiedConnection
 from slipbay.rig.udp_proxy import UdpProxy
 
 VIEW = "enabled = true"
@@ -39,7 +39,7 @@
     return {"at": at, "what": what, **more}
 
 
-def played(*actions: dict[str, Any], seconds: float = 6, **more: Any) -> Verdict:
+def played(*actions: dict[str, Any], seconds: float = 6, **more: Any) -> RunReport:
     table = {
         "routers": 8,
         "zones": 2,
@@ -50,10 +50,10 @@
         "do": list(actions),
         **more,
     }
-    verdict = play(from_table(table))
-    assert verdict.good, (verdict.faults, verdict.timeline, verdict.starved)
-    assert verdict.outcomes["lookup served"] > 20, verdict.outcomes
-    return verdict
+    run_report = run_scenario(from_table(table))
+    assert run_report.good, (run_report.faults, run_report.timeline, run_report.starved)
+    assert run_report.outcomes["lookup served"] > 20, run_report.outcomes
+    return run_report
 
 
 def test_five_of_eight_killed_at_once_and_back_with_new_lives() -> None:
@@ -74,8 +74,8 @@
 
 
 def test_connections_to_engines_break_under_calls_and_what_ran_is_asked_for_anew() -> None:
-    verdict = played(*(do(0.5 + 0.5 * n, "reset", engines=[0, 1, 2]) for n in range(8)), seconds=5)
-    cut = [int(line.split()[-5]) for line in verdict.timeline if line.endswith("calls were under way")]
+    run_report = played(*(do(0.5 + 0.5 * n, "reset", engines=[0, 1, 2]) for n in range(8)), seconds=5)
+    cut = [int(line.split()[-5]) for line in run_report.timeline if line.endswith("calls were under way")]
     assert len(cut) == 8
     assert sum(cut) > 0
 
@@ -128,31 +128,31 @@
 
 def test_plays_side_by_side_have_nets_of_their_own() -> None:
     """Guards against plays of two test processes whose routers meet, as the net hung on the pid alone."""
-    taken = [own_net() for _ in range(5)]
+    taken = [reserve_network() for _ in range(5)]
     assert len({net for net, _ in taken}) == 5
     for _, kept in taken:
         kept.close()
 
 
 def test_all_are_restarted_at_once_and_the_way_back_is_measured() -> None:
-    verdict = played(do(2, "restart", routers=list(range(8)), after_s=0.3), seconds=12)
-    start, back = verdict.stretches
+    run_report = played(do(2, "restart", routers=list(range(8)), after_s=0.3), seconds=12)
+    start, back = run_report.intervals
     assert start["in_time"] is not None
     assert start["full_service_s"] is None
     assert back["first_ready_s"] > 0.3
     assert back["list_calls"] > 0
     assert back["in_time"] is not None
-    assert verdict.outcomes["lookup served"] == sum(
-        row["served"] for row in verdict.seconds if row["class"] == "lookup"
+    assert run_report.outcomes["lookup served"] == sum(
+        row["served"] for row in run_report.seconds if row["class"] == "lookup"
     )
-    assert json.loads(json.dumps(verdict.as_json()))["good"]
+    assert json.loads(json.dumps(run_report.as_json()))["good"]
 
 
 STORE = 'enabled = true\nfolder = "{own}"'
 
 
 def test_loads_come_back_under_their_keys_over_deaths_and_none_runs_twice() -> None:
-    verdict = played(
+    run_report = played(
         do(1.5, "kill", routers=[0, 1]),
         do(2, "start", routers=[0, 1]),
         do(4, "restart", routers=[0, 1, 2], after_s=0.1),
@@ -161,14 +161,14 @@
         store=STORE,
         load={"lookups": 40, "reports": 0, "loads": 12, "report_ms": 1500},
     )
-    repeats = [answer for answer in verdict.answers if answer.repeat]
+    repeats = [answer for answer in run_report.answers if answer.is_repeat]
     assert repeats
     assert len({answer.txn for answer in repeats}) > 1
     assert {answer.service_class for answer in repeats} == {"ticket-load"}
 
 
 def test_a_store_is_lost_or_put_back_while_its_router_is_down() -> None:
-    verdict = played(
+    run_report = played(
         do(1, "copy_store", routers=[0]),
         do(2, "kill", routers=[0, 1]),
         do(2.1, "old_store", routers=[0]),
@@ -179,44 +179,44 @@
         store=STORE,
         load={"lookups": 40, "reports": 0, "loads": 2, "tries": 1},
     )
-    assert [row["what"] for row in verdict.stretches][3:5] == [
+    assert [row["what"] for row in run_report.intervals][3:5] == [
         "old_store routers 0 name copy",
         "lose_store routers 1",
     ]
-    faulty = play(
+    faulty = run_scenario(
         from_table({"routers": 1, "seconds": 0.5, "store": STORE, "do": [do(0.1, "lose_store", routers=[0])]})
     )
     assert [fault.split(":")[0] for fault in faulty.faults] == ["script"]
 
 
 def test_a_copy_of_a_store_is_put_back_and_a_lost_one_is_gone(tmp_path: Path) -> None:
-    router = RouterProcess(3, lambda seat: {}, tmp_path, {}, lambda life: None)
-    router.own.mkdir()
-    (router.own / "log").write_text("old")
+    router = RouterProcess(3, lambda slot: {}, tmp_path, {}, lambda incarnation: None)
+    router.state_directory.mkdir()
+    (router.state_directory / "log").write_text("old")
     router.copy_store("first")
-    (router.own / "log").write_text("new")
+    (router.state_directory / "log").write_text("new")
     router.replace_store("first")
-    assert (router.own / "log").read_text() == "old"
+    assert (router.state_directory / "log").read_text() == "old"
     router.replace_store(None)
-    assert not router.own.exists()
+    assert not router.state_directory.exists()
 
 
 def test_tenants_have_rates_and_places_and_come_back_when_told() -> None:
     tenants = [{"name": "a", "lookups": 60, "routers": [0, 1]}, {"name": "b", "reports": 90}]
     load = {"tenants": tenants, "report_ms": 3000, "honour_later": True}
-    verdict = play(from_table({"routers": 3, "seconds": 4, "load": load}))
-    assert verdict.good, verdict.faults
-    assert {answer.router for answer in verdict.answers if answer.tenant == "a"} == {0, 1}
-    assert {answer.router for answer in verdict.answers if answer.tenant == "b"} == {0, 1, 2}
-    assert {(row["tenant"], row["class"]) for row in verdict.seconds} == {("a", "lookup"), ("b", "report")}
-    repeats = [answer for answer in verdict.answers if answer.repeat]
+    run_report = run_scenario(from_table({"routers": 3, "seconds": 4, "load": load}))
+    assert run_report.good, run_report.faults
+    assert {answer.router for answer in run_report.answers if answer.tenant == "a"} == {0, 1}
+    assert {answer.router for answer in run_report.answers if answer.tenant == "b"} == {0, 1, 2}
+    assert {(row["tenant"], row["class"]) for row in run_report.seconds} == {("a", "lookup"), ("b", "report")}
+    repeats = [answer for answer in run_report.answers if answer.is_repeat]
     assert repeats
-    assert all(wish.tries <= 4 for wish in verdict.wishes)
-    assert len({answer.txn for answer in verdict.answers}) == len(verdict.answers)
+    assert all(client_request.attempts <= 4 for client_request in run_report.client_requests)
+    assert len({answer.txn for answer in run_report.answers}) == len(run_report.answers)
 
 
 def test_wires_to_engines_are_cut_slow_and_stalled_one_way_and_by_zone() -> None:
-    verdict = played(
+    run_report = played(
         do(0.5, "cut_wire", router_zones=[0], engine_zones=[1]),
         do(1.5, "heal_wire"),
         do(2, "stall_wire", routers=[0], engines=[0, 1], way="back"),
@@ -227,12 +227,12 @@
         seconds=7,
         routers=4,
     )
-    cut = verdict.stretches[1]
+    cut = run_report.intervals[1]
     assert cut["what"] == "cut_wire wire engines router_zones 0 engine_zones 1"
 
 
 def test_the_journals_wire_is_stalled_while_an_engine_drains_and_later_cut() -> None:
-    verdict = played(
+    run_report = played(
         do(0.5, "stall_wire", wire="journal"),
         do(1, "drain", engines=[0]),
         do(4, "heal_wire", wire="journal"),
@@ -241,7 +241,7 @@
         seconds=7,
         routers=3,
     )
-    assert sum(row["list_calls"] for row in verdict.stretches[1:]) > 0
+    assert sum(row["list_calls"] for row in run_report.intervals[1:]) > 0
 
 
 def test_what_a_wire_does_is_seen_at_its_ends() -> None:
@@ -251,7 +251,7 @@
                 writer.write(data)
             writer.close()
 
-        net, kept = own_net()
+        net, kept = reserve_network()
         server, port = await serve(echo)
         wire = ProxiedConnection((f"127.{net}.64.1", 8443), lambda: (HOST, port))
         await wire.open()
@@ -262,13 +262,13 @@
 
         reader, writer = await asyncio.open_connection(*wire.address)
         assert await said(reader, writer, b"a") == b"a"
-        for ways in (("there",), ("back",), WAYS):
-            wire.stall(ways)
+        for directions in (("there",), ("back",), DIRECTIONS):
+            wire.stall(directions)
             held = asyncio.create_task(said(reader, writer, b"b"))
             late_reader, late_writer = await asyncio.open_connection(*wire.address)
             await asyncio.sleep(0.1)
             assert not held.done()
-            assert not wire.sound
+            assert not wire.is_intact
             await wire.heal()
             assert await held == b"b"
             assert await said(late_reader, late_writer, b"c") == b"c"
@@ -295,7 +295,7 @@
 
 
 def test_two_lives_of_one_number_at_once() -> None:
-    verdict = played(
+    run_report = played(
         do(0.5, "stop", routers=[1]),
         do(1, "twin", routers=[1]),
         do(4, "go_on", routers=[1]),
@@ -303,7 +303,7 @@
         seconds=7,
         routers=3,
     )
-    assert {answer.life for answer in verdict.answers if answer.router == 1} == {0, 1}
+    assert {answer.incarnation for answer in run_report.answers if answer.router == 1} == {0, 1}
 
 
 def test_a_router_whose_wall_clock_is_off_is_one_of_the_fleet() -> None:
@@ -317,7 +317,7 @@
 
 
 def test_an_engine_is_replaced_and_cold_and_operator_files_are_read_again() -> None:
-    verdict = played(
+    run_report = played(
         do(0.5, "renew", engines=[0]),
         do(1, "reload", routers=[0], file="fleet", text="no"),
         do(1.5, "reload", routers=[0, 1], file="fleet", text=VIEW),
@@ -325,9 +325,9 @@
         routers=3,
         engines=2,
     )
-    begun = {engine for _, engine, _ in verdict.book.begun}
+    begun = {engine for _, engine, _ in run_report.execution_log.starts}
     assert begun == {"s-0", "s-1"}
-    assert [row["what"].split()[0] for row in verdict.stretches] == [
+    assert [row["what"].split()[0] for row in run_report.intervals] == [
         "start",
         "renew",
         "reload",
@@ -355,7 +355,7 @@
     shown = 10_000_000
     path = tmp_path / "jump"
     write_jump(path, 0)
-    clock = jumping(lambda: shown, str(path))
+    clock = jumping_clock(lambda: shown, str(path))
     assert clock() == shown
     write_jump(path, 5)
     assert clock() == shown + 5_000_000
@@ -373,11 +373,11 @@
         watching = asyncio.create_task(machine.watch())
         await asyncio.sleep(0.01)
         began = asyncio.get_running_loop().time()
-        assert machine.held_up(began - 60) == 0.0  # before the first sample: nothing is known
+        assert machine.host_delay_s(began - 60) == 0.0  # before the first sample: nothing is known
         time.sleep(0.8)
         await asyncio.sleep(0.3)
         watching.cancel()
-        return machine.held_up(began)
+        return machine.host_delay_s(began)
 
     assert asyncio.run(hold()) > 0.4
 
@@ -389,49 +389,59 @@
 
 
 def test_full_service_is_found_when_it_lasts_and_not_before() -> None:
-    def wish(at: float, good: bool) -> Wish:
-        return Wish(at, "lookup", "a", 0, "served" if good else "refused", 0.1)
-
-    wishes = [wish(n / 100, not 200 <= n < 250 and not 300 <= n < 320) for n in range(600)]
-    service = Service(wishes)
-    assert service.share(0, 2) == 1.0
-    assert service.share(2, 2.5) == 0.0
-    full = service.full_after(2.0, 1.0, 6.0)
+    def client_request(at: float, good: bool) -> ClientRequest:
+        return ClientRequest(at, "lookup", "a", 0, "served" if good else "refused", 0.1)
+
+    client_requests = [client_request(n / 100, not 200 <= n < 250 and not 300 <= n < 320) for n in range(600)]
+    service = Service(client_requests)
+    assert service.share_in_time(0, 2) == 1.0
+    assert service.share_in_time(2, 2.5) == 0.0
+    full = service.time_to_full_service(2.0, 1.0, 6.0)
     assert full is not None
     assert 1.1 < full < 1.2
-    assert service.full_after(2.0, 1.0, 4.0) is None  # the load ends before it has lasted
-    assert Service([*wishes, *(wish(6 + n / 100, False) for n in range(200))]).full_after(5.5, 1, 8) is None
-    under_way = [*(wish(n / 100, True) for n in range(200)), Wish(1.95, "report", "a", 0, "cut", 0.06)]
-    rows = stretches(Service(under_way), Marks(), [(2.0, "kill")], [2.4], 50.0, 4.0)
-    assert Service(under_way).without_cut().share(0, 2) == 1.0
+    assert service.time_to_full_service(2.0, 1.0, 4.0) is None  # the load ends before it has lasted
+    assert (
+        Service(
+            [*client_requests, *(client_request(6 + n / 100, False) for n in range(200))]
+        ).time_to_full_service(5.5, 1, 8)
+        is None
+    )
+    under_way = [
+        *(client_request(n / 100, True) for n in range(200)),
+        ClientRequest(1.95, "report", "a", 0, "cut", 0.06),
+    ]
+    rows = intervals(Service(under_way), EventRecorder(), [(2.0, "kill")], [2.4], 50.0, 4.0)
+    assert Service(under_way).without_cut_requests().share_in_time(0, 2) == 1.0
     assert [row["cut"] for row in rows] == [0, 1]
     assert rows[1]["first_ready_s"] == 0.4
     assert rows[1]["in_time"] is None
-    slow = Wish(0.0, "lookup", "a", 0, "served", 0.6)
+    slow = ClientRequest(0.0, "lookup", "a", 0, "served", 0.6)
     assert not slow.in_time
-    assert Service([slow]).share(0, 1) == 0.0
+    assert Service([slow]).share_in_time(0, 1) == 0.0
 
 
 def test_peaks_are_of_any_100_ms() -> None:
-    marks = Marks()
+    recorder = EventRecorder()
     for at in (0.0, 0.09, 0.1, 0.15, 0.189, 5.0):
-        marks.add("connects", at)
-    assert marks.peak("connects", 0, 10) == 4
-    assert marks.peak("connects", 0.1, 10) == 3
-    assert marks.peak("probes", 0, 10) == 0
+        recorder.add("connects", at)
+    assert recorder.peak_count("connects", 0, 10) == 4
+    assert recorder.peak_count("connects", 0.1, 10) == 3
+    assert recorder.peak_count("probes", 0, 10) == 0
 
 
 def test_the_judge_finds_what_must_not_be() -> None:
     def told(txn: str, name: str, outcome: str) -> Answer:
         return Answer(txn, name, "a", 0, 0, 0.0, 0.1, outcome)
 
-    verdict = Verdict()
+    run_report = RunReport()
     for engine in ("s-0", "s-1"):
         for request in ("b", "r", "x", "y", "z") if engine == "s-0" else ("x", "y", "z", "v", "w"):
-            verdict.book.begin(engine, request, "ticket-load" if request in "br" else "lookup", 0.0)
-            verdict.book.end(engine, request)
-    verdict.book.runs["x"] += 20
-    verdict.answers += [
+            run_report.execution_log.record_start(
+                engine, request, "ticket-load" if request in "br" else "lookup", 0.0
+            )
+            run_report.execution_log.record_end(engine, request)
+    run_report.execution_log.runs["x"] += 20
+    run_report.answers += [
         told("r", "ticket-load", "refused"),
         told("n", "ticket-load", "served"),
         told("b", "ticket-load", "served"),
@@ -439,29 +449,33 @@
         told("v", "ticket-load", "refused"),
         told("v", "ticket-load", "served"),
     ]
-    judge(verdict, 1)
-    assert [fault.split(":")[0] for fault in verdict.faults] == [
+    check_rules(run_report, 1)
+    assert [fault.split(":")[0] for fault in run_report.faults] == [
         "ration",
         "refused though it ran",
         "served though it never ran",
         "served, then failed under the same key",
     ]
-    clean = Verdict(answers=[told("c", "ticket-load", "refused")])
-    judge(clean, 1)
+    clean = RunReport(answers=[told("c", "ticket-load", "refused")])
+    check_rules(clean, 1)
     assert clean.good
 
 
 def test_the_judge_finds_a_window_that_passes_a_quota() -> None:
     """Five a second for 4 s, and 20 more at 2 s: each is admitted and run within 10 ms."""
-    verdict = Verdict(began=100.0)
+    run_report = RunReport(began=100.0)
     for number, at in enumerate([*(n / 5 for n in range(20)), *[2.0] * 20]):
-        verdict.book.begin("s-0", f"{number}", "lookup", 100 + at + 0.01)
-        verdict.answers.append(Answer(f"{number}", "lookup", "a", 0, 0, at, at + 0.5, "served"))
-    few = Bound("q", ("a",), ("lookup",), 5.0, 20.0)
-    many = Bound("q", (), (), 5.0, 22.0)
-    judge(verdict, 1, [few, many, Bound("q", ("b",), (), 1.0, 0.0), Bound("q", (), (), 5.0, 2.0, 2.001)])
-    assert [fault.split(" by ")[0] for fault in verdict.faults] == ["quota: q passed 5 x t"]
-    assert [row["worst"] for row in verdict.quotas] == [pytest.approx(21, abs=0.2)] * 2 + [
+        run_report.execution_log.record_start("s-0", f"{number}", "lookup", 100 + at + 0.01)
+        run_report.answers.append(Answer(f"{number}", "lookup", "a", 0, 0, at, at + 0.5, "served"))
+    few = QuotaBound("q", ("a",), ("lookup",), 5.0, 20.0)
+    many = QuotaBound("q", (), (), 5.0, 22.0)
+    check_rules(
+        run_report,
+        1,
+        [few, many, QuotaBound("q", ("b",), (), 1.0, 0.0), QuotaBound("q", (), (), 5.0, 2.0, 2.001)],
+    )
+    assert [fault.split(" by ")[0] for fault in run_report.faults] == ["quota: q passed 5 x t"]
+    assert [row["worst"] for row in run_report.quotas] == [pytest.approx(21, abs=0.2)] * 2 + [
         0.0,
         pytest.approx(1, abs=0.2),
     ]
@@ -488,7 +502,8 @@
         )
         spare = {rate: excess(QuotaPlan(1, []), Quota("q", rate, rate + 20), 3) for rate in (10, 40, 50)}
         return [
-            (bound.rate, round(bound.most - spare[int(bound.rate)]), bound.since) for bound in bounds(script)
+            (bound.rate, round(bound.max_excess - spare[int(bound.rate)]), bound.since)
+            for bound in quota_bounds(script)
         ]
 
     assert told() == [(40.0, 60, 0.0)]
@@ -496,29 +511,29 @@
     assert told(*refused, (1, [0, 1, 2], plan(2, -1)), (1, [0], "enabled = false")) == [(40.0, 60, 0.0)]
     assert told((1, [0, 1], plan(2, 10)), (2, [2], plan(2, 10))) == [(40.0, 60, 0.0), (10.0, 30, 3.0)]
     assert told((1, [0, 1], plan(2, 50))) == [(50.0, 70, 0.0)]  # a router never heard of it
-    assert bounds(from_table({"quota": "enabled = false"})) == []
+    assert quota_bounds(from_table({"quota": "enabled = false"})) == []
 
 
 def test_relays_find_a_life_that_sent_more_than_it_may() -> None:
     links = UdpProxy([("127.0.0.1", 1), ("127.0.0.1", 2)], Random(1))
     at = ("127.0.0.1", 1)
-    links.budget = 1_000
-    links.begins(at, 0.0)
+    links.budget_bytes_per_s = 1_000
+    links.start_incarnation(at, 0.0)
     for step in range(30):
-        links.spend(0, at, 256, 0.334 * step)
-    assert not links.over
-    assert links.fullest == 3 * 256
-    links.spend(0, at, 3_000, 9.9)  # what was kept for three seconds
-    assert not links.over
-    assert links.fullest == 3_000 + 3 * 256
-    links.spend(0, at, 1_000, 9.9)
-    assert len(links.over) == 1
-    assert "router 0 sent 11680 in its first 9.90 s" in links.over[0]
-    links.begins(at, 9.9)  # another life
-    links.spend(0, at, 2_000, 9.95)
-    assert len(links.over) == 1
-    links.spend(0, at, 1, 9.95)
-    assert len(links.over) == 2
+        links.count_datagram(0, at, 256, 0.334 * step)
+    assert not links.over_budget
+    assert links.max_bytes_in_second == 3 * 256
+    links.count_datagram(0, at, 3_000, 9.9)  # what was kept for three seconds
+    assert not links.over_budget
+    assert links.max_bytes_in_second == 3_000 + 3 * 256
+    links.count_datagram(0, at, 1_000, 9.9)
+    assert len(links.over_budget) == 1
+    assert "router 0 sent 11680 in its first 9.90 s" in links.over_budget[0]
+    links.start_incarnation(at, 9.9)  # another life
+    links.count_datagram(0, at, 2_000, 9.95)
+    assert len(links.over_budget) == 1
+    links.count_datagram(0, at, 1, 9.95)
+    assert len(links.over_budget) == 2
 
 
 def test_a_life_that_was_killed_before_the_rig_read_that_it_listens_is_not_up() -> None:
@@ -526,14 +541,16 @@
 
     async def read(*signals: signal.Signals) -> bool:
         seen: list[bool] = []
-        router = RouterProcess(0, lambda seat: {}, Path(), {}, lambda life: seen.append(life.ready))
-        life = RouterIncarnation(router, 0, 0)
+        router = RouterProcess(
+            0, lambda slot: {}, Path(), {}, lambda incarnation: seen.append(incarnation.ready)
+        )
+        incarnation = RouterIncarnation(router, 0, 0)
         told = asyncio.StreamReader()
         for number in signals:
-            life.signal(number)
+            incarnation.signal(number)
         told.feed_data(b"start: n0 listens at 127.0.0.1:5\n")
         told.feed_eof()
-        await life._read(SimpleNamespace(stderr=told))  # type: ignore[arg-type]
+        await incarnation._read_log(SimpleNamespace(stderr=told))  # type: ignore[arg-type]
         return seen[0]
 
     assert asyncio.run(read())
@@ -544,41 +561,50 @@
 
 def test_a_router_that_stood_still_is_late_by_just_that_time() -> None:
     async def stop() -> tuple[float, float, bool]:
-        router = RouterProcess(0, lambda seat: {}, Path(), {}, lambda life: None)
-        life = RouterIncarnation(router, 0, 0)
+        router = RouterProcess(0, lambda slot: {}, Path(), {}, lambda incarnation: None)
+        incarnation = RouterIncarnation(router, 0, 0)
         loop = asyncio.get_running_loop()
         began = loop.time()
-        life.signal(signal.SIGSTOP)
-        life.signal(signal.SIGSTOP)
+        incarnation.signal(signal.SIGSTOP)
+        incarnation.signal(signal.SIGSTOP)
         await asyncio.sleep(0.1)
-        life.signal(signal.SIGCONT)
-        life.signal(signal.SIGCONT)
+        incarnation.signal(signal.SIGCONT)
+        incarnation.signal(signal.SIGCONT)
         went_on = loop.time()
         await asyncio.sleep(0.1)
-        return life.stood_s(began) - (went_on - began), life.stood_s(went_on), life.stands
+        return (
+            incarnation.stopped_s(began) - (went_on - began),
+            incarnation.stopped_s(went_on),
+            incarnation.is_stopped,
+        )
 
-    difference, after, stands = asyncio.run(stop())
+    difference, after, is_stopped = asyncio.run(stop())
     assert abs(difference) < 1e-3
     assert not after
-    assert not stands
+    assert not is_stopped
 
 
 def test_the_book_finds_what_must_not_be() -> None:
-    book = Book()
-    book.begin("s-0", "a", "ticket-load", 0.0)
-    book.begin("s-1", "a", "ticket-load", 0.1)
-    book.drained["s-2"] = 0.0
-    book.begin("s-2", "b", "lookup", 1.0)
-    book.begin("s-2", "c", "lookup", 1.2)
-    assert [fault.split(":")[0] for fault in book.faults] == ["twice at once", "run again", "drained"]
-    book.begin("s-1", "d", "lookup", 5.0)
-    book.begin("s-0", "d", "lookup", 7.1)  # nobody asked for the first for 2 s: it is given up
-    held = Book()
-    held.held_up = lambda since: 0.5
-    held.drained["s-2"] = 0.0
-    held.begin("s-2", "c", "lookup", 1.2)
-    held.begin("s-2", "c", "lookup", 1.6)
-    assert len(book.faults) == 3
+    execution_log = ExecutionLog()
+    execution_log.record_start("s-0", "a", "ticket-load", 0.0)
+    execution_log.record_start("s-1", "a", "ticket-load", 0.1)
+    execution_log.drained_at_s["s-2"] = 0.0
+    execution_log.record_start("s-2", "b", "lookup", 1.0)
+    execution_log.record_start("s-2", "c", "lookup", 1.2)
+    assert [fault.split(":")[0] for fault in execution_log.faults] == [
+        "twice at once",
+        "run again",
+        "drained",
+    ]
+    execution_log.record_start("s-1", "d", "lookup", 5.0)
+    # No router requested the first execution for 2 s, so the router has abandoned it.
+    execution_log.record_start("s-0", "d", "lookup", 7.1)
+    held = ExecutionLog()
+    held.host_delay_s = lambda since: 0.5
+    held.drained_at_s["s-2"] = 0.0
+    held.record_start("s-2", "c", "lookup", 1.2)
+    held.record_start("s-2", "c", "lookup", 1.6)
+    assert len(execution_log.faults) == 3
     assert len(held.faults) == 2
 
 
