--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -75,7 +75,7 @@
         + ", ".join(f"{name} {after[name]} for {before[name]}" for name in before)
         + f"; push {max(e.worst_push for e in tier.engines.values()):.2f}"
         f"; news {max(seen.news, default=0) / SECOND:.2f} s old, {seen.stale} of {len(seen.news)} stale"
-        f"; most lives took {max(seen.full, default=0) / SECOND:.1f} s by their own account, "
+        f"; most lives took {max(seen.warmup_us, default=0) / SECOND:.1f} s by their own account, "
         f"{max(seen.bytes.values(), default=0)} bytes"
     )
 
--- a/benchmarks/gather.py
+++ b/benchmarks/gather.py
@@ -21,7 +21,7 @@
     World,
     dropping,
     longer_never,
-    play_out,
+    replay_query,
 )
 from slipbay.scatter_gather.latency_model import SECOND
 from slipbay.scatter_gather.stopping_rule import LearnedStoppingRules
@@ -160,7 +160,7 @@
             began = time.process_time()
             for names, times in half:
                 now += 1_000 * case.parts
-                play_out(moments.start_query(now, scattered, now + 10 * SECOND), now, names, times)
+                replay_query(moments.start_query(now, scattered, now + 10 * SECOND), now, names, times)
             spent = time.process_time() - began
         best = min(best, spent / (queries - queries // 2) / case.parts * 1e6)
     began = time.process_time()
--- a/slipbay/emulator/gather.py
+++ b/slipbay/emulator/gather.py
@@ -1,11 +1,13 @@
-"""Scattered queries over many routers in simulated time: the real machines, times of parts drawn from a
-world whose distributions are known, and what other ways to choose the moment would have got from the same
-times.
-
-A part takes ``base x group x engine x query x noise``. An engine's factor is how slow it is, times what its
-load makes of it, which wanders (AR(1) over some seconds): parts of one engine have it in common, as parts
-of one query have theirs. Perfect knowledge has all of these but the query's own factor and the noise, of
-which it has the distribution; it stops by the same rule. Times are whole us.
+"""Scattered queries over many routers, in simulated time.
+
+The stopping rules and the gossip of estimates are the real ones. Latencies of parts are drawn from known
+distributions, so that the utility of other stopping times can be computed from the same latencies.
+
+The latency of a part is ``base x group x engine x query x noise``. The factor of an engine is its slowness
+times the effect of its load, which follows an AR(1) process over some seconds. All parts on an engine share
+the engine's factor, and all parts of a query share the query's factor. A rule with perfect knowledge has all
+factors except the query's factor and the noise, of which it has the distribution; it stops by the same
+criterion. Times are integers in us.
 """
 
 from __future__ import annotations
@@ -54,33 +56,39 @@
 PRICE = 0.25
 DEADLINES = (100_000, 200_000, 400_000, 800_000, 1_600_000)
 QUANTILE = 0.9
-FINE = 4  # parts of a bucket to which perfect knowledge knows a factor
-WANDER_US = SECOND // 4
-WANDERS_OVER = 5.0  # seconds
+SUBBUCKETS = 4  # fractions of a bucket to which perfect knowledge resolves a factor
+LOAD_STEP_US = SECOND // 4
+LOAD_CORRELATION_S = 5.0  # time constant of the AR(1) process of an engine's load
 QUERY_SIGMA = 0.2
 
 
 @dataclass(frozen=True)
 class Case:
+    """Settings of one simulated run."""
+
     parts: int = 16
     heavy: bool = False
     slow: bool = False
     load: float = 0.8
     routers: int = 1
     seed: int = 1
-    rate: float = 20.0  # queries a second of all routers together
+    rate: float = 20.0  # queries per second of all routers together
     engines: int = 20
     curve: Curve = CURVE
     price: float = PRICE
 
     def scattered(self) -> ScatteredClass:
+        """Return the scattered class of the case's queries."""
         return ScatteredClass(
             "report", "part", tuple(range(self.parts)), "{group}", self.curve, self.price, LATEST_US
         )
 
 
 class World:
-    """What is true. Change ``scale``, ``slowness`` and ``heavy`` as time goes."""
+    """The true latency distributions.
+
+    ``scale``, ``slowness`` and ``heavy`` may be changed during a run.
+    """
 
     def __init__(self, case: Case) -> None:
         self.random = Random(case.seed)
@@ -93,41 +101,47 @@
         self.slowness = [1.0] * case.engines
         if case.slow:
             self.slow(range(0, case.engines, 5))
-        self.wander = [draw.gauss(0, self.sigma) for _ in self.names]
-        self._curves = {heavy: self._truth(heavy) for heavy in (False, True)}
+        self.load_effect = [draw.gauss(0, self.sigma) for _ in self.names]
+        self._curves = {heavy: self._true_curves(heavy) for heavy in (False, True)}
 
     @property
     def sigma(self) -> float:
+        """Standard deviation of the logarithm of an engine's load effect."""
         return 0.1 + 0.35 * self.case.load**2
 
     def slow(self, engines: Sequence[int]) -> None:
+        """Make the given engines 3 to 10 times slower, and all others normal."""
         self.slowness = [1.0] * self.case.engines
         for engine in engines:
             self.slowness[engine] = self.random.uniform(3, 10)
 
     def rescale(self, by: float) -> None:
+        """Multiply all latencies by a factor."""
         self.scale *= by
 
     def other_tail(self) -> None:
+        """Switch between the light and the heavy tail of the noise."""
         self.heavy = not self.heavy
 
     def step(self) -> None:
-        """A quarter of a second passes."""
-        keep = exp(-WANDER_US / SECOND / WANDERS_OVER)
+        """Advance the load effect of all engines by ``LOAD_STEP_US``."""
+        keep = exp(-LOAD_STEP_US / SECOND / LOAD_CORRELATION_S)
         fresh = self.sigma * sqrt(1 - keep * keep)
-        self.wander = [keep * one + self.random.gauss(0, fresh) for one in self.wander]
+        self.load_effect = [keep * effect + self.random.gauss(0, fresh) for effect in self.load_effect]
 
     def engine(self, group: int) -> int:
-        """Its home mostly, else any."""
+        """Return an engine for a part: with probability 0.8 the group's preferred one, else a random one."""
         engines = self.case.engines
         return group * 7 % engines if self.random.random() < 0.8 else self.random.randrange(engines)
 
     def factor(self, group: int, engine: int) -> float:
+        """Return the latency factor of a group's part on an engine."""
         load = min(self.case.load, 0.95)
         busy = 1 + 0.5 * load * load / (1 - load) / 4 + max(0.0, self.case.load - 0.95) * 6
-        return self.scale * self.groups[group] * self.slowness[engine] * busy * exp(self.wander[engine])
+        return self.scale * self.groups[group] * self.slowness[engine] * busy * exp(self.load_effect[engine])
 
     def noise(self, heavy: bool) -> float:
+        """Draw the noise factor of one part."""
         draw = self.random
         found = exp(draw.gauss(0, 0.35))
         if heavy and draw.random() < 0.1:
@@ -135,102 +149,109 @@
         return found
 
     def common(self) -> float:
-        """Of one query."""
+        """Draw the factor that all parts of a query share."""
         return exp(self.random.gauss(0, QUERY_SIGMA))
 
-    def _truth(self, heavy: bool) -> list[list[float]]:
-        """Curves of a part of factor 1, and of factors by parts of a bucket longer."""
-        kept = self.random
+    def _true_curves(self, heavy: bool) -> list[list[float]]:
+        """Return the survival curves of a part with factor 1, one for each fraction of a bucket."""
+        saved_random = self.random
         self.random = Random(7)
-        drawn = [BASE_US * self.common() * self.noise(heavy) for _ in range(40_000)]
-        self.random = kept
+        latencies_us = [BASE_US * self.common() * self.noise(heavy) for _ in range(40_000)]
+        self.random = saved_random
         curves = []
-        for part in range(FINE):
-            at = [0] * (BUCKETS + 1)
-            for one in drawn:
-                at[min(max(int((log2(one) - 10) * BUCKETS_PER_OCTAVE + part / FINE), 0), BUCKETS)] += 1
-            left = len(drawn)
+        for fraction in range(SUBBUCKETS):
+            counts = [0] * (BUCKETS + 1)
+            for latency_us in latencies_us:
+                counts[
+                    min(
+                        max(int((log2(latency_us) - 10) * BUCKETS_PER_OCTAVE + fraction / SUBBUCKETS), 0),
+                        BUCKETS,
+                    )
+                ] += 1
+            remaining = len(latencies_us)
             hazards = []
-            for n in at[:BUCKETS]:
-                hazards.append(n / left if left else 1.0)
-                left -= n
+            for n in counts[:BUCKETS]:
+                hazards.append(n / remaining if remaining else 1.0)
+                remaining -= n
             curves.append(survival(hazards))
         return curves
 
-    def true(self, group: int, engine: int) -> tuple[list[float], int]:
-        """A part's curve, and by how many buckets it is longer."""
-        fine = round(log2(self.factor(group, engine)) * BUCKETS_PER_OCTAVE * FINE)
-        return self._curves[self.heavy][fine % FINE], fine // FINE
+    def true_curve(self, group: int, engine: int) -> tuple[list[float], int]:
+        """Return the survival curve of a part, and the number of buckets by which to shift it."""
+        position = round(log2(self.factor(group, engine)) * BUCKETS_PER_OCTAVE * SUBBUCKETS)
+        return self._curves[self.heavy][position % SUBBUCKETS], position // SUBBUCKETS
 
 
-class Told(LearnedStoppingRule):
-    """One query's machine with the truth in place of what was learned."""
+class OracleStoppingRule(LearnedStoppingRule):
+    """Stopping rule of one query that uses the true distributions in place of learned ones."""
 
-    edge_stride = 1  # all edges
+    edge_stride = 1  # evaluates the utility at all bucket edges
     world: World
 
     def part_sent(self, now: int, position: int, engine: str, condition: EngineCondition) -> None:
         super().part_sent(now, position, engine, condition)
         world = self.world
-        curve, shift = world.true(self._scattered.groups[position], world.names.index(engine))
+        curve, shift = world.true_curve(self._scattered.groups[position], world.names.index(engine))
         part = self._pending[position]
-        short = max(-MAX_FASTER_SHIFT, min(shift, MAX_SLOWER_SHIFT))
-        more = shift - short  # beyond what a factor has
+        bounded_shift = max(-MAX_FASTER_SHIFT, min(shift, MAX_SLOWER_SHIFT))
+        excess = shift - bounded_shift  # beyond the range that the slowness filter supports
         part.curve = (
             curve
-            if not more
-            else [1.0] * more + curve[:-more]
-            if more > 0
-            else (curve[-more:] + curve[-1:] * -more)
+            if not excess
+            else [1.0] * excess + curve[:-excess]
+            if excess > 0
+            else (curve[-excess:] + curve[-1:] * -excess)
         )
         part.engine = SlownessFilter(now)
-        part.engine.plausible = [(short, 1.0)]
+        part.engine.plausible = [(bounded_shift, 1.0)]
 
     def _record(self, now: int, part: PendingPart, is_complete: bool) -> None:
         pass
 
 
-class Perfect(LearnedStoppingRules):
+class OracleStoppingRules(LearnedStoppingRules):
+    """Stopping rules with perfect knowledge of the distributions."""
+
     def __init__(self, world: World) -> None:
         super().__init__(0)
         self.world = world
 
     def start_query(self, now: int, scattered: ScatteredClass, deadline: int) -> LearnedStoppingRule:
-        known = super().start_query(now, scattered, deadline)
-        moment = Told(self, now, scattered, known._table, _SURE, deadline, False)
-        moment.world = self.world
-        moment.price_factor = 1.0
-        return moment
+        learned_rule = super().start_query(now, scattered, deadline)
+        rule = OracleStoppingRule(self, now, scattered, learned_rule._table, _CERTAIN, deadline, False)
+        rule.world = self.world
+        rule.price_factor = 1.0
+        return rule
 
 
-class _Sure(ClassLatency):
+class _CertainLatency(ClassLatency):
     def effective_sample_size(self) -> float:
         return 1e9
 
 
-_SURE = _Sure(LatencyModel(0), 0)
+_CERTAIN = _CertainLatency(LatencyModel(0), 0)
 
 
-def play_out(moment: LearnedStoppingRule, now: int, engines: Sequence[str], times: Sequence[int]) -> int:
-    """Tell a query's machine all of its ends at their times; returns how long it waited."""
-    for place, engine in enumerate(engines):
-        moment.part_sent(now, place, engine, EngineCondition.USUAL)
-    verdict = moment.evaluate(now)
+def replay_query(rule: LearnedStoppingRule, now: int, engines: Sequence[str], times: Sequence[int]) -> int:
+    """Report the ends of all parts to a query's stopping rule in order; return how long it waited, in us."""
+    for position, engine in enumerate(engines):
+        rule.part_sent(now, position, engine, EngineCondition.USUAL)
+    decision = rule.evaluate(now)
     at = now
-    for took, place in sorted((took, place) for place, took in enumerate(times)):
-        while isinstance(verdict, WaitUntil) and verdict.until < now + took:
-            at = max(at, verdict.until)
-            verdict = moment.evaluate(at)
-        if not isinstance(verdict, WaitUntil):
+    for latency_us, position in sorted((latency_us, position) for position, latency_us in enumerate(times)):
+        while isinstance(decision, WaitUntil) and decision.until < now + latency_us:
+            at = max(at, decision.until)
+            decision = rule.evaluate(at)
+        if not isinstance(decision, WaitUntil):
             break
-        at = now + took
-        verdict = moment.part_ended(at, place, PartOutcome.COMPLETE)
-    moment.finish(at)
+        at = now + latency_us
+        decision = rule.part_ended(at, position, PartOutcome.COMPLETE)
+    rule.finish(at)
     return at - now
 
 
-class Dropping(LatencyModel):
-    """A fault put in on purpose: parts that are given up are not counted, so only the quick ones are."""
+class CompletePartsOnlyModel(LatencyModel):
+    """A deliberately faulty model: it ignores abandoned parts and so counts only the fast ones."""
 
     def record(
         self,
@@ -245,30 +266,33 @@
 
 
 def longer_never(now: int, learned: LatencyModel | None = None) -> LearnedStoppingRules:
-    """No query waits longer than pays."""
-    moments = LearnedStoppingRules(now, learned)
-    moments.explore_every = 0
-    return moments
+    """Return stopping rules that never wait longer than the expected utility justifies."""
+    rules = LearnedStoppingRules(now, learned)
+    rules.explore_every = 0
+    return rules
 
 
 def dropping(now: int) -> LearnedStoppingRules:
-    return longer_never(now, Dropping(now))
+    """Return such stopping rules with the deliberately faulty model."""
+    return longer_never(now, CompletePartsOnlyModel(now))
 
 
 @dataclass(slots=True)
 class Query:
+    """One scattered query: the latencies of its parts, and the utility that the rules achieved."""
+
     at: int
     times: list[int]
     engines: list[int]
-    learned: float = 0.0  # utility
-    perfect: float = 0.0
+    learned: float = 0.0  # utility with learned estimates
+    perfect: float = 0.0  # utility with perfect knowledge
     waited: int = 0
     whole: int = 0
     answered: bool = False
 
 
 class GatherFleet:
-    """Routers of one case. ``make`` may put another learner in."""
+    """Routers and queries of one case. ``make`` builds the stopping rules of a router."""
 
     def __init__(
         self,
@@ -283,13 +307,13 @@
         self.now = 0
         self.scattered, self.table = case.scattered(), utilities(case.curve, case.parts)
         self.routers = [make(0) for _ in range(case.routers)]
-        self.perfect = Perfect(self.world) if judge else None
+        self.perfect = OracleStoppingRules(self.world) if judge else None
         self.random = Random(case.seed + 1000)
         self.log: list[Query] = []
         self._due: list[tuple[int, int, Callable[[], None]]] = []
         self._count = count()
-        self.weather = Random(case.seed + 2000)
-        self.tellers = (
+        self.network_random = Random(case.seed + 2000)
+        self.gossips = (
             [
                 EstimateGossip(me, case.routers, ["report"], router.model, 0)
                 for me, router in enumerate(self.routers)
@@ -298,15 +322,17 @@
             else []
         )
         self.bytes = 0
-        for me, teller in enumerate(self.tellers):
-            self.at(teller.next_tick(), partial(self._tick, me))
-        self.at(0, self._wander)
-        self.at(0, self._come)
+        for me, gossip in enumerate(self.gossips):
+            self.at(gossip.next_tick(), partial(self._tick, me))
+        self.at(0, self._step_load)
+        self.at(0, self._start_query)
 
     def at(self, when: int, action: Callable[[], None]) -> None:
+        """Schedule an action."""
         heapq.heappush(self._due, (when, next(self._count), action))
 
     def run(self, seconds: float) -> None:
+        """Run the simulation for some seconds."""
         until = self.now + int(seconds * SECOND)
         while self._due and self._due[0][0] <= until:
             self.now, _, action = heapq.heappop(self._due)
@@ -314,26 +340,29 @@
         self.now = until
 
     def _tick(self, me: int) -> None:
-        self._send(me, self.tellers[me].tick(self.now))
-        self.at(max(self.now + 1, self.tellers[me].next_tick()), partial(self._tick, me))
+        self._send(me, self.gossips[me].tick(self.now))
+        self.at(max(self.now + 1, self.gossips[me].next_tick()), partial(self._tick, me))
 
     def _send(self, me: int, sent: Sequence[Send]) -> None:
-        """One in twenty is lost, and one comes twice."""
+        """Send messages; 5 % of them are lost and 5 % are duplicated."""
         for to, body in sent:
             self.bytes += len(body)
-            for _ in range(self.weather.choices((0, 1, 2), (0.05, 0.9, 0.05))[0]):
-                self.at(self.now + self.weather.randrange(200, 30_000), partial(self._hear, to, me, body))
+            for _ in range(self.network_random.choices((0, 1, 2), (0.05, 0.9, 0.05))[0]):
+                self.at(
+                    self.now + self.network_random.randrange(200, 30_000),
+                    partial(self._receive, to, me, body),
+                )
 
-    def _hear(self, to: int, sender: int, body: bytes) -> None:
-        self._send(to, self.tellers[to].receive(self.now, sender, 1, body))
+    def _receive(self, to: int, sender: int, body: bytes) -> None:
+        self._send(to, self.gossips[to].receive(self.now, sender, 1, body))
 
-    def _wander(self) -> None:
+    def _step_load(self) -> None:
         self.world.step()
-        self.at(self.now + WANDER_US, self._wander)
+        self.at(self.now + LOAD_STEP_US, self._step_load)
 
-    def _come(self) -> None:
+    def _start_query(self) -> None:
         world = self.world
-        self.at(self.now + int(self.random.expovariate(self.case.rate) * SECOND) + 1, self._come)
+        self.at(self.now + int(self.random.expovariate(self.case.rate) * SECOND) + 1, self._start_query)
         common = world.common()
         engines = [world.engine(group) for group in range(self.case.parts)]
         times = [
@@ -344,68 +373,72 @@
         self.log.append(query)
         names = [world.names[engine] for engine in engines]
         if self.perfect:
-            waited = play_out(
+            waited = replay_query(
                 self.perfect.start_query(self.now, self.scattered, self.now + 10 * SECOND),
                 self.now,
                 names,
                 times,
             )
             query.perfect = self.utility(times, waited)
-        _Played(self, self.routers[self.random.randrange(self.case.routers)], query, names)
+        _RunningQuery(self, self.routers[self.random.randrange(self.case.routers)], query, names)
 
     def utility(self, times: Sequence[int], waited: int) -> float:
-        return self.table[sum(took <= waited for took in times)] - self.case.price * waited / SECOND
+        """Return the utility of answering a query after ``waited`` us."""
+        return (
+            self.table[sum(latency_us <= waited for latency_us in times)] - self.case.price * waited / SECOND
+        )
 
     def worth(self, since: int, until: int, way: Callable[[Query], float]) -> float:
-        """Mean utility of the queries that came then."""
-        found = [way(query) for query in self.log if since <= query.at < until]
-        return sum(found) / max(1, len(found))
+        """Return the mean utility of the queries that arrived in a time span."""
+        values = [way(query) for query in self.log if since <= query.at < until]
+        return sum(values) / max(1, len(values))
 
     def fixed(self, deadline: int) -> Callable[[Query], float]:
-        """All parts, or those that are there by then."""
+        """Return a function: the utility of a query that waits for all parts, at most until a deadline."""
         return lambda query: self.utility(query.times, min(deadline, LATEST_US, max(query.times)))
 
     def quantile(self, share: float = QUANTILE) -> Callable[[Query], float]:
-        place = max(0, round(share * self.case.parts) - 1)
-        return lambda query: self.utility(query.times, min(LATEST_US, sorted(query.times)[place]))
+        """Return a function: the utility of a query that waits for a fixed share of its parts."""
+        position = max(0, round(share * self.case.parts) - 1)
+        return lambda query: self.utility(query.times, min(LATEST_US, sorted(query.times)[position]))
 
 
-class _Played:
-    """A query at a router, in the fleet's time."""
+class _RunningQuery:
+    """A query that runs at a router in simulated time."""
 
     def __init__(
         self, fleet: GatherFleet, router: LearnedStoppingRules, query: Query, engines: Sequence[str]
     ) -> None:
         self.fleet = fleet
         self.query = query
-        self.over = False
+        self.is_finished = False
         now = query.at
-        self.moment = router.start_query(now, fleet.scattered, now + 10 * SECOND)
-        for place, engine in enumerate(engines):
-            self.moment.part_sent(now, place, engine, EngineCondition.USUAL)
-            if query.times[place] <= LATEST_US:
-                fleet.at(now + query.times[place], partial(self._ended, place))
+        self.rule = router.start_query(now, fleet.scattered, now + 10 * SECOND)
+        for position, engine in enumerate(engines):
+            self.rule.part_sent(now, position, engine, EngineCondition.USUAL)
+            if query.times[position] <= LATEST_US:
+                fleet.at(now + query.times[position], partial(self._part_ended, position))
         self.until = now
-        self._follow(self.moment.evaluate(now))
+        self._apply(self.rule.evaluate(now))
 
-    def _ended(self, place: int) -> None:
-        if not self.over:
-            self._follow(self.moment.part_ended(self.fleet.now, place, PartOutcome.COMPLETE))
+    def _part_ended(self, position: int) -> None:
+        if not self.is_finished:
+            self._apply(self.rule.part_ended(self.fleet.now, position, PartOutcome.COMPLETE))
 
-    def _look(self, until: int) -> None:
-        if not self.over and until == self.until:
-            self._follow(self.moment.evaluate(self.fleet.now))
+    def _reevaluate(self, until: int) -> None:
+        if not self.is_finished and until == self.until:
+            self._apply(self.rule.evaluate(self.fleet.now))
 
-    def _follow(self, verdict: StoppingDecision) -> None:
+    def _apply(self, decision: StoppingDecision) -> None:
         fleet = self.fleet
         query = self.query
-        if isinstance(verdict, WaitUntil):
-            if verdict.until != self.until:
-                self.until = verdict.until
-                fleet.at(self.until, partial(self._look, self.until))
+        if isinstance(decision, WaitUntil):
+            if decision.until != self.until:
+                self.until = decision.until
+                fleet.at(self.until, partial(self._reevaluate, self.until))
             return
-        self.over = True
+        self.is_finished = True
         query.waited = fleet.now - query.at
-        query.whole, query.answered = self.moment.complete_count, isinstance(verdict, AnswerNow)
+        query.whole, query.answered = self.rule.complete_count, isinstance(decision, AnswerNow)
         query.learned = fleet.table[query.whole] * query.answered - fleet.case.price * query.waited / SECOND
-        self.moment.finish(fleet.now)
+        self.rule.finish(fleet.now)
--- a/slipbay/emulator/restart_model.py
+++ b/slipbay/emulator/restart_model.py
@@ -1,5 +1,8 @@
-"""A tier whose routers are killed and come back: the real decisions, the real machine of coming back and the
-channel's budget, with connections to engines and clients that return when they were told to."""
+"""A fleet whose routers are killed and restarted, in simulated time.
+
+It runs the real decisions, the real warm-up and the real peer-channel budget. Connections to engines are
+modeled, and clients retry after the delay that a rejection gives.
+"""
 
 from __future__ import annotations
 
@@ -19,42 +22,46 @@
 from slipbay.warmup.service import LIMIT_UPDATE_US
 from slipbay.warmup.state_machine import WarmupStateMachine
 
-TENTH = SECOND // 10
-SNAPSHOT_US = 5 * SECOND  # how old the last snapshot is at a death, at the most
-RETURNS = 2  # times that a client comes again after a refusal
+INTERVAL_US = SECOND // 10
+SNAPSHOT_US = 5 * SECOND  # maximum age of the last snapshot when a router is killed
+MAX_RETRIES = 2  # retries of a client after rejections
 GROUPS = 12
-PARTS: dict[int, float] = {FrameKind.DECISIONS: 0.2, FrameKind.COMEBACK: 0.1}
+CHANNEL_SHARES: dict[int, float] = {FrameKind.DECISIONS: 0.2, FrameKind.COMEBACK: 0.1}
 
 
 @dataclass
 class Seen:
-    """What clients and engines saw, by tenths of a second; a request counts where it first came."""
+    """Counts of what clients and engines observed, by intervals of 100 ms.
+
+    A request counts in the interval in which its client first sent it.
+    """
 
     asked: Counter[int] = field(default_factory=Counter)
     good: Counter[int] = field(default_factory=Counter)
     sends: Counter[int] = field(default_factory=Counter)
     connects: Counter[int] = field(default_factory=Counter)
     calls: Counter[int] = field(default_factory=Counter)
-    threads: Counter[int] = field(default_factory=Counter)  # most on one engine
-    full: list[int] = field(default_factory=list)  # us that lives took to full service, as they told
-    bytes: Counter[int] = field(default_factory=Counter)  # of the channel, by router
-    news: list[int] = field(default_factory=list)  # us since what others told was said, when it came to use
-    stale: int = 0  # of those, older than the machine counted, or than any field may be
+    threads: Counter[int] = field(default_factory=Counter)  # maximum on one engine
+    warmup_us: list[int] = field(default_factory=list)  # time of incarnations until full service
+    bytes: Counter[int] = field(default_factory=Counter)  # bytes sent over the peer channel, by router
+    news: list[int] = field(default_factory=list)  # ages in us of peer estimates when they were adopted
+    stale: int = 0  # number of them above the age that the collector assumed or the maximum age of all fields
 
     def part(self, since: int, until: int) -> float:
-        """Of what was asked, served in time, without what found no router."""
-        span = range(since // TENTH, until // TENTH)
+        """Return the fraction of the received requests that were served in time."""
+        span = range(since // INTERVAL_US, until // INTERVAL_US)
         return sum(self.good[n] for n in span) / max(1, sum(self.asked[n] for n in span))
 
     def full_after(self, ready: int, end: int, least: float) -> float | None:
-        """Seconds from ``ready`` until a second begins in which the part reaches ``least``."""
-        for at in range(ready, end - SECOND, TENTH):
+        """Return the seconds from ``ready`` until a second starts whose served fraction reaches ``least``."""
+        for at in range(ready, end - SECOND, INTERVAL_US):
             if self.part(at, at + SECOND) >= least:
                 return (at - ready) / SECOND
         return None
 
     def peaks(self, since: int, until: int) -> dict[str, int]:
-        span = range(since // TENTH, until // TENTH)
+        """Return the maximum of each count over the intervals of a time span."""
+        span = range(since // INTERVAL_US, until // INTERVAL_US)
         return {
             name: max((counts[n] for n in span), default=0)
             for name, counts in (
@@ -68,18 +75,22 @@
 
 @dataclass
 class RouterIncarnation:
-    """One life of a router, beside its decisions."""
+    """State of one incarnation of a router besides its decisions."""
 
     machine: WarmupStateMachine | None
     mux: Multiplexer | None
-    idle: Counter[bytes] = field(default_factory=Counter)  # connections by engine
-    open: dict[int, int] = field(default_factory=dict)  # threads of requests that were let in
+    idle: Counter[bytes] = field(default_factory=Counter)  # idle connections by engine
+    open: dict[int, int] = field(default_factory=dict)  # threads of the admitted requests, by request
     due: int = 0
 
 
 class RestartModel(FleetModel):
-    """``plan`` None: today's program. ``perfect``: new lives know what the old ones learned, and all routers
-    what runs on every engine at any moment."""
+    """Routers that are restarted under load.
+
+    Without a ``plan``, routers restart without warm-up. With ``perfect``, a new incarnation has all
+    estimates of the one before it, and all routers have the current number of threads on each engine. With
+    ``disks``, a new incarnation reads a snapshot.
+    """
 
     def __init__(
         self,
@@ -97,24 +108,25 @@
         self.plan = plan
         self.perfect = perfect
         self.seen = Seen()
-        self.life: list[RouterIncarnation | None] = [None] * routers
-        self.first: dict[int, int] = {}  # a request that is a return: the one that its client first sent
-        self.owner: dict[int, int] = {}  # request: its router
-        self.tries: Counter[int] = Counter()
-        self.learned: dict[int, EstimatesRestored] = {}
-        self.died: dict[int, int] = {}
-        # when who first told news to which life
-        self.asker = 0
-        self.said = dict[tuple[int, int, int], int]()
-        self.charged: dict[
+        self.current_incarnations: list[RouterIncarnation | None] = [None] * routers
+        self.original_request: dict[int, int] = {}  # retried request: the request that its client first sent
+        self.router_of: dict[int, int] = {}  # request: the router that received it
+        self.retries: Counter[int] = Counter()
+        self.saved_estimates: dict[int, EstimatesRestored] = {}
+        self.killed_us: dict[int, int] = {}
+        self.requesting_router = 0  # router whose message is being processed
+        # by sender, receiver and the receiver's incarnation: time of the first report of estimates
+        self.first_reported_us = dict[tuple[int, int, int], int]()
+        self.saved_charges: dict[
             int, tuple[int | None, dict[bytes, SlidingWindow]]
-        ] = {}  # an old life's start, and sends
+        ] = {}  # start of the previous incarnation and its sends by engine
         super().__init__(routers, engines, mix, seed=seed, loss=loss)
         self.traffic = Random(seed)
 
-    # Lives
+    # Incarnations
 
     def start(self, me: int) -> None:
+        """Start a new incarnation of a router, with a warm-up if there is a plan."""
         number = self.lives[me] + 1
         seed = self.random.randrange(2**60)
         machine = mux = None
@@ -124,44 +136,46 @@
                 len(self.routers),
                 seed,
                 self.now,
-                lambda now: self._knows(me, now),
+                lambda now: self._report_estimates(me, now),
                 self.plan,
                 self.settings.free_retries or 0.0,
             )
             machine.set_engine_count(len(self.entries))
-            machine.on_phase_change = lambda phase, evidence: self._changed(me, phase)
-            machine.collector.on_estimates = lambda merged: self._inherit(me, merged)
-            mux = Multiplexer(me, len(self.routers), seed, self.now, parts=PARTS)
+            machine.on_phase_change = lambda phase, evidence: self._on_phase_change(me, phase)
+            machine.collector.on_estimates = lambda merged: self._adopt_estimates(me, merged)
+            mux = Multiplexer(me, len(self.routers), seed, self.now, parts=CHANNEL_SHARES)
             mux.add(FrameKind.COMEBACK, machine)
-        self.life[me] = RouterIncarnation(machine, mux)
+        self.current_incarnations[me] = RouterIncarnation(machine, mux)
         super().start(me)
         if machine is not None:
-            self._allow(me, number)
-            if self.disks and me in self.learned:
+            self._update_connection_limits(me, number)
+            if self.disks and me in self.saved_estimates:
                 machine.restore_snapshot(
-                    self.now, PeerReport(self.learned[me], 0, self.now - self.died[me] + SNAPSHOT_US)
+                    self.now,
+                    PeerReport(self.saved_estimates[me], 0, self.now - self.killed_us[me] + SNAPSHOT_US),
                 )
         slot = machine.limits.list_slot() if machine is not None else 0
-        self.seen.calls[(self.now + slot) // TENTH] += 1
-        if self.perfect and me in self.learned:
-            self._recall(me)
+        self.seen.calls[(self.now + slot) // INTERVAL_US] += 1
+        if self.perfect and me in self.saved_estimates:
+            self._restore_all_estimates(me)
         if mux is not None:
             self._tick(me, number)
 
     def kill(self, me: int) -> None:
+        """Kill a router and keep its estimates for the next incarnation."""
         router = self.routers[me]
         if router is not None:
-            self.learned[me] = router.estimates(self.now, GROUPS)
-            self.died[me] = self.now
-            self.charged[me] = (
+            self.saved_estimates[me] = router.estimates(self.now, GROUPS)
+            self.killed_us[me] = self.now
+            self.saved_charges[me] = (
                 router.uptime.started_us,
                 {name: e.charges for name, e in router.engines.by_id.items()},
             )
         super().kill(me)
-        self.life[me] = None
+        self.current_incarnations[me] = None
 
     def restart(self, numbers: Iterable[int], after_us: int, spread_us: int) -> None:
-        """Kill routers now; each starts ``after_us`` later, and up to ``spread_us`` beyond by chance."""
+        """Kill routers now; each restarts after ``after_us`` and a random delay of up to ``spread_us``."""
         chosen = list(numbers)
         for me in chosen:
             self.kill(me)
@@ -172,118 +186,125 @@
             )
 
     def renew(self, names: Iterable[bytes]) -> None:
-        """Another process behind each: what ran there is lost, it is cold, and all living are told."""
+        """Replace the process of each engine by a cold one.
+
+        Its attempts fail, and all running routers are notified.
+        """
         for name in names:
             old = self.engines[name]
             new = EngineModel(self.cores, self.now, self.rule)
-            # what is due for the old one is void
+            # invalidates the events that are scheduled for the old process
             new.count = old.count
             new.wanted = old.wanted + 1
             self.engines[name] = new
             self.entries[name] = replace(self.entries[name], ready_at_us=self.now)
             self._list(self.entries[name])
-            for (me, query, attempt), (where, _) in list(self.out.items()):
-                if where == name:
+            for (me, query, attempt), (engine, _) in list(self.out.items()):
+                if engine == name:
                     self._end(me, query, attempt, Outcome.RESET)
 
-    def _recall(self, me: int) -> None:
-        """A new life knows all that its old one did."""
-        self._tell(me, self.learned[me])
-        router, (started, charges) = self.routers[me], self.charged[me]
+    def _restore_all_estimates(self, me: int) -> None:
+        """Give a new incarnation all estimates of the one before it."""
+        self._tell(me, self.saved_estimates[me])
+        router, (started, charges) = self.routers[me], self.saved_charges[me]
         assert router is not None
         router.uptime.started_us = started
         for name, e in router.engines.by_id.items():
             e.charges = charges.get(name, e.charges)
 
-    def _knows(self, me: int, now: int) -> tuple[EstimatesRestored, int]:
+    def _report_estimates(self, me: int, now: int) -> tuple[EstimatesRestored, int]:
         router = self.routers[me]
         assert router is not None
-        self.said.setdefault((me, self.asker, self.lives[self.asker]), now)
+        self.first_reported_us.setdefault(
+            (me, self.requesting_router, self.lives[self.requesting_router]), now
+        )
         return router.estimates(now, GROUPS), sum(
             at > now - self.settings.retry_window_us for at, _ in router.retry_budget().retries
         )
 
-    def _inherit(self, me: int, merged: MergedEstimates) -> None:
-        mine = self.life[me]
-        assert mine is not None and mine.machine is not None
-        for teller in mine.machine.collector.sources:
-            age = self.now - self.said[teller, me, self.lives[me]]
+    def _adopt_estimates(self, me: int, merged: MergedEstimates) -> None:
+        current = self.current_incarnations[me]
+        assert current is not None and current.machine is not None
+        for source in current.machine.collector.sources:
+            age = self.now - self.first_reported_us[source, me, self.lives[me]]
             self.seen.news.append(age)
-            self.seen.stale += age > mine.machine.collector.oldest_report_us or age > max(
-                astuple(mine.machine.plan.ages)
+            self.seen.stale += age > current.machine.collector.oldest_report_us or age > max(
+                astuple(current.machine.plan.ages)
             )
         self._tell(me, merged.estimates)
         if merged.retries:
             self._tell(me, RetryBudgetRestored((), ((self.now, float(merged.retries)),)))
 
-    def _changed(self, me: int, phase: Phase) -> None:
-        mine = self.life[me]
-        if phase is Phase.FULL and mine is not None and mine.machine is not None:
-            self.seen.full.append(self.now - mine.machine.started)
+    def _on_phase_change(self, me: int, phase: Phase) -> None:
+        current = self.current_incarnations[me]
+        if phase is Phase.FULL and current is not None and current.machine is not None:
+            self.seen.warmup_us.append(self.now - current.machine.started)
 
-    # The channel
+    # Peer channel
 
-    def _tick(self, me: int, life: int) -> None:
-        mine = self.life[me]
-        if mine is None or mine.mux is None or life != self.lives[me]:
+    def _tick(self, me: int, incarnation: int) -> None:
+        current = self.current_incarnations[me]
+        if current is None or current.mux is None or incarnation != self.lives[me]:
             return
-        self._carry(me, mine.mux.tick(self.now))
-        self._arm(me)
-
-    def _arm(self, me: int) -> None:
-        mine = self.life[me]
-        assert mine is not None and mine.mux is not None
-        due = mine.mux.next_tick()
-        if due is not None and due != mine.due:
-            mine.due = due
-            life = self.lives[me]
-            self.agenda.at(max(due, self.now + 1_000), lambda: self._tick(me, life))
-
-    def _carry(self, me: int, sends: list[Send]) -> None:
+        self._transmit(me, current.mux.tick(self.now))
+        self._schedule_tick(me)
+
+    def _schedule_tick(self, me: int) -> None:
+        current = self.current_incarnations[me]
+        assert current is not None and current.mux is not None
+        due = current.mux.next_tick()
+        if due is not None and due != current.due:
+            current.due = due
+            incarnation = self.lives[me]
+            self.agenda.at(max(due, self.now + 1_000), lambda: self._tick(me, incarnation))
+
+    def _transmit(self, me: int, sends: list[Send]) -> None:
         for to, data in sends:
             self.seen.bytes[me] += len(data)
             if self.random.random() >= self.loss:
                 self.agenda.at(
                     self.now + self.random.randrange(2_000, 25_000),
-                    lambda to=to, data=data: self._take(me, to, data),  # type: ignore[misc]
+                    lambda to=to, data=data: self._receive(me, to, data),  # type: ignore[misc]
                 )
 
-    def _take(self, sender: int, me: int, data: bytes) -> None:
-        mine = self.life[me]
-        if mine is not None and mine.mux is not None:
-            self.asker = sender
-            self._carry(me, mine.mux.receive(self.now, data, sender))
-            self._arm(me)
-
-    def _allow(self, me: int, life: int) -> None:
-        """Tell the decisions what they may open."""
-        mine = self.life[me]
-        if mine is not None and mine.machine is not None and life == self.lives[me]:
-            told = mine.machine.limits.connection_limits(self.now)
-            self._tell(me, told)
-            if told.limit_connections:
-                self.agenda.at(self.now + LIMIT_UPDATE_US, lambda: self._allow(me, life))
+    def _receive(self, sender: int, me: int, data: bytes) -> None:
+        current = self.current_incarnations[me]
+        if current is not None and current.mux is not None:
+            self.requesting_router = sender
+            self._transmit(me, current.mux.receive(self.now, data, sender))
+            self._schedule_tick(me)
+
+    def _update_connection_limits(self, me: int, incarnation: int) -> None:
+        """Send the decisions their current connection limits."""
+        current = self.current_incarnations[me]
+        if current is not None and current.machine is not None and incarnation == self.lives[me]:
+            new_limits = current.machine.limits.connection_limits(self.now)
+            self._tell(me, new_limits)
+            if new_limits.limit_connections:
+                self.agenda.at(
+                    self.now + LIMIT_UPDATE_US, lambda: self._update_connection_limits(me, incarnation)
+                )
 
     # Requests
 
     def ask(self, kind: int) -> None:
-        """A client asks; one that finds no router at all is none of ours."""
+        """Send a client request; without a running router it is not counted."""
         if any(router is not None for router in self.routers):
             super().ask(kind)
 
     def _tell(self, me: int, event: Event) -> None:
         if isinstance(event, QueryArrived):
-            self.owner[event.query] = me
-            self.seen.asked[self.now // TENTH] += event.query not in self.first
-            wait = self._gate(me, event)
+            self.router_of[event.query] = me
+            self.seen.asked[self.now // INTERVAL_US] += event.query not in self.original_request
+            wait = self._retry_delay(me, event)
             if wait is not None:
-                self._return(event.query, wait)
+                self._schedule_retry(event.query, wait)
                 return
         if self.perfect:
-            self._reveal(me)
+            self._set_actual_threads(me)
         super()._tell(me, event)
 
-    def _reveal(self, me: int) -> None:
+    def _set_actual_threads(self, me: int) -> None:
         router = self.routers[me]
         if router is not None:
             router.gossip.sums_at_us = self.now
@@ -291,72 +312,72 @@
                 e.peer_threads = max(0, self.engines[name].threads - e.threads)
                 e.threads_at_report = e.threads
 
-    def _gate(self, me: int, event: QueryArrived) -> int | None:
-        mine = self.life[me]
-        if mine is None or mine.machine is None or mine.machine.phase is Phase.FULL:
+    def _retry_delay(self, me: int, event: QueryArrived) -> int | None:
+        current = self.current_incarnations[me]
+        if current is None or current.machine is None or current.machine.phase is Phase.FULL:
             return None
-        machine = mine.machine
-        wanted = self.mix[event.service_class].spec.threads
+        machine = current.machine
+        required_threads = self.mix[event.service_class].spec.threads
         cores = float(len(self.engines) * self.cores)
-        if sum(mine.open.values()) + wanted > machine.limits.threads(self.now, cores):
+        if sum(current.open.values()) + required_threads > machine.limits.threads(self.now, cores):
             wait = machine.limits.retry_after(
                 self.now, self.mix[event.service_class].spec.latency_objective_us
             )
             if wait is not None:
                 return min(wait, self.settings.max_retry_after_us)
-        mine.open[event.query] = wanted
+        current.open[event.query] = required_threads
         return None
 
     def _refused(self, query: int) -> None:
-        mine = self.life[self.owner[query]]
-        if mine is not None:
-            mine.open.pop(query, None)
-        self._return(query, self.settings.max_retry_after_us // 2)
+        current = self.current_incarnations[self.router_of[query]]
+        if current is not None:
+            current.open.pop(query, None)
+        self._schedule_retry(query, self.settings.max_retry_after_us // 2)
 
-    def _return(self, query: int, wait: int) -> None:
-        """Its client comes again, at any router, as a request of its own."""
+    def _schedule_retry(self, query: int, wait: int) -> None:
+        """Have the client retry after ``wait`` us at any router, as a new request."""
         kind, work, since = self.asked[query]
-        first = self.first.get(query, query)
-        self.tries[first] += 1
-        if self.tries[first] > RETURNS:
+        original_request = self.original_request.get(query, query)
+        self.retries[original_request] += 1
+        if self.retries[original_request] > MAX_RETRIES:
             super()._refused(query)
             return
-        again = len(self.asked) + 1
-        self.asked[again], self.first[again] = (kind, work, since), first
-        self.agenda.at(self.now + wait, lambda: self._again(again))
+        retry = len(self.asked) + 1
+        self.asked[retry], self.original_request[retry] = (kind, work, since), original_request
+        self.agenda.at(self.now + wait, lambda: self._retry(retry))
 
-    def _again(self, query: int) -> None:
-        living = [me for me, router in enumerate(self.routers) if router is not None]
+    def _retry(self, query: int) -> None:
+        running = [me for me, router in enumerate(self.routers) if router is not None]
         kind, work, _ = self.asked[query]
-        if living:
+        if running:
             self._tell(
-                self.random.choice(living),
+                self.random.choice(running),
                 QueryArrived(
                     query, kind, self.mix[kind].spec.deadline_us, int(work), group=float(query % 17)
                 ),
             )
 
     def _end(self, me: int, query: int, attempt: int, outcome: Outcome) -> None:
-        found = self.out.get((me, query, attempt))
-        before = sum(self.account.good.values())
-        mine = self.life[me]
-        if found is not None and mine is not None:
-            mine.idle[found[0]] += 1
+        engine_and_number = self.out.get((me, query, attempt))
+        good_before = sum(self.account.good.values())
+        current = self.current_incarnations[me]
+        if engine_and_number is not None and current is not None:
+            current.idle[engine_and_number[0]] += 1
             if outcome is Outcome.OK:
-                mine.open.pop(query, None)
+                current.open.pop(query, None)
         super()._end(me, query, attempt, outcome)
-        self.seen.good[self.asked[query][2] // TENTH] += sum(self.account.good.values()) - before
+        self.seen.good[self.asked[query][2] // INTERVAL_US] += sum(self.account.good.values()) - good_before
 
     # Connections
 
     def _dispatch(self, me: int, query: int, name: bytes) -> None:
-        mine = self.life[me]
-        assert mine is not None
-        if mine.idle[name]:
-            mine.idle[name] -= 1
+        current = self.current_incarnations[me]
+        assert current is not None
+        if current.idle[name]:
+            current.idle[name] -= 1
         else:
-            self.seen.connects[self.now // TENTH] += 1
-        self.seen.sends[self.now // TENTH] += 1
+            self.seen.connects[self.now // INTERVAL_US] += 1
+        self.seen.sends[self.now // INTERVAL_US] += 1
         super()._dispatch(me, query, name)
         threads = self.engines[name].threads
-        self.seen.threads[self.now // TENTH] = max(self.seen.threads[self.now // TENTH], threads)
+        self.seen.threads[self.now // INTERVAL_US] = max(self.seen.threads[self.now // INTERVAL_US], threads)
