--- a/slipbay/cli/store.py
+++ b/slipbay/cli/store.py
@@ -27,11 +27,11 @@
 def _survey(directory: Path) -> Any:
     try:
         from slipbay.store.disk import Folder
-        from slipbay.store.inspect import survey
+        from slipbay.store.inspect import inspect_store
     except ImportError as problem:
         fail(f"this needs the extra packages of slipbay[store]: {problem}")
     try:
-        return survey(Folder(directory, writable=False))
+        return inspect_store(Folder(directory, writable=False))
     except OSError as problem:
         fail(f"{problem.filename}: {problem.strerror}")
 
@@ -65,8 +65,8 @@
     click.echo(f"state      {found.problem or ('torn end' if found.torn_bytes else 'sound')}")
     click.echo(f"segments   {len(found.segments)}, {sum(size for _, size in sizes)} bytes")
     for segment, size in sizes:
-        kind = "compacted" if segment.compacted else "log" if segment.end else "log, written to"
-        click.echo(f"  {segment.name}  {size:>12} bytes  after change {segment.base}  {kind}")
+        kind = "compacted" if segment.compacted else "log" if segment.valid_bytes else "log, written to"
+        click.echo(f"  {segment.name}  {size:>12} bytes  after change {segment.base_sequence}  {kind}")
     _show_generation(found)
     click.echo(f"changes    {found.sequence}")
     click.echo(f"records    {len(found.records)}")
--- a/slipbay/emulator/quota.py
+++ b/slipbay/emulator/quota.py
@@ -143,7 +143,7 @@
         mux = self.routers.muxes[me]
         assert mux is not None
         machine.budget.channel_room = lambda now: mux.room(now, FrameKind.QUOTA)
-        mux.unsent[FrameKind.QUOTA] = machine.unsent
+        mux.unsent[FrameKind.QUOTA] = machine.handle_unsent
         for kind in (FrameKind.COMEBACK, FrameKind.LIVES) if self.news else ():
             mux.budget.hold(kind, CHANNEL_SHARES[kind])
         return {FrameKind.QUOTA: machine}
@@ -164,7 +164,7 @@
         self.plans[me] = plan
         machine = self.machine(me)
         if machine is not None:
-            machine.follow_plan(self.routers.clock(me), plan)
+            machine.apply_plan(self.routers.clock(me), plan)
 
     def end(self, numbers: Iterable[int], linger_us: int) -> None:
         """Start the shutdown of routers as on SIGTERM.
@@ -175,7 +175,7 @@
             machine = self.machine(me)
             now = self.routers.clock(me)
             if machine is not None:
-                machine.end(now + linger_us)
+                machine.start_shutdown(now + linger_us)
 
     def _send_other_kinds(self) -> None:
         """Send the messages of the other frame kinds."""
@@ -209,9 +209,9 @@
             return
         account = machine.accounts.get(key_of(name))
         if account is not None:
-            is_admitted = account.wait(self.routers.clock(me), None) == 0
+            is_admitted = account.admission_delay_us(self.routers.clock(me), None) == 0
             if is_admitted:
-                account.take(None)
+                account.record_admission(None)
                 account.open -= 1
             self.asked[name].log.append((self.now, me, is_admitted))
 
--- a/slipbay/scatter_gather/scatterer.py
+++ b/slipbay/scatter_gather/scatterer.py
@@ -16,7 +16,7 @@
 from slipbay.core.model import Answer, Attempt, Failed, Rejected, Request, ScatteredParts, Served
 from slipbay.core.timers import Timers
 from slipbay.log import log
-from slipbay.policy.admission import LEARNING_PERIOD
+from slipbay.policy.admission import LEARNING_PERIOD_US
 from slipbay.policy.events import EngineId, Outcome
 from slipbay.scatter_gather.config_schema import ScatterGatherPlan
 from slipbay.scatter_gather.interfaces import (
@@ -78,7 +78,7 @@
             declared.service_class: Counter() for declared in plan.scattered
         }
         self.retry_after_us = core.settings.max_retry_after_us // 2
-        self._learning_until_us = core.clock.now() + LEARNING_PERIOD
+        self._learning_until_us = core.clock.now() + LEARNING_PERIOD_US
 
     # Called by the frontend
 
--- a/tests/test_scatter.py
+++ b/tests/test_scatter.py
@@ -234,7 +234,7 @@
     host.act()
     if isinstance(decision, AnswerNow | Abort) and not host.answers:
         host.scatterer.open[next(iter(host.scatterer.open))].apply(decision, host.loop.us)
-    host.check_final(Failed(f"{complete} of 4 parts came in time, which is too few", late=True))
+    host.check_final(Failed(f"{complete} of 4 parts came in time, which is too few", deadline_passed=True))
 
 
 def test_a_rule_is_evaluated_at_its_time_and_the_query_ends_at_the_latest_time() -> None:
@@ -338,7 +338,7 @@
     machine = BorrowingStateMachine(0, 1, plan, Random(1), 0)
     now = 60 * SECOND
     for account in machine.accounts.values():
-        account.settle(now)
+        account.advance(now)
         account.bucket.tokens = 9.0
     spec = ScatteredClass(
         **{**{name: getattr(SPEC, name) for name in SPEC.__slots__}, "is_charged_once": is_charged_once}
@@ -671,7 +671,7 @@
     if fault == "forgets":  # a part that ends by another part's action is dropped within the turn
         monkeypatch.setattr(
             Dispatcher,
-            "_applying_actions",
+            "_is_applying_actions",
             property(lambda core: False, lambda core, value: None),
             raising=False,
         )
