--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -1,4 +1,4 @@
-"""How fast the view of a fleet follows, in simulated time: ``python benchmarks/fleet_view.py``.
+"""How fast membership views follow changes, in simulated time: ``python benchmarks/fleet_view.py``.
 
 ``--plots DIR`` draws the figures as PNG, with matplotlib (``slipbay[plots]``).
 """
@@ -22,30 +22,30 @@
 
 @dataclass
 class Row:
-    """What was seen with so many routers at one rate of loss. Times in s."""
+    """Measurements with one number of routers at one loss rate. Times are in s."""
 
     size: int
     loss: float
-    found: list[float]  # from a kill until each other held it gone
-    rest: float  # bytes a second and router before
-    wrong: int  # suspicions of living routers before
+    detection_s: list[float]  # from a kill until each other router has detected it
+    rest: float  # bytes per second and router before the kills
+    wrong: int  # suspicions of running routers before the kills
     cpu: float
-    settled: dict[str, float]  # until all views were equal again
+    settled: dict[str, float]  # time until all views were correct again, by event
 
     def __str__(self) -> str:
         events = ", ".join(f"{what} {seconds:.1f}" for what, seconds in self.settled.items())
-        half = quantile(self.found, 0.5)
-        most = quantile(self.found, 0.99)
+        median = quantile(self.detection_s, 0.5)
+        p99 = quantile(self.detection_s, 0.99)
         return (
-            f"{self.size:5} routers, loss {self.loss:.0%}: held gone p50 {half:.2f} p99 {most:.2f} "
-            f"most {self.found[-1]:.2f} s; at rest {self.rest:.0f} bytes/s a router, "
+            f"{self.size:5} routers, loss {self.loss:.0%}: held gone p50 {median:.2f} p99 {p99:.2f} "
+            f"most {self.detection_s[-1]:.2f} s; at rest {self.rest:.0f} bytes/s a router, "
             f"{self.wrong} wrong suspicions; {self.cpu:.1f} s of CPU"
             + (f"; views equal after {events} s" if events else "")
         )
 
 
 def detection(fleet: MembershipModel, victim: int) -> list[float]:
-    """Seconds until each other router holds a killed one gone, in order."""
+    """Kill a router; return the seconds until each other router detects it, in increasing order."""
     fleet.kill([victim])
     start = fleet.now
     held = dict[int, float]()
@@ -57,18 +57,22 @@
     return sorted(held.values())
 
 
-def quantile(values: list[float], part: float) -> float:
-    return values[min(len(values) - 1, int(part * len(values)))] if values else nan
+def quantile(values: list[float], fraction: float) -> float:
+    """Return a quantile of sorted values."""
+    return values[min(len(values) - 1, int(fraction * len(values)))] if values else nan
 
 
-def masses(size: int, loss: float, seed: int, timing: Timing) -> dict[str, float]:
-    """Seven in ten are killed and come back; then the halves are parted and heal."""
+def mass_events(size: int, loss: float, seed: int, timing: Timing) -> dict[str, float]:
+    """Kill and restart 7 in 10 routers, then cut the fleet in two halves and heal the cut.
+
+    Returns the seconds until all views are correct, by event.
+    """
     fleet = MembershipModel(size, seed, weather=LinkConditions(loss=loss), timing=timing)
     fleet.run(5)
-    dead = range(size * 7 // 10)
-    fleet.kill(dead)
+    killed = range(size * 7 // 10)
+    fleet.kill(killed)
     settled = {"7 in 10 killed": fleet.until_settled(30)}
-    for number in dead:
+    for number in killed:
         fleet.start(number)
     settled["their return"] = fleet.until_settled(30)
     fleet.run(5)
@@ -80,46 +84,56 @@
 
 
 def measure(size: int, loss: float, seed: int, seconds: float, kills: int, mass: bool, timing: Timing) -> Row:
-    began = time.process_time()
+    """Measure the traffic and wrong suspicions at rest, and the detection of some kills."""
+    cpu_start_s = time.process_time()
     fleet = MembershipModel(size, seed, weather=LinkConditions(loss=loss), timing=timing)
-    gc.freeze()  # a thousand tables of a thousand members are no garbage, and slow to look through
+    gc.freeze()  # the collector would spend much time on a thousand tables of a thousand members
     fleet.run(seconds)
     rest = sum(fleet.network.bytes_from.values()) / size / seconds
     wrong = sum(view.counts["unanswered"] for view in fleet.views())
-    found: list[float] = []
+    detection_s: list[float] = []
     for number in range(kills):
-        found += detection(fleet, number)
+        detection_s += detection(fleet, number)
         fleet.start(number)
         fleet.until_settled(10)
-    cpu = time.process_time() - began
-    return Row(size, loss, sorted(found), rest, wrong, cpu, masses(size, loss, seed, timing) if mass else {})
+    cpu = time.process_time() - cpu_start_s
+    return Row(
+        size,
+        loss,
+        sorted(detection_s),
+        rest,
+        wrong,
+        cpu,
+        mass_events(size, loss, seed, timing) if mass else {},
+    )
 
 
 def quiet_time(size: int, loss: float, seed: int, seconds: float) -> str:
-    """No router fails: how often a living one is held gone, and by how many at a time and how long."""
+    """Run without faults; return a line on how often and how long running routers are held gone."""
     fleet = MembershipModel(size, seed, weather=LinkConditions(loss=loss))
     since: dict[int, int] = {}
-    most = 0
-    longest = 0.0
-    began = time.process_time()
+    max_holders = 0
+    longest_s = 0.0
+    cpu_start_s = time.process_time()
     for _ in range(int(seconds * 10)):
         fleet.run(0.1)
         held = {
             n: sum(n in view.table.dead for view in fleet.views())
             for n in {n for view in fleet.views() for n in view.table.dead}
         }
-        most = max([most, *held.values()])
+        max_holders = max([max_holders, *held.values()])
         since = {n: since.get(n, fleet.now) for n, count in held.items() if count > 1}
-        longest = max([longest, *((fleet.now - at) / SECOND for at in since.values())])
+        longest_s = max([longest_s, *((fleet.now - at) / SECOND for at in since.values())])
     wrong = sum(view.counts["unanswered"] for view in fleet.views())
     return (
         f"{size} routers, loss {loss:.0%}, {seconds:g} s without a fault: {wrong} wrong suspicions, at "
-        f"most {most} held a living one gone, more than one for {longest:.1f} s at the longest; "
-        f"{time.process_time() - began:.0f} s of CPU"
+        f"most {max_holders} held a living one gone, more than one for {longest_s:.1f} s at the longest; "
+        f"{time.process_time() - cpu_start_s:.0f} s of CPU"
     )
 
 
 def plot(rows: list[Row], folder: Path) -> None:
+    """Write a figure of each measurement over the number of routers, one curve per loss rate."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -128,7 +142,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     losses = sorted({row.loss for row in rows})
     for name, label, value in (
-        ("detection", "99th of 100 holds a killed one gone (s)", lambda row: quantile(row.found, 0.99)),
+        ("detection", "99th of 100 holds a killed one gone (s)", lambda row: quantile(row.detection_s, 0.99)),
         ("bytes", "bytes a second and router at rest", lambda row: row.rest),
         ("wrong", "wrong suspicions at rest", lambda row: row.wrong),
     ):
@@ -143,29 +157,34 @@
 
 
 def main(arguments: Iterable[str] | None = None) -> None:
+    """Run all sizes and loss rates, and print a line for each."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("--sizes", type=int, nargs="*", default=[3, 24, 100, 300])
     parser.add_argument("--losses", type=float, nargs="*", default=[0.0, 0.1, 0.3])
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=20)
     parser.add_argument("--kills", type=int, default=5)
-    parser.add_argument("--mass", action="store_true", help="mass deaths, returns and a healed cut too")
-    parser.add_argument("--quiet", type=float, default=0, help="instead: so many seconds without a fault")
-    parser.add_argument("--rate", type=int, default=Timing().rate, help="bytes a second of the view")
+    parser.add_argument(
+        "--mass", action="store_true", help="also kill 7 in 10, restart them, and cut and heal the network"
+    )
+    parser.add_argument("--quiet", type=float, default=0, help="instead run this many seconds without faults")
+    parser.add_argument(
+        "--rate", type=int, default=Timing().rate, help="bandwidth limit of the view in bytes per second"
+    )
     parser.add_argument("--plots", type=Path)
-    chosen = parser.parse_args(None if arguments is None else list(arguments))
+    options = parser.parse_args(None if arguments is None else list(arguments))
     rows = []
-    timing = Timing(rate=chosen.rate)
-    for size in chosen.sizes:
-        for loss in chosen.losses:
-            if chosen.quiet:
-                print(quiet_time(size, loss, chosen.seed, chosen.quiet), flush=True)
+    timing = Timing(rate=options.rate)
+    for size in options.sizes:
+        for loss in options.losses:
+            if options.quiet:
+                print(quiet_time(size, loss, options.seed, options.quiet), flush=True)
                 continue
-            kills = min(chosen.kills, size - 1)
-            rows.append(measure(size, loss, chosen.seed, chosen.seconds, kills, chosen.mass, timing))
+            kills = min(options.kills, size - 1)
+            rows.append(measure(size, loss, options.seed, options.seconds, kills, options.mass, timing))
             print(rows[-1], flush=True)
-    if chosen.plots:
-        plot(rows, chosen.plots)
+    if options.plots:
+        plot(rows, options.plots)
 
 
 if __name__ == "__main__":
--- a/benchmarks/lives.py
+++ b/benchmarks/lives.py
@@ -1,8 +1,9 @@
-"""How soon after a restart of all the other routers have noted each life of a store (docs/store-loss.md).
+"""How soon after a restart of all routers the others acknowledge each new store incarnation.
 
-``python benchmarks/lives.py`` restarts twelve routers under load, with view, channel, coming back
-and a quota on, and prints when each new life was noted, and what each kind of message was refused for want of
-room. ``--part 0`` leaves lives of stores without a part of the channel's budget.
+``python benchmarks/lives.py`` restarts twelve routers under load, with membership, peer channel, warm-up and
+a quota enabled. It prints when each new store incarnation was acknowledged, and the bytes and the messages
+over budget of each frame kind. ``--part 0`` gives store incarnations no share of the channel's budget. See
+docs/store-loss.md.
 """
 
 from __future__ import annotations
@@ -29,19 +30,20 @@
 """
 
 
-class Asking(Rig):
-    """Asks each router for the counters of its channel, once the load is over."""
+class StatusRig(Rig):
+    """A rig that queries the peer-channel counters of each router after the load."""
 
     async def _settle(self) -> None:
-        self.told: list[dict[str, Any]] = []
+        self.statuses: list[dict[str, Any]] = []
         for target in self.real:
             try:
-                self.told.append(await asyncio.to_thread(ask, target, question(0), 5.0))
+                self.statuses.append(await asyncio.to_thread(ask, target, question(0), 5.0))
             except (NoAnswerError, OSError) as problem:
                 self.say(f"{target}: {problem}")
 
 
-def play(part: float, seed: int, keyed: bool) -> None:
+def run_seed(part: float, seed: int, keyed: bool) -> None:
+    """Run one seed and print its two lines."""
     key = 'key_file = "key"\n' if keyed else ""
     script = from_table(
         {
@@ -61,9 +63,9 @@
         }
     )
     with tempfile.TemporaryDirectory() as folder:
-        rig = Asking(script, Path(folder))
-        verdict = asyncio.run(rig.play())
-    noted = [
+        rig = StatusRig(script, Path(folder))
+        report = asyncio.run(rig.play())
+    acknowledged_s = [
         [
             float(line.partition(" seconds=")[2].split()[0])
             for line in router.lines
@@ -71,29 +73,29 @@
         ]
         for router in rig.routers
     ]
-    late = sorted(after[-1] for after in noted if len(after) == 2)
-    refused: Counter[str] = Counter()
+    restarted_s = sorted(after[-1] for after in acknowledged_s if len(after) == 2)
+    over_budget: Counter[str] = Counter()
     sent: Counter[str] = Counter()
-    for status in rig.told:
+    for status in rig.statuses:
         for kind, counts in status["kinds"].items():
-            refused[kind] += counts["over_budget"]
+            over_budget[kind] += counts["over_budget"]
             sent[kind] += counts["bytes"]
     print(
         f"part {part:g}, seed {seed}{', keyed' * keyed}: first lives noted after "
-        f"{sorted(after[0] for after in noted if after)}, restarted ones after {late}, "
-        f"{ROUTERS - len(late)} never"
+        f"{sorted(after[0] for after in acknowledged_s if after)}, restarted ones after {restarted_s}, "
+        f"{ROUTERS - len(restarted_s)} never"
     )
     print(
-        f"  over budget {dict(refused)}, bytes {dict(sent)}; starved {verdict.starved:.2f}; "
-        f"full service after {verdict.stretches[-1]['full_service_s']} s; {verdict.faults or 'no fault'}"
+        f"  over budget {dict(over_budget)}, bytes {dict(sent)}; starved {report.starved:.2f}; "
+        f"full service after {report.stretches[-1]['full_service_s']} s; {report.faults or 'no fault'}"
     )
 
 
 if __name__ == "__main__":
-    options = argparse.ArgumentParser(description=__doc__)
-    options.add_argument("--part", type=float, default=0.083)
-    options.add_argument("--seeds", type=int, default=2)
-    options.add_argument("--keyed", action="store_true")
-    chosen = options.parse_args()
-    for number in range(1, chosen.seeds + 1):
-        play(chosen.part, number, chosen.keyed)
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--part", type=float, default=0.083)
+    parser.add_argument("--seeds", type=int, default=2)
+    parser.add_argument("--keyed", action="store_true")
+    options = parser.parse_args()
+    for number in range(1, options.seeds + 1):
+        run_seed(options.part, number, options.keyed)
--- a/benchmarks/real.py
+++ b/benchmarks/real.py
@@ -1,14 +1,16 @@
-"""The cost of being many on real sockets: ``python benchmarks/real.py --routers 1 3 8``.
-
-Routers are processes of their own before 8 engines of 8 cores, loaded much as in ``benchmarks/many.py``:
-lookups, and 15 reports of 2.4 s in 100 requests. Service is the worth answered within the aims over the worth
-asked for. Engines and clients run on this machine too: where it is busy their delays are in the figures, so
-look at its load, which is printed beside them.
-
-``--against FOLDER`` compares CPU time a request with the release in a folder, all new parts off: one router
-of each before the same engines at the same time under the same load, seats swapped in turn, so that what
-disturbs one disturbs both. ``git worktree add FOLDER COMMIT`` makes such a folder. Where Linux's ``perf`` is
-installed it tells instructions a request as well, which a busy machine hardly changes.
+"""Many router processes in front of shared engines, on real sockets.
+
+``python benchmarks/real.py --routers 1 3 8`` runs routers in front of 8 engines of 8 cores, with a load
+similar to that of ``benchmarks/many.py``: lookups, and 15 reports of 2.4 s in 100 requests. Service is the
+utility of the answers, reduced for answers after the latency objective, as a fraction of the utility of all
+requests. Engines and clients run on the same machine, so the results include their delays when it is busy;
+its load average is printed beside them.
+
+``--against FOLDER`` compares the CPU time per request with the release in a folder, with all optional
+components off. One router of each release runs in front of the same engines at the same time under the same
+load, in alternating positions, so that disturbances affect both. ``git worktree add FOLDER COMMIT`` creates
+such a folder. If Linux's ``perf`` is installed, the comparison also shows instructions per request, which
+hardly depend on the load of the machine.
 """
 
 from __future__ import annotations
@@ -35,8 +37,8 @@
 NAMES = {"lookup": MIX[0], "report": MIX[1]}
 
 
-class Measured(Rig):
-    """A rig whose routers know the aims of the emulator's mix."""
+class TrafficMixRig(Rig):
+    """A rig whose routers have the latency objectives and utilities of the emulator's traffic mix."""
 
     def _config(self, number: int, seat: int) -> dict[str, Any]:
         config = super()._config(number, seat)
@@ -52,18 +54,19 @@
         return config
 
 
-def ended(wish: Wish) -> str:
-    """How it ended for its client; ``late`` where it was served beyond its aim."""
+def client_outcome(wish: Wish) -> str:
+    """Return a request's outcome; ``late`` if it was served after its latency objective."""
     spec = NAMES[wish.service_class].spec
-    aim_s = (
+    objective_s = (
         spec.latency_objective_us + spec.latency_objective_stretch * wish.work_ms * 1e3 / spec.threads
     ) / 1e6
-    return "late" if wish.outcome == "served" and wish.took_s > aim_s else wish.outcome
+    return "late" if wish.outcome == "served" and wish.took_s > objective_s else wish.outcome
 
 
-def play(routers: int, level: float, seed: int, seconds: float, kill: int = 0) -> str:
-    rate = level * 8 * 8 * CAPACITY / sum(t.part * t.work_us / 1e6 for t in MIX)  # requests a second
-    script = Scenario(
+def run_fleet(routers: int, level: float, seed: int, seconds: float, kill: int = 0) -> str:
+    """Run router processes under load and return a line; ``kill`` routers are killed after a fifth of it."""
+    rate = level * 8 * 8 * CAPACITY / sum(t.part * t.work_us / 1e6 for t in MIX)  # requests per second
+    scenario = Scenario(
         routers=routers,
         engines=8,
         seed=seed,
@@ -74,42 +77,47 @@
         do=(Action(at=seconds / 5, what="kill", routers=tuple(range(kill))),) if kill else (),
     )
     with tempfile.TemporaryDirectory() as folder:
-        verdict = asyncio.run(Measured(script, Path(folder)).play())
-    counts = Counter((wish.service_class, ended(wish)) for wish in verdict.wishes)
-    asked = got = 0.0
-    for (name, how), count in counts.items():
+        report = asyncio.run(TrafficMixRig(scenario, Path(folder)).play())
+    counts = Counter((wish.service_class, client_outcome(wish)) for wish in report.wishes)
+    requested_utility = achieved_utility = 0.0
+    for (name, outcome), count in counts.items():
         spec = NAMES[name].spec
-        asked += count * spec.utility
-        got += count * spec.utility * {"served": 1.0, "late": spec.late_utility}.get(how, 0.0)
-    told = "  ".join(f"{name} {how} {count}" for (name, how), count in sorted(counts.items()))
+        requested_utility += count * spec.utility
+        achieved_utility += (
+            count * spec.utility * {"served": 1.0, "late": spec.late_utility}.get(outcome, 0.0)
+        )
+    outcomes = "  ".join(f"{name} {outcome} {count}" for (name, outcome), count in sorted(counts.items()))
     return (
-        f"{routers} routers at {level} seed {seed}: service {got / asked:.3f}  {told}  "
-        f"faults {len(verdict.faults)}  load {os.getloadavg()[0]:.0f}"
+        f"{routers} routers at {level} seed {seed}: "
+        f"service {achieved_utility / requested_utility:.3f}  {outcomes}  "
+        f"faults {len(report.faults)}  load {os.getloadavg()[0]:.0f}"
     )
 
 
-class Pair(Rig):
-    """Two routers, each of a release of its own, and the CPU time that each took for its requests, and how
-    many instructions of the process itself, not of the system for it."""
+class ReleasePairRig(Rig):
+    """Two routers of different releases, and the CPU time and instructions that each used for its requests.
+
+    Instructions are those in user mode.
+    """
 
-    def __init__(self, script: Scenario, folder: Path, releases: list[Path]) -> None:
-        super().__init__(script, folder)
-        self.spent = [0.0, 0.0]
-        self.counted = [0, 0]
+    def __init__(self, scenario: Scenario, folder: Path, releases: list[Path]) -> None:
+        super().__init__(scenario, folder)
+        self.request_cpu_s = [0.0, 0.0]
+        self.instructions = [0, 0]
         self.folder = folder
         self.counters = dict[int, subprocess.Popen[bytes]]()
         for router, release in zip(self.routers, releases, strict=True):
             router.program = (
                 "-c",
                 f"import sys; sys.path.insert(0, {str(release)!r})\n"
-                "from slipbay.__main__ import main\nsys.exit(main())",  # which every release has
+                "from slipbay.__main__ import main\nsys.exit(main())",  # exists in every release
             )
 
-    def _came_up(self, life: RouterIncarnation) -> None:
-        super()._came_up(life)
-        number = life.router.number
-        self.spent[number] -= cpu_s(life)
-        if shutil.which("perf") and life.process is not None:
+    def _came_up(self, incarnation: RouterIncarnation) -> None:
+        super()._came_up(incarnation)
+        number = incarnation.router.number
+        self.request_cpu_s[number] -= cpu_s(incarnation)
+        if shutil.which("perf") and incarnation.process is not None:
             self.counters[number] = subprocess.Popen(
                 [
                     "perf",
@@ -120,83 +128,93 @@
                     "-o",
                     str(self.folder / f"count{number}"),
                     "-p",
-                    str(life.process.pid),
+                    str(incarnation.process.pid),
                 ]
             )
 
     async def _settle(self) -> None:
         for router in self.routers:
-            self.spent[router.number] += cpu_s(router.lives[0])
+            self.request_cpu_s[router.number] += cpu_s(router.lives[0])
         for number, counter in self.counters.items():
             counter.send_signal(signal.SIGINT)
             await asyncio.to_thread(counter.wait)
-            told = (self.folder / f"count{number}").read_text()
-            self.counted[number] = next(
-                (int(line.partition(",")[0]) for line in told.splitlines() if line[:1].isdigit()), 0
-            )  # 0: the system does not let us count
+            output = (self.folder / f"count{number}").read_text()
+            self.instructions[number] = next(
+                (int(line.partition(",")[0]) for line in output.splitlines() if line[:1].isdigit()), 0
+            )  # 0 if the system does not permit counting
 
 
-def cpu_s(life: RouterIncarnation) -> float:
-    """What a process has spent on cores; in s."""
-    assert life.process is not None
-    return int(Path(f"/proc/{life.process.pid}/schedstat").read_text().split()[0]) / 1e9
+def cpu_s(incarnation: RouterIncarnation) -> float:
+    """Return the CPU time of a router's process in s."""
+    assert incarnation.process is not None
+    return int(Path(f"/proc/{incarnation.process.pid}/schedstat").read_text().split()[0]) / 1e9
 
 
-def told(ratios: list[float]) -> str:
-    low, middle, high = quantiles(ratios, n=4)
-    return f"median {middle:.3f}, half of them within {low:.3f} to {high:.3f}"
+def quartiles(ratios: list[float]) -> str:
+    """Return the median and the middle half of ratios as text."""
+    low, median, high = quantiles(ratios, n=4)
+    return f"median {median:.3f}, half of them within {low:.3f} to {high:.3f}"
 
 
 def compare(other: Path, pairs: int, seconds: float, rate: float) -> None:
-    own = Path(__file__).parent.parent
-    times = list[float]()
-    counts = list[float]()
+    """Compare this release with another one; print a line for each pair and the quartiles of the ratios."""
+    this_release = Path(__file__).parent.parent
+    cpu_ratios = list[float]()
+    instruction_ratios = list[float]()
     for number in range(pairs):
         load = Load(lookups=rate, reports=rate / 50, loads=rate / 100, lookup_ms=5, report_ms=50)
-        script = Scenario(routers=2, engines=4, seed=number, seconds=seconds, settle_s=1, load=load)
-        seat = (number + 1) % 2  # ours
+        scenario = Scenario(routers=2, engines=4, seed=number, seconds=seconds, settle_s=1, load=load)
+        seat = (number + 1) % 2  # position of this release
         with tempfile.TemporaryDirectory() as folder:
-            rig = Pair(script, Path(folder), [other, own] if seat else [own, other])
-            verdict = asyncio.run(rig.play())
-        asked = Counter(answer.router for answer in verdict.answers)
-        refused = Counter(answer.router for answer in verdict.answers if answer.outcome == "refused")
-        costs = [1e6 * spent / asked[n] for n, spent in enumerate(rig.spent)]
-        times.append(costs[seat] / costs[1 - seat])
+            rig = ReleasePairRig(
+                scenario, Path(folder), [other, this_release] if seat else [this_release, other]
+            )
+            report = asyncio.run(rig.play())
+        requests = Counter(answer.router for answer in report.answers)
+        rejected = Counter(answer.router for answer in report.answers if answer.outcome == "refused")
+        costs = [1e6 * cpu_s / requests[n] for n, cpu_s in enumerate(rig.request_cpu_s)]
+        cpu_ratios.append(costs[seat] / costs[1 - seat])
         line = (
             f"pair {number}: {costs[seat]:.0f} us a request, the other {costs[1 - seat]:.0f}, ratio "
-            f"{times[-1]:.3f}"
+            f"{cpu_ratios[-1]:.3f}"
         )
-        if all(rig.counted):
-            each = [counted / asked[n] / 1e3 for n, counted in enumerate(rig.counted)]
-            counts.append(each[seat] / each[1 - seat])
-            line += f"  {each[seat]:.0f} thousand instructions, {each[1 - seat]:.0f}, ratio {counts[-1]:.3f}"
+        if all(rig.instructions):
+            thousands = [count / requests[n] / 1e3 for n, count in enumerate(rig.instructions)]
+            instruction_ratios.append(thousands[seat] / thousands[1 - seat])
+            line += (
+                f"  {thousands[seat]:.0f} thousand instructions, {thousands[1 - seat]:.0f}, "
+                f"ratio {instruction_ratios[-1]:.3f}"
+            )
         print(
-            f"{line}  refused {refused[seat]}, {refused[1 - seat]}  faults {len(verdict.faults)}  "
+            f"{line}  refused {rejected[seat]}, {rejected[1 - seat]}  faults {len(report.faults)}  "
             f"load {os.getloadavg()[0]:.0f}",
             flush=True,
         )
-    print(f"{pairs} pairs: CPU time {told(times)}")
-    if len(counts) > 1:
-        print(f"{len(counts)} pairs: instructions {told(counts)}")
+    print(f"{pairs} pairs: CPU time {quartiles(cpu_ratios)}")
+    if len(instruction_ratios) > 1:
+        print(f"{len(instruction_ratios)} pairs: instructions {quartiles(instruction_ratios)}")
 
 
 def main() -> None:
+    """Run all numbers of routers and seeds, or compare two releases."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--routers", type=int, nargs="*", default=[1, 3, 8])
     parser.add_argument("--level", type=float, default=0.9)
     parser.add_argument("--seeds", type=int, nargs="*", default=[1, 2])
     parser.add_argument("--seconds", type=float, default=15)
-    parser.add_argument("--kill", type=int, default=0, help="so many routers after a fifth of the time")
+    parser.add_argument(
+        "--kill", type=int, default=0, help="number of routers to kill after a fifth of the time"
+    )
     parser.add_argument("--against", type=Path, help="folder of another release, to compare CPU time with")
     parser.add_argument("--pairs", type=int, default=16)
-    parser.add_argument("--rate", type=float, default=300, help="lookups a second of a pair")
-    chosen = parser.parse_args()
-    if chosen.against is not None:
-        compare(chosen.against.resolve(), chosen.pairs, chosen.seconds, chosen.rate)
+    parser.add_argument("--rate", type=float, default=300, help="lookups per second of a pair")
+    options = parser.parse_args()
+    if options.against is not None:
+        compare(options.against.resolve(), options.pairs, options.seconds, options.rate)
         return
-    for routers in chosen.routers:
-        for seed in chosen.seeds:
-            print(play(routers, chosen.level, seed, chosen.seconds, chosen.kill), flush=True)
+    for routers in options.routers:
+        for seed in options.seeds:
+            print(run_fleet(routers, options.level, seed, options.seconds, options.kill), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scatter.py
+++ b/benchmarks/scatter.py
@@ -1,7 +1,7 @@
-"""CPU time that a part of a scattered query costs, beside that of an ordinary request.
+"""CPU time of a part of a scattered query, compared with that of an ordinary request.
 
-``python benchmarks/scatter.py`` puts both through the core with decisions that send all at once and engines
-that answer at once, so that what differs is the scatterer's own and its moments'.
+``python benchmarks/scatter.py`` passes both through the core, with decisions that dispatch at once and
+engines that answer at once. The difference is the cost of the scatterer and its stopping rules.
 """
 
 from __future__ import annotations
@@ -31,25 +31,30 @@
 
 
 class Clock:
-    """Loop, clock and timers' alarm: time goes on by itself, nothing waits."""
+    """An event loop and a clock whose time advances without waiting."""
 
     def __init__(self) -> None:
         self.us = 10 * SECOND
         self._soon = list[tuple[Callable[..., object], tuple[object, ...]]]()
 
     def now(self) -> int:
+        """Return the time in us."""
         return self.us
 
     def to_loop_time(self, when: int) -> float:
+        """Return a time in us as the loop's time in s."""
         return when / 1e6
 
     def call_at(self, when: float, action: Callable[[], None]) -> Any:
+        """Ignore a timer; none is due during the measurement."""
         return SimpleNamespace(cancel=lambda: None)
 
     def call_soon(self, action: Callable[..., object], *args: object) -> None:
+        """Add a call for the next ``settle``."""
         self._soon.append((action, args))
 
     def settle(self) -> None:
+        """Run all calls, also those that they add."""
         while self._soon:
             calls = self._soon
             self._soon = []
@@ -58,13 +63,14 @@
             self.us += 500
 
 
-class All:
-    """Sends each query to one of ten engines at once; the back of them too."""
+class ImmediateHost:
+    """Decisions that dispatch each query at once to one of ten engines, and the engines and the client."""
 
     def __init__(self) -> None:
         self.sent: list[Attempt] = []
 
     def handle(self, now: int, events: Sequence[Event]) -> list[Action]:
+        """Dispatch the queries that arrived."""
         return [
             Dispatch(event.query, b"s-%d" % (event.query % 10))
             for event in events
@@ -72,44 +78,54 @@
         ]
 
     def start(self, attempt: Attempt) -> Any:
+        """Accept an attempt as an engine does."""
         self.sent.append(attempt)
         return SimpleNamespace(stop=attempt.finish)
 
-    def answered(self, request: Request, answer: Answer) -> None: ...
+    def answered(self, request: Request, answer: Answer) -> None:
+        """Ignore an answer."""
+        ...
 
 
-class Waits:
-    """A moment that says nothing, and all the moments of such."""
+class WaitForAll:
+    """A stopping rule that waits for all parts, and the set of such rules."""
 
     def __init__(self) -> None:
         from slipbay.scatter_gather.interfaces import AnswerNow, WaitUntil
 
-        self._enough = AnswerNow()
+        self._answer = AnswerNow()
         self._wait = WaitUntil(10**18)
-        self._out = 0
+        self._open_parts = 0
 
-    def start_query(self, now: int, scattered: ScatteredClass, deadline: int) -> Waits:
-        self._out = len(scattered.groups)
+    def start_query(self, now: int, scattered: ScatteredClass, deadline: int) -> WaitForAll:
+        """Start a query; this object is its rule."""
+        self._open_parts = len(scattered.groups)
         return self
 
-    def part_sent(self, *told: object) -> None: ...
+    def part_sent(self, *arguments: object) -> None:
+        """Ignore a part that was sent."""
+        ...
 
-    def part_ended(self, *told: object) -> Any:
-        self._out -= 1
-        return self._wait if self._out else self._enough
+    def part_ended(self, *arguments: object) -> Any:
+        """Answer when the last part has ended."""
+        self._open_parts -= 1
+        return self._wait if self._open_parts else self._answer
 
     def evaluate(self, now: int) -> Any:
+        """Wait."""
         return self._wait
 
-    def finish(self, now: int) -> None: ...
+    def finish(self, now: int) -> None:
+        """End a query."""
+        ...
 
 
-def spent(moments: Callable[[int], StoppingRules] | None) -> float:
-    """CPU time in us of a part, or of a request where ``moments`` is None: the least of some rounds."""
-    least = 1e9
+def cpu_time_us(stopping_rules: Callable[[int], StoppingRules] | None) -> float:
+    """Return the CPU time of a part, or without ``stopping_rules`` of a request; the best of some rounds."""
+    min_us = 1e9
     for _ in range(ROUNDS):
         clock = Clock()
-        host = All()
+        host = ImmediateHost()
         spec = ServiceClass(SECOND // 2, 3 * SECOND, Effect.SAFE)
         timers = Timers(cast(Any, clock), cast(Any, clock))
         core = Dispatcher(
@@ -125,18 +141,18 @@
             "report", "lookup", tuple(range(PARTS)), "{group}", ((0.5, 0.5), (1.0, 1.0)), 0.1, SECOND
         )
         scatterer = None
-        if moments is not None:
+        if stopping_rules is not None:
             scatterer = Scatterer(
                 ScatterGatherPlan((scattered,), 256, 10**9),
                 ("lookup", "report"),
                 core,
                 timers,
-                moments(clock.us),
+                stopping_rules(clock.us),
                 lambda engine, now: (1.0, False, 1.0),
                 lambda name: False,
             )
         clock.us += 10 * SECOND
-        began = time.process_time()
+        cpu_start_s = time.process_time()
         for n in range(QUERIES):
             if scatterer is not None:
                 scatterer.submit(
@@ -166,23 +182,24 @@
                         )
                     )
             clock.settle()
-            sent = host.sent
+            attempts = host.sent
             host.sent = []
-            for attempt in sent:
+            for attempt in attempts:
                 clock.us += 100
                 attempt.finish(Outcome.OK, ROW)
             clock.settle()
-        least = min(least, (time.process_time() - began) * 1e6 / QUERIES / PARTS)
+        min_us = min(min_us, (time.process_time() - cpu_start_s) * 1e6 / QUERIES / PARTS)
         assert not core.requests
-    return least
+    return min_us
 
 
 def main() -> None:
-    request = spent(None)
-    print(f"an ordinary request through the core: {request:.1f} us")
-    for name, moments in (("that only wait", lambda now: Waits()), ("that learn", LearnedStoppingRules)):
-        part = spent(cast(Any, moments))
-        print(f"a part of {PARTS}, with moments {name}: {part:.1f} us, {part - request:.1f} more")
+    """Measure an ordinary request and parts under two kinds of stopping rules."""
+    request_us = cpu_time_us(None)
+    print(f"an ordinary request through the core: {request_us:.1f} us")
+    for name, rules in (("that only wait", lambda now: WaitForAll()), ("that learn", LearnedStoppingRules)):
+        part_us = cpu_time_us(cast(Any, rules))
+        print(f"a part of {PARTS}, with moments {name}: {part_us:.1f} us, {part_us - request_us:.1f} more")
 
 
 if __name__ == "__main__":
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,8 +1,8 @@
-"""Measures the durable store: `python benchmarks/store.py`, about a minute; figures stand in docs/store.md.
+"""Measures the durable store: `python benchmarks/store.py`, about a minute; docs/store.md has results.
 
-Appends are made from an event loop, as the router makes them, with so many open at a time. Beside the store
-run two baselines in the same process and folder: one sync a record, and sqlite3 (WAL, synchronous=FULL), each
-in a thread of its own that takes one record after the other.
+Appends come from an event loop, as in the router, with a fixed number of them open at a time. Two baselines
+run in the same process and folder: one sync per record, and sqlite3 (WAL, synchronous=FULL). Each uses a
+thread that writes one record after the other.
 """
 
 from __future__ import annotations
@@ -37,19 +37,25 @@
 from slipbay.store.errors import StoreError
 from slipbay.store.writer import THREAD_SWITCH_S, Writer
 
-VALUE = random.Random(1).randbytes(120)  # about what an intent weighs
+VALUE = random.Random(1).randbytes(120)  # about the size of an intent
 
 Done = Callable[[StoreError | None], None]
 
 
 class Appender(Protocol):
-    def append(self, key: bytes, value: bytes, done: Done) -> None: ...
+    """Makes records durable and calls ``done`` for each."""
 
-    def close(self) -> None: ...
+    def append(self, key: bytes, value: bytes, done: Done) -> None:
+        """Append a record; ``done`` is called in the event loop when it is durable."""
+        ...
+
+    def close(self) -> None:
+        """Release all resources."""
+        ...
 
 
 class StoreAppender:
-    """The store as the router runs it."""
+    """The store, run as in the router."""
 
     def __init__(self, folder: Path, bounds: plan.Bounds | None = None) -> None:
         loop = asyncio.get_running_loop()
@@ -69,13 +75,15 @@
         self.writer.start(lambda store: None, lambda contents, problem: self.opened.set())
 
     def append(self, key: bytes, value: bytes, done: Done) -> None:
+        """Append a record to the store."""
         self.writer.append([(key, value)], done)
 
     def close(self) -> None:
+        """Close the store."""
         self.writer.close()
 
 
-class OneByOne:
+class SequentialAppender:
     """A baseline: a thread that makes records durable one after the other."""
 
     def __init__(self, make: Callable[[], Callable[[bytes, bytes], None]]) -> None:
@@ -85,9 +93,11 @@
         self._thread.start()
 
     def append(self, key: bytes, value: bytes, done: Done) -> None:
+        """Queue a record for the thread."""
         self._queue.put((key, value, done))
 
     def close(self) -> None:
+        """End the thread after the queued records."""
         self._queue.put(None)
         self._thread.join()
 
@@ -99,7 +109,8 @@
             self._loop.call_soon_threadsafe(done, None)
 
 
-def one_sync_a_record(folder: Path) -> Callable[[bytes, bytes], None]:
+def one_sync_per_record(folder: Path) -> Callable[[bytes, bytes], None]:
+    """Return a function that appends a record to a file and syncs it."""
     fd = os.open(folder / "log", os.O_WRONLY | os.O_CREAT | os.O_APPEND)
 
     def write(key: bytes, value: bytes) -> None:
@@ -110,13 +121,14 @@
 
 
 def sqlite(folder: Path) -> Callable[[bytes, bytes], None]:
-    base = sqlite3.connect(folder / "base.sqlite", isolation_level=None)
-    base.execute("PRAGMA journal_mode=WAL")
-    base.execute("PRAGMA synchronous=FULL")
-    base.execute("CREATE TABLE records (key BLOB PRIMARY KEY, value BLOB) WITHOUT ROWID")
+    """Return a function that writes a record to sqlite3."""
+    database = sqlite3.connect(folder / "base.sqlite", isolation_level=None)
+    database.execute("PRAGMA journal_mode=WAL")
+    database.execute("PRAGMA synchronous=FULL")
+    database.execute("CREATE TABLE records (key BLOB PRIMARY KEY, value BLOB) WITHOUT ROWID")
 
     def write(key: bytes, value: bytes) -> None:
-        base.execute("INSERT OR REPLACE INTO records VALUES (?, ?)", (key, value))
+        database.execute("INSERT OR REPLACE INTO records VALUES (?, ?)", (key, value))
 
     return write
 
@@ -128,12 +140,15 @@
     keys: int = 10**9,
     busy: Callable[[], bool] | None = None,
 ) -> tuple[float, list[float], list[float]]:
-    """Keep so many appends open; returns appends/s and latencies in ms, quiet and while ``busy``."""
+    """Keep ``open_appends`` appends open.
+
+    Returns appends per second, the latencies in ms while ``busy`` is false, and those while it is true.
+    """
     latencies: tuple[list[float], list[float]] = [], []
-    began = time.perf_counter()
+    started = time.perf_counter()
     count = 0
-    over = asyncio.Event()
-    left = open_appends
+    finished = asyncio.Event()
+    open_count = open_appends
     chooser = random.Random(2)
 
     def start() -> None:
@@ -143,41 +158,45 @@
         appender.append(key, VALUE, partial(done, time.perf_counter()))
 
     def done(since: float, problem: StoreError | None) -> None:
-        nonlocal left
+        nonlocal open_count
         if problem is not None:
             raise problem
         now = time.perf_counter()
         latencies[bool(busy and busy())].append((now - since) * 1000)
-        if now - began < seconds:
+        if now - started < seconds:
             start()
         else:
-            left -= 1
-            if not left:
-                over.set()
+            open_count -= 1
+            if not open_count:
+                finished.set()
 
     for _ in range(open_appends):
         start()
-    await over.wait()
-    return sum(map(len, latencies)) / (time.perf_counter() - began), *latencies
+    await finished.wait()
+    return sum(map(len, latencies)) / (time.perf_counter() - started), *latencies
 
 
 def percentile(values: list[float], share: float) -> float:
+    """Return a percentile of values; 0.99 is the 99th."""
     values = sorted(values)
     return values[min(len(values) - 1, int(len(values) * share))]
 
 
 async def appends(folder: Path, seconds: float) -> None:
+    """Print throughput and latency of appends, for the store and the baselines."""
     click.echo("appends            open    per s   p50 ms   p99 ms")
     for open_appends in (1, 8, 64):
         for name in ("store", "one sync each", "sqlite3"):
-            place = folder / f"{name}-{open_appends}".replace(" ", "-")
-            place.mkdir()
+            run_folder = folder / f"{name}-{open_appends}".replace(" ", "-")
+            run_folder.mkdir()
             appender: Appender
             if name == "store":
-                appender = StoreAppender(place)
+                appender = StoreAppender(run_folder)
                 await appender.opened.wait()
             else:
-                appender = OneByOne(partial(one_sync_a_record if "sync" in name else sqlite, place))
+                appender = SequentialAppender(
+                    partial(one_sync_per_record if "sync" in name else sqlite, run_folder)
+                )
             rate, latencies, _ = await drive(appender, open_appends, seconds)
             appender.close()
             click.echo(
@@ -187,7 +206,7 @@
 
 
 async def compaction(folder: Path, seconds: float) -> None:
-    """Overwrites of few keys keep compaction at work; latencies with a step under way, against the others."""
+    """Overwrite few keys so that compaction runs; print latencies during its steps and between them."""
     appender = StoreAppender(folder, plan.Bounds(4 * 1024 * 1024, 256 * 1024 * 1024))
     await appender.opened.wait()
     store = appender.store
@@ -213,6 +232,7 @@
 
 
 def fill(folder: Path, count: int) -> None:
+    """Write records of distinct keys."""
     store = Store.open(Folder(folder), plan.Bounds(8 * 1024 * 1024, 4 * 1024**3))
     for start in range(0, count, 1000):
         store.commit([(b"request:%016x" % n, VALUE) for n in range(start, min(count, start + 1000))])
@@ -220,13 +240,14 @@
 
 
 def recovery(folder: Path) -> None:
+    """Print the time to open stores of several sizes, and the memory per record."""
     for count in (10**4, 10**5, 10**6):
-        place = folder / str(count)
-        place.mkdir()
-        fill(place, count)
-        began = time.perf_counter()
-        store = Store.open(Folder(place), plan.Bounds(8 * 1024 * 1024, 4 * 1024**3))
-        took = time.perf_counter() - began
+        run_folder = folder / str(count)
+        run_folder.mkdir()
+        fill(run_folder, count)
+        started = time.perf_counter()
+        store = Store.open(Folder(run_folder), plan.Bounds(8 * 1024 * 1024, 4 * 1024**3))
+        took = time.perf_counter() - started
         assert len(store) == count
         click.echo(f"recovery           {count:>8} records in {took:.3f} s, {count / took:,.0f} records/s")
         store.close()
@@ -239,6 +260,7 @@
 
 
 def ledger_recovery(count: int = 10**5) -> None:
+    """Print the time to load the ledger of idempotency keys, and the memory per key."""
     ledger = Ledger()
     records = dict[bytes, bytes | None]()
     for number in range(count):
@@ -256,9 +278,9 @@
         )
     del ledger
     kept = [(key, value) for key, value in records.items() if value is not None]
-    began = time.perf_counter()
+    started = time.perf_counter()
     Ledger().load(kept)
-    took = time.perf_counter() - began
+    took = time.perf_counter() - started
     tracemalloc.start()
     again = Ledger()
     again.load(kept)
@@ -271,35 +293,35 @@
 
 
 async def pauses(folder: Path, seconds: float) -> None:
-    """The loop's longest time between two turns, idle and with the store reading and writing beside it."""
+    """Print the event loop's longest pause: idle, while the store is read, and during appends."""
 
-    async def longest(until: Callable[[], bool]) -> float:
-        worst = 0.0
+    async def longest_pause_ms(until: Callable[[], bool]) -> float:
+        longest_s = 0.0
         last = time.perf_counter()
         while not until():
             await asyncio.sleep(0)
             now = time.perf_counter()
-            worst = max(worst, now - last)
+            longest_s = max(longest_s, now - last)
             last = now
-        return worst * 1000
+        return longest_s * 1000
 
     gc.collect()
-    gc.freeze()  # as the router does at its start
+    gc.freeze()  # as the router does when it starts
     end = time.perf_counter() + seconds
-    idle = await longest(lambda: time.perf_counter() > end)
+    idle_ms = await longest_pause_ms(lambda: time.perf_counter() > end)
     appender = StoreAppender(folder)
-    reading = await longest(appender.opened.is_set)
+    reading_ms = await longest_pause_ms(appender.opened.is_set)
     task = asyncio.create_task(drive(appender, 64, seconds, 40_000))
-    writing = await longest(task.done)
+    writing_ms = await longest_pause_ms(task.done)
     appender.close()
     click.echo(
-        f"longest pause      idle {idle:.1f} ms, while 10^5 records are read {reading:.1f} ms, "
-        f"under 64 open appends {writing:.1f} ms"
+        f"longest pause      idle {idle_ms:.1f} ms, while 10^5 records are read {reading_ms:.1f} ms, "
+        f"under 64 open appends {writing_ms:.1f} ms"
     )
 
 
 def slower_syncs(ms: float) -> None:
-    """Each sync takes so much longer from here on, as on disks slower than this one."""
+    """Make each sync take ``ms`` longer from now on, as on slower disks."""
     sync = FileHandle.sync
 
     def slow(handle: FileHandle) -> None:
@@ -310,58 +332,58 @@
 
 
 async def loads(folder: Path, name: str) -> None:
-    """What a ticket-load gains on loopback, one after the other, against a commit alone."""
+    """Print the latency that the store adds to sequential ticket loads on loopback, in commits."""
     folder = folder / name.replace(" ", "-")
     folder.mkdir()
     from loopback import Loopback, StandInEngine
     from routers import store_file
 
-    async def median(count: int, on: bool) -> float:
-        place = folder / f"loads-{on}"
-        place.mkdir()
-        async with Loopback(StandInEngine(), store_file=store_file(place) if on else None) as net:
+    async def median_ms(count: int, has_store: bool) -> float:
+        run_folder = folder / f"loads-{has_store}"
+        run_folder.mkdir()
+        async with Loopback(StandInEngine(), store_file=store_file(run_folder) if has_store else None) as net:
             client = await net.client()
             times = []
             for _ in range(count):
-                began = time.perf_counter()
+                started = time.perf_counter()
                 client.query("ticket-load", "INSERT INTO sales_1.t VALUES (1)", limit=5000)
                 answer = await client.answer()
-                times.append(time.perf_counter() - began)
+                times.append(time.perf_counter() - started)
                 assert "result" in answer
             return statistics.median(times) * 1000
 
-    off = await median(400, False)
-    on = await median(400, True)
+    off_ms = await median_ms(400, False)
+    on_ms = await median_ms(400, True)
     appender = StoreAppender(folder / "alone")
     await appender.opened.wait()
     _, latencies, _ = await drive(appender, 1, 2)
     appender.close()
-    commit = percentile(latencies, 0.5)
+    commit_ms = percentile(latencies, 0.5)
     click.echo(
-        f"ticket-load        {name}: {off:.2f} ms with the store off, {on:.2f} ms on: "
-        f"{(on - off) / commit:.1f} commits of {commit:.2f} ms"
+        f"ticket-load        {name}: {off_ms:.2f} ms with the store off, {on_ms:.2f} ms on: "
+        f"{(on_ms - off_ms) / commit_ms:.1f} commits of {commit_ms:.2f} ms"
     )
 
 
 @click.command()
 @click.option(
-    "--folder", type=click.Path(file_okay=False, path_type=Path), help="On the disk to be measured."
+    "--folder", type=click.Path(file_okay=False, path_type=Path), help="Folder on the disk to measure."
 )
-@click.option("--seconds", default=3.0, help="For each figure on appends.")
+@click.option("--seconds", default=3.0, help="Duration of each measurement of appends.")
 def main(folder: Path | None, seconds: float) -> None:
     """Measure the durable store on a disk."""
     with tempfile.TemporaryDirectory(dir=folder) as name:
-        place = Path(name)
+        run_folder = Path(name)
         sys.setswitchinterval(THREAD_SWITCH_S)
-        asyncio.run(appends(place, seconds))
-        (place / "compaction").mkdir()
-        asyncio.run(compaction(place / "compaction", 3 * seconds))
-        recovery(place)
+        asyncio.run(appends(run_folder, seconds))
+        (run_folder / "compaction").mkdir()
+        asyncio.run(compaction(run_folder / "compaction", 3 * seconds))
+        recovery(run_folder)
         ledger_recovery()
-        asyncio.run(pauses(place / str(10**5), seconds))
-        asyncio.run(loads(place, "this disk"))
+        asyncio.run(pauses(run_folder / str(10**5), seconds))
+        asyncio.run(loads(run_folder, "this disk"))
         slower_syncs(2)
-        asyncio.run(loads(place, "2 ms more a sync"))
+        asyncio.run(loads(run_folder, "2 ms more a sync"))
 
 
 if __name__ == "__main__":
