--- a/benchmarks/real.py
+++ b/benchmarks/real.py
@@ -38,8 +38,8 @@
 class Measured(Rig):
     """A rig whose routers know the aims of the emulator's mix."""
 
-    def _config(self, number: int, seat: int) -> dict[str, Any]:
-        config = super()._config(number, seat)
+    def _config(self, number: int, slot: int) -> dict[str, Any]:
+        config = super()._config(number, slot)
         for profile in config["settings"]["profiles"]:
             if traffic := NAMES.get(profile["name"]):
                 spec = traffic.spec
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,6 +1,9 @@
-"""Several routers as processes under load, with faults between them; rules are checked on what clients and
-engines saw. Each play takes some seconds, and its verdict does not hang on how fast the machine is: how well
-they serve is reported here, and judged in simulated time (``test_comeback.py``, ``test_histories.py``)."""
+"""Runs several routers as processes under load, with faults between them, and checks rules on what clients
+and engines observe.
+
+Each run takes some seconds, and its result does not depend on the speed of the host: the quality of service
+is only reported here, and is checked in simulated time (``test_comeback.py``, ``test_histories.py``).
+"""
 
 from __future__ import annotations
 
@@ -35,11 +38,11 @@
 VIEW = "enabled = true"
 
 
-def do(at: float, what: str, **more: Any) -> dict[str, Any]:
+def action(at: float, what: str, **more: Any) -> dict[str, Any]:
     return {"at": at, "what": what, **more}
 
 
-def played(*actions: dict[str, Any], seconds: float = 6, **more: Any) -> RunReport:
+def run_checked(*actions: dict[str, Any], seconds: float = 6, **more: Any) -> RunReport:
     table = {
         "routers": 8,
         "zones": 2,
@@ -56,32 +59,36 @@
     return run_report
 
 
-def test_five_of_eight_killed_at_once_and_back_with_new_lives() -> None:
-    played(do(1, "kill", routers=[0, 1, 2, 3, 4]), do(4, "start", routers=[0, 1, 2, 3, 4]))
+def test_five_of_eight_are_killed_at_once_and_restarted() -> None:
+    run_checked(action(1, "kill", routers=[0, 1, 2, 3, 4]), action(4, "start", routers=[0, 1, 2, 3, 4]))
 
 
-def test_a_partition_by_zone_for_six_seconds_and_its_end() -> None:
-    played(do(0.5, "cut", **{"from": [0, 2, 4, 6], "to": [1, 3, 5, 7]}), do(6.5, "heal"), seconds=7)
+def test_a_partition_by_zone_lasts_six_seconds_and_heals() -> None:
+    run_checked(
+        action(0.5, "cut", **{"from": [0, 2, 4, 6], "to": [1, 3, 5, 7]}), action(6.5, "heal"), seconds=7
+    )
 
 
 def test_a_one_way_cut_and_loss_of_three_in_ten_messages() -> None:
-    played(
-        do(0.5, "cut", **{"from": [0], "to": [1], "one_way": True}),
-        do(1, "loss", part=0.3),
-        do(5, "loss", part=0.0),
-        do(5, "heal"),
+    run_checked(
+        action(0.5, "cut", **{"from": [0], "to": [1], "one_way": True}),
+        action(1, "loss", part=0.3),
+        action(5, "loss", part=0.0),
+        action(5, "heal"),
     )
 
 
-def test_connections_to_engines_break_under_calls_and_what_ran_is_asked_for_anew() -> None:
-    run_report = played(*(do(0.5 + 0.5 * n, "reset", engines=[0, 1, 2]) for n in range(8)), seconds=5)
+def test_connections_to_engines_are_reset_during_calls_and_results_are_requested_again() -> None:
+    run_report = run_checked(
+        *(action(0.5 + 0.5 * n, "reset", engines=[0, 1, 2]) for n in range(8)), seconds=5
+    )
     cut = [int(line.split()[-5]) for line in run_report.timeline if line.endswith("calls were under way")]
     assert len(cut) == 8
     assert sum(cut) > 0
 
 
-def test_a_router_that_stands_still_for_five_seconds() -> None:
-    played(do(0.5, "stop", routers=[3]), do(5.5, "go_on", routers=[3]), seconds=6.5)
+def test_a_router_is_stopped_for_five_seconds() -> None:
+    run_checked(action(0.5, "stop", routers=[3]), action(5.5, "go_on", routers=[3]), seconds=6.5)
 
 
 def test_all_are_restarted_in_turn_under_load_and_an_engine_drains() -> None:
@@ -89,53 +96,62 @@
     actions = [
         step
         for at, pair in pairs
-        for step in (do(at, "term", routers=pair), do(at + 0.1, "start", routers=pair))
+        for step in (action(at, "term", routers=pair), action(at + 0.1, "start", routers=pair))
     ]
-    played(*actions, do(2, "drain", engines=[0]), seconds=7)
+    run_checked(*actions, action(2, "drain", engines=[0]), seconds=7)
+
 
+def test_routers_of_a_release_without_the_view_count_as_alive() -> None:
+    """Checks liveness only; test_fleet.py checks that the shares stay.
 
-def test_half_of_the_fleet_runs_a_release_before_the_view_and_counts_as_alive() -> None:
-    """That their shares stay is judged in test_fleet.py: here one that stood still while it was idle would
-    be held gone, as it says nothing."""
-    played(
-        do(1, "kill", routers=[1]),
-        do(3, "start", routers=[1]),
+    No router is stopped here, because an idle router without the view that is stopped sends nothing and would
+    be declared gone.
+    """
+    run_checked(
+        action(1, "kill", routers=[1]),
+        action(3, "start", routers=[1]),
         without_view=[0, 2, 4, 6],
         seconds=4,
         settle_s=0,
     )
 
 
-def test_a_replayer_and_a_stranger_on_the_network_change_nothing() -> None:
+def test_replayed_datagrams_and_an_unknown_sender_change_nothing() -> None:
     keyed = 'enabled = true\nkey_file = "key"'
     for text in (VIEW, keyed):
-        played(
-            do(1, "replay"),
-            do(1.5, "kill", routers=[2]),
-            do(2, "replay"),
-            do(3, "start", routers=[2]),
-            do(3.5, "replay"),
+        run_checked(
+            action(1, "replay"),
+            action(1.5, "kill", routers=[2]),
+            action(2, "replay"),
+            action(3, "start", routers=[2]),
+            action(3.5, "replay"),
             seconds=4,
             fleet=text,
         )
 
 
-def test_without_the_view_the_same_faults_keep_all_rules() -> None:
-    played(
-        do(1, "kill", routers=[0, 1, 2]), do(3, "start", routers=[0, 1, 2]), fleet="", settle_s=0, seconds=5
+def test_all_rules_hold_without_the_membership_view() -> None:
+    run_checked(
+        action(1, "kill", routers=[0, 1, 2]),
+        action(3, "start", routers=[0, 1, 2]),
+        fleet="",
+        settle_s=0,
+        seconds=5,
     )
 
 
-def test_plays_side_by_side_have_nets_of_their_own() -> None:
-    """Guards against plays of two test processes whose routers meet, as the net hung on the pid alone."""
+def test_parallel_runs_have_networks_of_their_own() -> None:
+    """Guards against runs of two test processes whose routers reach each other, when the network depends
+    only on the process id.
+    """
     taken = [reserve_network() for _ in range(5)]
     assert len({net for net, _ in taken}) == 5
     for _, kept in taken:
         kept.close()
 
 
-def test_all_are_restarted_at_once_and_the_way_back_is_measured() -> None:
-    run_report = played(do(2, "restart", routers=list(range(8)), after_s=0.3), seconds=12)
+def test_all_are_restarted_at_once_and_recovery_is_measured() -> None:
+    run_report = run_checked(action(2, "restart", routers=list(range(8)), after_s=0.3), seconds=12)
     start, back = run_report.intervals
     assert start["in_time"] is not None
     assert start["full_service_s"] is None
@@ -151,11 +167,11 @@
 STORE = 'enabled = true\nfolder = "{own}"'
 
 
-def test_loads_come_back_under_their_keys_over_deaths_and_none_runs_twice() -> None:
-    run_report = played(
-        do(1.5, "kill", routers=[0, 1]),
-        do(2, "start", routers=[0, 1]),
-        do(4, "restart", routers=[0, 1, 2], after_s=0.1),
+def test_loads_are_repeated_under_their_keys_after_kills_and_none_runs_twice() -> None:
+    run_report = run_checked(
+        action(1.5, "kill", routers=[0, 1]),
+        action(2, "start", routers=[0, 1]),
+        action(4, "restart", routers=[0, 1, 2], after_s=0.1),
         seconds=6,
         routers=3,
         store=STORE,
@@ -167,13 +183,13 @@
     assert {answer.service_class for answer in repeats} == {"ticket-load"}
 
 
-def test_a_store_is_lost_or_put_back_while_its_router_is_down() -> None:
-    run_report = played(
-        do(1, "copy_store", routers=[0]),
-        do(2, "kill", routers=[0, 1]),
-        do(2.1, "old_store", routers=[0]),
-        do(2.2, "lose_store", routers=[1]),
-        do(2.3, "start", routers=[0, 1]),
+def test_a_store_is_lost_or_restored_while_its_router_is_down() -> None:
+    run_report = run_checked(
+        action(1, "copy_store", routers=[0]),
+        action(2, "kill", routers=[0, 1]),
+        action(2.1, "old_store", routers=[0]),
+        action(2.2, "lose_store", routers=[1]),
+        action(2.3, "start", routers=[0, 1]),
         seconds=4,
         routers=3,
         store=STORE,
@@ -184,12 +200,14 @@
         "lose_store routers 1",
     ]
     faulty = run_scenario(
-        from_table({"routers": 1, "seconds": 0.5, "store": STORE, "do": [do(0.1, "lose_store", routers=[0])]})
+        from_table(
+            {"routers": 1, "seconds": 0.5, "store": STORE, "do": [action(0.1, "lose_store", routers=[0])]}
+        )
     )
     assert [fault.split(":")[0] for fault in faulty.faults] == ["script"]
 
 
-def test_a_copy_of_a_store_is_put_back_and_a_lost_one_is_gone(tmp_path: Path) -> None:
+def test_a_copy_of_a_store_is_restored_and_a_lost_store_is_removed(tmp_path: Path) -> None:
     router = RouterProcess(3, lambda slot: {}, tmp_path, {}, lambda incarnation: None)
     router.state_directory.mkdir()
     (router.state_directory / "log").write_text("old")
@@ -201,7 +219,7 @@
     assert not router.state_directory.exists()
 
 
-def test_tenants_have_rates_and_places_and_come_back_when_told() -> None:
+def test_tenants_have_rates_and_routers_and_repeat_after_the_time_in_the_answer() -> None:
     tenants = [{"name": "a", "lookups": 60, "routers": [0, 1]}, {"name": "b", "reports": 90}]
     load = {"tenants": tenants, "report_ms": 3000, "honour_later": True}
     run_report = run_scenario(from_table({"routers": 3, "seconds": 4, "load": load}))
@@ -215,15 +233,15 @@
     assert len({answer.txn for answer in run_report.answers}) == len(run_report.answers)
 
 
-def test_wires_to_engines_are_cut_slow_and_stalled_one_way_and_by_zone() -> None:
-    run_report = played(
-        do(0.5, "cut_wire", router_zones=[0], engine_zones=[1]),
-        do(1.5, "heal_wire"),
-        do(2, "stall_wire", routers=[0], engines=[0, 1], way="back"),
-        do(4, "heal_wire"),
-        do(4.2, "delay_wire", ms=20),
-        do(5, "stall_wire", routers=[1], engines=[2]),
-        do(6.5, "heal_wire"),
+def test_connections_to_engines_are_cut_delayed_and_stalled_by_direction_and_zone() -> None:
+    run_report = run_checked(
+        action(0.5, "cut_wire", router_zones=[0], engine_zones=[1]),
+        action(1.5, "heal_wire"),
+        action(2, "stall_wire", routers=[0], engines=[0, 1], way="back"),
+        action(4, "heal_wire"),
+        action(4.2, "delay_wire", ms=20),
+        action(5, "stall_wire", routers=[1], engines=[2]),
+        action(6.5, "heal_wire"),
         seconds=7,
         routers=4,
     )
@@ -231,21 +249,21 @@
     assert cut["what"] == "cut_wire wire engines router_zones 0 engine_zones 1"
 
 
-def test_the_journals_wire_is_stalled_while_an_engine_drains_and_later_cut() -> None:
-    run_report = played(
-        do(0.5, "stall_wire", wire="journal"),
-        do(1, "drain", engines=[0]),
-        do(4, "heal_wire", wire="journal"),
-        do(5, "cut_wire", wire="journal", routers=[0]),
-        do(6, "heal_wire", wire="journal"),
+def test_connections_to_the_journal_are_stalled_while_an_engine_drains_and_later_cut() -> None:
+    run_report = run_checked(
+        action(0.5, "stall_wire", connection="journal"),
+        action(1, "drain", engines=[0]),
+        action(4, "heal_wire", connection="journal"),
+        action(5, "cut_wire", connection="journal", routers=[0]),
+        action(6, "heal_wire", connection="journal"),
         seconds=7,
         routers=3,
     )
     assert sum(row["list_calls"] for row in run_report.intervals[1:]) > 0
 
 
-def test_what_a_wire_does_is_seen_at_its_ends() -> None:
-    async def ends() -> None:
+def test_cuts_stalls_and_delays_of_a_connection_take_effect_at_both_check_both_ends() -> None:
+    async def check_both_ends() -> None:
         async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while data := await reader.read(100):
                 writer.write(data)
@@ -253,74 +271,77 @@
 
         net, kept = reserve_network()
         server, port = await serve(echo)
-        wire = ProxiedConnection((f"127.{net}.64.1", 8443), lambda: (HOST, port))
-        await wire.open()
+        connection = ProxiedConnection((f"127.{net}.64.1", 8443), lambda: (HOST, port))
+        await connection.open()
 
-        async def said(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, word: bytes) -> bytes:
-            writer.write(word)
+        async def echo_of(
+            reader: asyncio.StreamReader, writer: asyncio.StreamWriter, message: bytes
+        ) -> bytes:
+            writer.write(message)
             return await asyncio.wait_for(reader.read(100), 10)
 
-        reader, writer = await asyncio.open_connection(*wire.address)
-        assert await said(reader, writer, b"a") == b"a"
+        reader, writer = await asyncio.open_connection(*connection.address)
+        assert await echo_of(reader, writer, b"a") == b"a"
         for directions in (("there",), ("back",), DIRECTIONS):
-            wire.stall(directions)
-            held = asyncio.create_task(said(reader, writer, b"b"))
-            late_reader, late_writer = await asyncio.open_connection(*wire.address)
+            connection.stall(directions)
+            held = asyncio.create_task(echo_of(reader, writer, b"b"))
+            late_reader, late_writer = await asyncio.open_connection(*connection.address)
             await asyncio.sleep(0.1)
             assert not held.done()
-            assert not wire.is_intact
-            await wire.heal()
+            assert not connection.is_intact
+            await connection.heal()
             assert await held == b"b"
-            assert await said(late_reader, late_writer, b"c") == b"c"
-        wire.delay_s["back"] = 0.2
-        began = time.monotonic()
-        assert await said(reader, writer, b"d") == b"d"
-        assert time.monotonic() - began >= 0.2
-        wire.cut()
-        lost_reader, lost_writer = await asyncio.open_connection(*wire.address)  # no refusal
-        lost = asyncio.create_task(said(lost_reader, lost_writer, b"g"))
+            assert await echo_of(late_reader, late_writer, b"c") == b"c"
+        connection.delay_s["back"] = 0.2
+        started_s = time.monotonic()
+        assert await echo_of(reader, writer, b"d") == b"d"
+        assert time.monotonic() - started_s >= 0.2
+        connection.cut()
+        # the connection is not refused
+        lost_reader, lost_writer = await asyncio.open_connection(*connection.address)
+        lost = asyncio.create_task(echo_of(lost_reader, lost_writer, b"g"))
         with pytest.raises((OSError, AssertionError)):
-            assert await said(reader, writer, b"e") == b"e"
+            assert await echo_of(reader, writer, b"e") == b"e"
         assert not lost.done()
-        await wire.heal()
+        await connection.heal()
         with pytest.raises((OSError, AssertionError)):
             assert await lost == b"g"
-        reader, writer = await asyncio.open_connection(*wire.address)
-        assert await said(reader, writer, b"f") == b"f"
-        wire.close()
+        reader, writer = await asyncio.open_connection(*connection.address)
+        assert await echo_of(reader, writer, b"f") == b"f"
+        connection.close()
         server.close()
         kept.close()
 
-    asyncio.run(ends())
+    asyncio.run(check_both_ends())
 
 
-def test_two_lives_of_one_number_at_once() -> None:
-    run_report = played(
-        do(0.5, "stop", routers=[1]),
-        do(1, "twin", routers=[1]),
-        do(4, "go_on", routers=[1]),
-        do(6, "kill", routers=[1], lives="old"),
+def test_two_processes_of_one_router_run_at_once() -> None:
+    run_report = run_checked(
+        action(0.5, "stop", routers=[1]),
+        action(1, "twin", routers=[1]),
+        action(4, "go_on", routers=[1]),
+        action(6, "kill", routers=[1], lives="old"),
         seconds=7,
         routers=3,
     )
     assert {answer.incarnation for answer in run_report.answers if answer.router == 1} == {0, 1}
 
 
-def test_a_router_whose_wall_clock_is_off_is_one_of_the_fleet() -> None:
-    played(
-        do(0.5, "clock", routers=[0], ms=200),
-        do(0.6, "clock", routers=[1], ms=-200),
-        do(1, "restart", routers=[0, 1]),
+def test_a_router_with_a_wrong_wall_clock_is_a_member_of_the_fleet() -> None:
+    run_checked(
+        action(0.5, "clock", routers=[0], ms=200),
+        action(0.6, "clock", routers=[1], ms=-200),
+        action(1, "restart", routers=[0, 1]),
         seconds=5,
         routers=3,
     )
 
 
-def test_an_engine_is_replaced_and_cold_and_operator_files_are_read_again() -> None:
-    run_report = played(
-        do(0.5, "renew", engines=[0]),
-        do(1, "reload", routers=[0], file="fleet", text="no"),
-        do(1.5, "reload", routers=[0, 1], file="fleet", text=VIEW),
+def test_an_engine_is_replaced_and_operator_files_are_reloaded() -> None:
+    run_report = run_checked(
+        action(0.5, "renew", engines=[0]),
+        action(1, "reload", routers=[0], file="fleet", text="no"),
+        action(1.5, "reload", routers=[0, 1], file="fleet", text=VIEW),
         seconds=4,
         routers=3,
         engines=2,
@@ -335,8 +356,8 @@
     ]
 
 
-def test_a_shifted_wall_clock_leaves_the_monotonic_one_alone(tmp_path: Path) -> None:
-    script = tmp_path / "told.py"
+def test_an_offset_of_the_wall_clock_does_not_change_the_monotonic_clock(tmp_path: Path) -> None:
+    script = tmp_path / "print_clocks.py"
     script.write_text("import time; print(time.time(), time.time_ns() / 1e9, time.monotonic())")
     before = time.time(), time.monotonic()
     out = subprocess.run(
@@ -351,7 +372,7 @@
     assert monotonic >= before[1]
 
 
-def test_a_jumping_clock_leaps_stands_still_and_never_goes_back(tmp_path: Path) -> None:
+def test_a_jumping_clock_jumps_ahead_stands_still_and_never_moves_backwards(tmp_path: Path) -> None:
     shown = 10_000_000
     path = tmp_path / "jump"
     write_jump(path, 0)
@@ -359,7 +380,7 @@
     assert clock() == shown
     write_jump(path, 5)
     assert clock() == shown + 5_000_000
-    write_jump(path, -1)  # 6 ms back: it stands still until true time has caught up
+    write_jump(path, -1)  # 6 ms back: the clock stands still until true time has caught up
     assert clock() == shown + 5_000_000
     shown += 4_000_000
     assert clock() == 15_000_000
@@ -367,28 +388,29 @@
     assert clock() == 16_000_000
 
 
-def test_a_machine_that_holds_up_the_loop_is_noticed() -> None:
-    async def hold() -> float:
-        machine = HostLoad(list)
-        watching = asyncio.create_task(machine.watch())
+def test_delay_of_the_event_loop_by_the_host_is_measured() -> None:
+    async def delay_loop() -> float:
+        host_load = HostLoad(list)
+        sampling = asyncio.create_task(host_load.watch())
         await asyncio.sleep(0.01)
-        began = asyncio.get_running_loop().time()
-        assert machine.host_delay_s(began - 60) == 0.0  # before the first sample: nothing is known
+        started_s = asyncio.get_running_loop().time()
+        # before the first sample there is no measurement
+        assert host_load.host_delay_s(started_s - 60) == 0.0
         time.sleep(0.8)
         await asyncio.sleep(0.3)
-        watching.cancel()
-        return machine.host_delay_s(began)
+        sampling.cancel()
+        return host_load.host_delay_s(started_s)
 
-    assert asyncio.run(hold()) > 0.4
+    assert asyncio.run(delay_loop()) > 0.4
 
 
-def test_the_scripts_that_come_with_it_can_be_read() -> None:
+def test_the_scenarios_in_the_repository_can_be_read() -> None:
     scripts = list((Path(__file__).parent.parent / "experiments").glob("rig-*.toml"))
     assert len(scripts) >= 3
     assert all(read(script).do for script in scripts)
 
 
-def test_full_service_is_found_when_it_lasts_and_not_before() -> None:
+def test_full_service_is_found_only_when_it_lasts() -> None:
     def client_request(at: float, good: bool) -> ClientRequest:
         return ClientRequest(at, "lookup", "a", 0, "served" if good else "refused", 0.1)
 
@@ -399,7 +421,8 @@
     full = service.time_to_full_service(2.0, 1.0, 6.0)
     assert full is not None
     assert 1.1 < full < 1.2
-    assert service.time_to_full_service(2.0, 1.0, 4.0) is None  # the load ends before it has lasted
+    # the load ends before full service has lasted long enough
+    assert service.time_to_full_service(2.0, 1.0, 4.0) is None
     assert (
         Service(
             [*client_requests, *(client_request(6 + n / 100, False) for n in range(200))]
@@ -420,7 +443,7 @@
     assert Service([slow]).share_in_time(0, 1) == 0.0
 
 
-def test_peaks_are_of_any_100_ms() -> None:
+def test_peaks_count_events_in_any_100_ms() -> None:
     recorder = EventRecorder()
     for at in (0.0, 0.09, 0.1, 0.15, 0.189, 5.0):
         recorder.add("connects", at)
@@ -429,8 +452,8 @@
     assert recorder.peak_count("probes", 0, 10) == 0
 
 
-def test_the_judge_finds_what_must_not_be() -> None:
-    def told(txn: str, name: str, outcome: str) -> Answer:
+def test_the_checker_finds_broken_rules() -> None:
+    def answer(txn: str, name: str, outcome: str) -> Answer:
         return Answer(txn, name, "a", 0, 0, 0.0, 0.1, outcome)
 
     run_report = RunReport()
@@ -442,12 +465,12 @@
             run_report.execution_log.record_end(engine, request)
     run_report.execution_log.runs["x"] += 20
     run_report.answers += [
-        told("r", "ticket-load", "refused"),
-        told("n", "ticket-load", "served"),
-        told("b", "ticket-load", "served"),
-        told("b", "ticket-load", "failed"),
-        told("v", "ticket-load", "refused"),
-        told("v", "ticket-load", "served"),
+        answer("r", "ticket-load", "refused"),
+        answer("n", "ticket-load", "served"),
+        answer("b", "ticket-load", "served"),
+        answer("b", "ticket-load", "failed"),
+        answer("v", "ticket-load", "refused"),
+        answer("v", "ticket-load", "served"),
     ]
     check_rules(run_report, 1)
     assert [fault.split(":")[0] for fault in run_report.faults] == [
@@ -456,13 +479,13 @@
         "served though it never ran",
         "served, then failed under the same key",
     ]
-    clean = RunReport(answers=[told("c", "ticket-load", "refused")])
+    clean = RunReport(answers=[answer("c", "ticket-load", "refused")])
     check_rules(clean, 1)
     assert clean.good
 
 
-def test_the_judge_finds_a_window_that_passes_a_quota() -> None:
-    """Five a second for 4 s, and 20 more at 2 s: each is admitted and run within 10 ms."""
+def test_the_checker_finds_a_window_that_exceeds_a_quota() -> None:
+    """Five requests per second for 4 s, and 20 more at 2 s: each is admitted and started within 10 ms."""
     run_report = RunReport(began=100.0)
     for number, at in enumerate([*(n / 5 for n in range(20)), *[2.0] * 20]):
         run_report.execution_log.record_start("s-0", f"{number}", "lookup", 100 + at + 0.01)
@@ -481,21 +504,21 @@
     ]
 
 
-def test_bounds_are_of_the_larger_plan_while_they_mix_and_then_of_the_last() -> None:
+def test_bounds_are_those_of_the_largest_plan_until_all_routers_have_the_last() -> None:
     def plan(version: int, rate: float, more: str = "") -> str:
         return (
             f'enabled = true\nversion = {version}\n{more}[[quotas]]\nname = "q"\n'
             f"rate = {rate}\nburst = {rate + 20}"
         )
 
-    def told(*reloads: tuple[float, list[int], str]) -> list[tuple[float, float, float]]:
-        """Rate, burst and beginning of each bound."""
+    def bounds_of(*reloads: tuple[float, list[int], str]) -> list[tuple[float, float, float]]:
+        """Return rate, burst and start of each bound."""
         script = from_table(
             {
                 "routers": 3,
                 "quota": plan(1, 40),
                 "do": [
-                    do(at, "reload", routers=numbers, file="quota", text=text)
+                    action(at, "reload", routers=numbers, file="quota", text=text)
                     for at, numbers, text in reloads
                 ],
             }
@@ -506,15 +529,15 @@
             for bound in quota_bounds(script)
         ]
 
-    assert told() == [(40.0, 60, 0.0)]
+    assert bounds_of() == [(40.0, 60, 0.0)]
     refused = (1, [0, 1, 2], plan(1, 90)), (1, [0, 1, 2], plan(2, 90, "reserve = 0.5\n"))
-    assert told(*refused, (1, [0, 1, 2], plan(2, -1)), (1, [0], "enabled = false")) == [(40.0, 60, 0.0)]
-    assert told((1, [0, 1], plan(2, 10)), (2, [2], plan(2, 10))) == [(40.0, 60, 0.0), (10.0, 30, 3.0)]
-    assert told((1, [0, 1], plan(2, 50))) == [(50.0, 70, 0.0)]  # a router never heard of it
+    assert bounds_of(*refused, (1, [0, 1, 2], plan(2, -1)), (1, [0], "enabled = false")) == [(40.0, 60, 0.0)]
+    assert bounds_of((1, [0, 1], plan(2, 10)), (2, [2], plan(2, 10))) == [(40.0, 60, 0.0), (10.0, 30, 3.0)]
+    assert bounds_of((1, [0, 1], plan(2, 50))) == [(50.0, 70, 0.0)]  # one router never received the plan
     assert quota_bounds(from_table({"quota": "enabled = false"})) == []
 
 
-def test_relays_find_a_life_that_sent_more_than_it_may() -> None:
+def test_the_udp_proxy_finds_a_process_that_exceeds_its_byte_budget() -> None:
     links = UdpProxy([("127.0.0.1", 1), ("127.0.0.1", 2)], Random(1))
     at = ("127.0.0.1", 1)
     links.budget_bytes_per_s = 1_000
@@ -523,21 +546,21 @@
         links.count_datagram(0, at, 256, 0.334 * step)
     assert not links.over_budget
     assert links.max_bytes_in_second == 3 * 256
-    links.count_datagram(0, at, 3_000, 9.9)  # what was kept for three seconds
+    links.count_datagram(0, at, 3_000, 9.9)  # datagrams that were held back for three seconds
     assert not links.over_budget
     assert links.max_bytes_in_second == 3_000 + 3 * 256
     links.count_datagram(0, at, 1_000, 9.9)
     assert len(links.over_budget) == 1
     assert "router 0 sent 11680 in its first 9.90 s" in links.over_budget[0]
-    links.start_incarnation(at, 9.9)  # another life
+    links.start_incarnation(at, 9.9)  # another process
     links.count_datagram(0, at, 2_000, 9.95)
     assert len(links.over_budget) == 1
     links.count_datagram(0, at, 1, 9.95)
     assert len(links.over_budget) == 2
 
 
-def test_a_life_that_was_killed_before_the_rig_read_that_it_listens_is_not_up() -> None:
-    """Guards against "takes no connection" of a router that a script kills within a moment of listening."""
+def test_a_process_killed_before_its_log_line_is_read_is_not_ready() -> None:
+    """Guards against the fault "takes no connection" for a router that is killed just after it listens."""
 
     async def read(*signals: signal.Signals) -> bool:
         seen: list[bool] = []
@@ -545,12 +568,12 @@
             0, lambda slot: {}, Path(), {}, lambda incarnation: seen.append(incarnation.ready)
         )
         incarnation = RouterIncarnation(router, 0, 0)
-        told = asyncio.StreamReader()
+        log_stream = asyncio.StreamReader()
         for number in signals:
             incarnation.signal(number)
-        told.feed_data(b"start: n0 listens at 127.0.0.1:5\n")
-        told.feed_eof()
-        await incarnation._read_log(SimpleNamespace(stderr=told))  # type: ignore[arg-type]
+        log_stream.feed_data(b"start: n0 listens at 127.0.0.1:5\n")
+        log_stream.feed_eof()
+        await incarnation._read_log(SimpleNamespace(stderr=log_stream))  # type: ignore[arg-type]
         return seen[0]
 
     assert asyncio.run(read())
@@ -559,12 +582,12 @@
     assert asyncio.run(read(signal.SIGSTOP, signal.SIGCONT))
 
 
-def test_a_router_that_stood_still_is_late_by_just_that_time() -> None:
+def test_the_time_for_which_a_router_was_stopped_is_measured() -> None:
     async def stop() -> tuple[float, float, bool]:
         router = RouterProcess(0, lambda slot: {}, Path(), {}, lambda incarnation: None)
         incarnation = RouterIncarnation(router, 0, 0)
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_s = loop.time()
         incarnation.signal(signal.SIGSTOP)
         incarnation.signal(signal.SIGSTOP)
         await asyncio.sleep(0.1)
@@ -573,7 +596,7 @@
         went_on = loop.time()
         await asyncio.sleep(0.1)
         return (
-            incarnation.stopped_s(began) - (went_on - began),
+            incarnation.stopped_s(started_s) - (went_on - started_s),
             incarnation.stopped_s(went_on),
             incarnation.is_stopped,
         )
@@ -584,7 +607,7 @@
     assert not is_stopped
 
 
-def test_the_book_finds_what_must_not_be() -> None:
+def test_the_execution_log_finds_broken_rules() -> None:
     execution_log = ExecutionLog()
     execution_log.record_start("s-0", "a", "ticket-load", 0.0)
     execution_log.record_start("s-1", "a", "ticket-load", 0.1)
@@ -614,16 +637,16 @@
         ({"routers": 0}, "routers"),
         ({"router": 3}, "router"),
         ({"load": {"lookups": -1}}, "load.lookups"),
-        ({"do": [do(1, "explode")]}, r"do\[0\].what"),
+        ({"do": [action(1, "explode")]}, r"do\[0\].what"),
         ({"load": {"tenants": [{"name": "a", "routers": [9]}]}}, r"load.tenants\[0\].routers"),
-        ({"do": [do(99, "heal")]}, r"do\[0\].at"),
-        ({"do": [do(1, "kill", routers=[7])]}, r"do\[0\].routers"),
-        ({"do": [do(1, "loss", part=2)]}, r"do\[0\].part"),
-        ({"do": [do(1, "loss")]}, r"do\[0\].part"),
-        ({"do": [do(1, "heal", routers=[0])]}, r"do\[0\].routers"),
-        ({"do": [do(1, "restart", routers=[0], after=1)]}, r"do\[0\].after"),
+        ({"do": [action(99, "heal")]}, r"do\[0\].at"),
+        ({"do": [action(1, "kill", routers=[7])]}, r"do\[0\].routers"),
+        ({"do": [action(1, "loss", part=2)]}, r"do\[0\].part"),
+        ({"do": [action(1, "loss")]}, r"do\[0\].part"),
+        ({"do": [action(1, "heal", routers=[0])]}, r"do\[0\].routers"),
+        ({"do": [action(1, "restart", routers=[0], after=1)]}, r"do\[0\].after"),
     ],
 )
-def test_a_faulty_script_is_refused_with_its_key(table: dict[str, Any], wanted: str) -> None:
+def test_a_faulty_scenario_is_rejected_with_its_key(table: dict[str, Any], wanted: str) -> None:
     with pytest.raises(ConfigError, match=wanted):
         from_table(table)
