--- a/tests/compat/test_mixed_versions.py
+++ b/tests/compat/test_mixed_versions.py
@@ -1,6 +1,6 @@
-"""Routers of 5d63481 and of this version are peers in one play of the rig.
+"""Runs routers of 5d63481 and of this version as peers in one run of the rig.
 
-``data/slipbay-5d63481.tar.xz`` is what a router of that version runs. It does not change with the program,
+``data/slipbay-5d63481.tar.xz`` holds what a router of that version runs. It does not change with the program,
 and was made by::
 
     git archive --format=tar 5d63481 slipbay martenkeel ':!slipbay/rig' ':!slipbay/emulator' | xz -9e -T1
@@ -30,7 +30,7 @@
 OLD = (0, 2)
 NEW = (1, 3)
 KILLED = (0, 3)  # one of each version
-BUSY = (0, 1)  # where clients connect, in turn: the busy one borrows of the quota from all others
+LOADED = (0, 1)  # where clients connect, one after the other: the router with load borrows from all others
 QUOTA = """enabled = true
 version = 1
 term_ms = 1000
@@ -42,7 +42,7 @@
 rate = 60.0
 burst = 24.0
 """
-SCRIPT = from_table(
+SCENARIO = from_table(
     {
         "routers": 4,
         "engines": 6,
@@ -51,7 +51,7 @@
         "settle_s": 10,
         "fleet": 'enabled = true\nkey_file = "key"',
         "channel": "enabled = true",
-        "comeback": "enabled = true\nanswer_ms = 300",  # a busy machine answers late
+        "comeback": "enabled = true\nanswer_ms = 300",  # on a busy host answers are late
         "quota": QUOTA,
         "load": {
             "lookup_ms": 4,
@@ -62,98 +62,100 @@
             ],
         },
         "do": [
-            # one after the other, so that each has three routers in full service to ask
+            # one after the other, so that each restarted router has three routers in full service to query
             {"at": 2, "what": "restart", "routers": [KILLED[0]], "after_s": 0.5},
             {"at": 9, "what": "restart", "routers": [KILLED[1]], "after_s": 0.5},
         ],
     }
 )
-BAD = ("garbled", "skipped", "foreign", "another layout")  # counts of datagrams that were not understood
+UNUSABLE = ("garbled", "skipped", "foreign", "another layout")  # counts of datagrams that could not be used
 
 
 @dataclass
-class Seen:
-    """What the routers of a play told of themselves, by number."""
+class RouterReports:
+    """What the routers of a run reported about themselves, by number."""
 
     views: dict[int, dict[str, Any]] = field(default_factory=dict)
     channels: dict[int, dict[str, Any]] = field(default_factory=dict)
     quotas: dict[int, dict[str, Any]] = field(default_factory=dict)
     comebacks: dict[int, dict[str, Any]] = field(default_factory=dict)
-    bad: Counter[tuple[int, str]] = field(default_factory=Counter)
-    """The most of each router and kind, over its lives."""
+    unusable: Counter[tuple[int, str]] = field(default_factory=Counter)
+    """The highest count of each router and kind, over all of its processes."""
     borrowed: set[tuple[int, int]] = field(default_factory=set)
-    """Who borrowed of whom at any time, as borrowers told it."""
+    """Pairs of borrower and lender at any time, as borrowers reported them."""
     lent: set[tuple[int, int]] = field(default_factory=set)
-    """The same as lenders told it."""
+    """The same pairs as lenders reported them."""
     lines: dict[int, list[str]] = field(default_factory=dict)
-    mute: list[int] = field(default_factory=list)
-    """Those that did not answer when the load was over."""
+    unresponsive: list[int] = field(default_factory=list)
+    """Routers that did not answer after the load."""
 
 
 class WatchedRig(Rig):
-    """Asks its routers for what they hold, during the load and once their views are right."""
+    """Queries the status of its routers during the load and once their views are correct."""
 
-    def __init__(self, script: Scenario, folder: Path, old: Path) -> None:
+    def __init__(self, script: Scenario, folder: Path, old_source: Path) -> None:
         super().__init__(script, folder)
-        self.seen = Seen()
+        self.reports = RouterReports()
         for number in OLD:
-            self.routers[number].source_directory = old
+            self.routers[number].source_directory = old_source
 
     async def watch(self) -> None:
-        """Until it is cancelled. A router that is down does not answer."""
+        """Query all routers until cancelled. A router that is down does not answer."""
         while True:
             await asyncio.sleep(0.2)
             for router in self.routers:
                 if router.ready:
                     try:
-                        await self._ask(router.number)
+                        await self._query_status(router.number)
                     except (OSError, status_pages.NoAnswerError):
                         continue
 
-    async def _ask(self, number: int) -> None:
+    async def _query_status(self, number: int) -> None:
         address = self.real[number]
-        seen = self.seen
-        seen.views[number] = await asyncio.to_thread(status_client.ask, address)
-        seen.channels[number] = await asyncio.to_thread(status_pages.ask, address, status_pages.question(0))
-        seen.quotas[number] = await asyncio.to_thread(
+        reports = self.reports
+        reports.views[number] = await asyncio.to_thread(status_client.ask, address)
+        reports.channels[number] = await asyncio.to_thread(
+            status_pages.ask, address, status_pages.question(0)
+        )
+        reports.quotas[number] = await asyncio.to_thread(
             status_pages.ask, address, status_pages.question(FrameKind.QUOTA)
         )
-        seen.comebacks[number] = await asyncio.to_thread(
+        reports.comebacks[number] = await asyncio.to_thread(
             status_pages.ask, address, status_pages.question(FrameKind.COMEBACK)
         )
-        quota = seen.quotas[number]["quotas"]["fuel"]
-        seen.borrowed |= {(number, int(lender)) for lender in quota["borrowed"]}
-        seen.lent |= {(int(borrower), number) for borrower in quota["lent"]}
-        told = {
-            "view": seen.views[number]["counts"],
-            "channel": seen.channels[number],
-            "quota": seen.quotas[number]["counts"],
+        quota = reports.quotas[number]["quotas"]["fuel"]
+        reports.borrowed |= {(number, int(lender)) for lender in quota["borrowed"]}
+        reports.lent |= {(int(borrower), number) for borrower in quota["lent"]}
+        counts_by_part = {
+            "view": reports.views[number]["counts"],
+            "channel": reports.channels[number],
+            "quota": reports.quotas[number]["counts"],
         }
-        for part, counts in told.items():
-            for kind in BAD:
+        for part, counts in counts_by_part.items():
+            for kind in UNUSABLE:
                 key = number, f"{part}: {kind}"
-                seen.bad[key] = max(seen.bad[key], counts.get(kind, 0))
+                reports.unusable[key] = max(reports.unusable[key], counts.get(kind, 0))
 
     async def _check_views(self) -> None:
         await super()._check_views()
         for router in self.routers:
             try:
-                await self._ask(router.number)
+                await self._query_status(router.number)
             except (OSError, status_pages.NoAnswerError):
-                self.seen.mute.append(router.number)
+                self.reports.unresponsive.append(router.number)
 
-    async def watched(self) -> RunReport:
-        watching = asyncio.create_task(self.watch())
+    async def execute_watched(self) -> RunReport:
+        watch_task = asyncio.create_task(self.watch())
         try:
             run_report = await self.execute()
         finally:
-            watching.cancel()
-        self.seen.lines = {router.number: router.lines for router in self.routers}
+            watch_task.cancel()
+        self.reports.lines = {router.number: router.lines for router in self.routers}
         return run_report
 
 
 @pytest.fixture(scope="module")
-def old(tmp_path_factory: pytest.TempPathFactory) -> Path:
+def old_source(tmp_path_factory: pytest.TempPathFactory) -> Path:
     """The source tree of the earlier version."""
     folder = tmp_path_factory.mktemp("old")
     with tarfile.open(ARCHIVE) as archive:
@@ -162,14 +164,16 @@
 
 
 @pytest.fixture(scope="module")
-def played(old: Path, tmp_path_factory: pytest.TempPathFactory) -> tuple[RunReport, Seen]:
-    rig = WatchedRig(SCRIPT, tmp_path_factory.mktemp("mixed"), old)
-    run_report = asyncio.run(rig.watched())
-    return run_report, rig.seen
+def mixed_run(old_source: Path, tmp_path_factory: pytest.TempPathFactory) -> tuple[RunReport, RouterReports]:
+    rig = WatchedRig(SCENARIO, tmp_path_factory.mktemp("mixed"), old_source)
+    run_report = asyncio.run(rig.execute_watched())
+    return run_report, rig.reports
 
 
-def test_a_router_with_a_source_runs_that_alone(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Though the rig, as a test does, runs in a folder that has a slipbay too."""
+def test_a_router_with_a_source_directory_runs_only_that(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Guards against imports from the working directory of the rig, as that has a slipbay package too."""
     tree = tmp_path / "tree"
     for folder in (tree, tmp_path):
         package = folder / "slipbay"
@@ -189,55 +193,64 @@
     assert asyncio.run(lines_of(None)) == [f"{tmp_path}/slipbay/__main__.py"]
 
 
-def test_the_verdict_is_clean_and_both_versions_serve(played: tuple[RunReport, Seen]) -> None:
-    run_report, seen = played
+def test_all_rules_hold_and_both_versions_serve(mixed_run: tuple[RunReport, RouterReports]) -> None:
+    run_report, reports = mixed_run
     assert run_report.good, (run_report.faults, run_report.timeline, run_report.starved)
-    assert not seen.mute, seen.mute
+    assert not reports.unresponsive, reports.unresponsive
     served = Counter(answer.router for answer in run_report.answers if answer.outcome == "served")
-    assert all(served[number] > 50 for number in BUSY), served
+    assert all(served[number] > 50 for number in LOADED), served
 
 
-def test_every_router_sees_all_others_alive(played: tuple[RunReport, Seen]) -> None:
-    _, seen = played
+def test_every_router_sees_all_others_alive(mixed_run: tuple[RunReport, RouterReports]) -> None:
+    _, reports = mixed_run
     for number in range(4):
-        view = seen.views[number]
+        view = reports.views[number]
         assert view["living"] == 4, view
         assert not view["suspect"] and not view["gone"] and not view["left"], view
         assert view["shares_of"] == 4, view
 
 
-def test_no_datagram_is_garbled_unknown_or_foreign(played: tuple[RunReport, Seen]) -> None:
-    _, seen = played
-    assert not +seen.bad, +seen.bad
-    assert len(seen.bad) == 4 * 3 * len(BAD)  # all were asked
+def test_no_datagram_is_garbled_unknown_or_foreign(mixed_run: tuple[RunReport, RouterReports]) -> None:
+    _, reports = mixed_run
+    assert not +reports.unusable, +reports.unusable
+    assert len(reports.unusable) == 4 * 3 * len(UNUSABLE)  # all routers were queried
     for number in range(4):
-        kinds = seen.channels[number]["kinds"]
-        assert seen.views[number]["counts"]["received"] > 10
+        kinds = reports.channels[number]["kinds"]
+        assert reports.views[number]["counts"]["received"] > 10
         assert kinds["quota"]["received"] > 10
         assert kinds["comeback"]["received"] > 0
 
 
 def test_versions_borrow_from_each_other_and_no_window_passes_the_quota(
-    played: tuple[RunReport, Seen],
+    mixed_run: tuple[RunReport, RouterReports],
 ) -> None:
-    run_report, seen = played
-    for loans in (seen.borrowed, seen.lent):
-        assert any(borrower in OLD and lender in NEW for borrower, lender in loans), loans
-        assert any(borrower in NEW and lender in OLD for borrower, lender in loans), loans
+    run_report, reports = mixed_run
+    for borrower_lender_pairs in (reports.borrowed, reports.lent):
+        assert any(borrower in OLD and lender in NEW for borrower, lender in borrower_lender_pairs), (
+            borrower_lender_pairs
+        )
+        assert any(borrower in NEW and lender in OLD for borrower, lender in borrower_lender_pairs), (
+            borrower_lender_pairs
+        )
     row = run_report.quotas[0]
     assert len(run_report.quotas) == 1
     assert row["quota"] == "fuel"
     assert 0 < row["worst"] <= row["bound"], row
     for number in range(4):
-        assert seen.quotas[number]["versions"] in ([], [1]), seen.quotas[number]
+        assert reports.quotas[number]["versions"] in ([], [1]), reports.quotas[number]
 
 
-def test_those_that_were_killed_come_back_by_what_others_tell(played: tuple[RunReport, Seen]) -> None:
-    _, seen = played
+def test_restarted_routers_use_peer_estimates_of_the_other_version(
+    mixed_run: tuple[RunReport, RouterReports],
+) -> None:
+    _, reports = mixed_run
     for number in range(4):
-        assert seen.comebacks[number]["phase"] == "full", seen.comebacks[number]
-    for number in KILLED:  # of the three others two run the other version, so two that answered include one
-        told = [
-            line for line in seen.lines[number] if re.search("comeback: hand-over from [23]: .* used", line)
+        assert reports.comebacks[number]["phase"] == "full", reports.comebacks[number]
+    # Two of the three other routers run the other version, so two that answered include at least one.
+    for number in KILLED:
+        used_lines = [
+            line
+            for line in reports.lines[number]
+            if re.search("comeback: hand-over from [23]: .* used", line)
         ]
-        assert told, "\n".join(line for line in seen.lines[number] if "comeback" in line)
+        assert used_lines, "\n".join(line for line in reports.lines[number] if "comeback" in line)
