--- a/slipbay/emulator/gather.py
+++ b/slipbay/emulator/gather.py
@@ -189,6 +189,7 @@
     world: World
 
     def part_sent(self, now: int, position: int, engine: str, condition: EngineCondition) -> None:
+        """Record that a part was sent, with its true curve."""
         super().part_sent(now, position, engine, condition)
         world = self.world
         curve, shift = world.true_curve(self._scattered.groups[position], world.names.index(engine))
@@ -217,6 +218,7 @@
         self.world = world
 
     def start_query(self, now: int, scattered: ScatteredClass, deadline: int) -> LearnedStoppingRule:
+        """Return the rule of a new query."""
         learned_rule = super().start_query(now, scattered, deadline)
         rule = OracleStoppingRule(self, now, scattered, learned_rule._table, _CERTAIN, deadline, False)
         rule.world = self.world
@@ -226,6 +228,7 @@
 
 class _CertainLatency(ClassLatency):
     def effective_sample_size(self) -> float:
+        """Return a size at which the estimates count as certain."""
         return 1e9
 
 
@@ -262,6 +265,7 @@
         elapsed_us: int,
         is_complete: bool,
     ) -> int:
+        """Record the latency of a complete part; ignore any other part."""
         return super().record(now, group, engine, shift, elapsed_us, True) if is_complete else 0
 
 
