--- a/slipbay/backends/http.py
+++ b/slipbay/backends/http.py
@@ -17,7 +17,7 @@
 from slipbay.core.timers import Timers
 from slipbay.log import log
 from slipbay.policy.events import EngineId, EngineState, ListKind, Outcome
-from slipbay.stream import Dialer
+from slipbay.stream import Connector
 from slipbay.wire import http1
 
 SWEEP_US = 1_000_000
@@ -29,15 +29,20 @@
     wire = WIRE
 
     def __init__(
-        self, config: Config, timers: Timers, dialer: Dialer, sockets: SocketBudget, now: Callable[[], int]
+        self,
+        config: Config,
+        timers: Timers,
+        connector: Connector,
+        sockets: SocketBudget,
+        now: Callable[[], int],
     ) -> None:
         self._config = config
         self.timers = timers
         self.now = now
         self.exact = now  # the current time, which may be later than the time of this turn of the loop
-        self._dialer = dialer
+        self._connector = connector
         self._sockets = sockets
-        self.call_soon = dialer.loop.call_soon
+        self.call_soon = connector.loop.call_soon
         self.classes = config.classes
         self._pools: dict[EngineId, Pool[HttpConnection]] = {}
         self._ready_at_us: dict[EngineId, int] = {}
@@ -57,7 +62,7 @@
                     engine,
                     host.address,
                     self._connection,
-                    self._dialer,
+                    self._connector,
                     self.timers,
                     self._sockets,
                     self.now,
--- a/slipbay/backends/mysql.py
+++ b/slipbay/backends/mysql.py
@@ -14,7 +14,7 @@
 from slipbay.core.timers import Timers
 from slipbay.log import log
 from slipbay.policy.events import EngineId, EngineState, ListKind, NoteKind, Outcome
-from slipbay.stream import Dialer
+from slipbay.stream import Connector
 from slipbay.wire import mysql
 
 SWEEP_US = 1_000_000
@@ -30,7 +30,7 @@
         config: Config,
         mysql_config: MysqlConfig,
         timers: Timers,
-        dialer: Dialer,
+        connector: Connector,
         sockets: SocketBudget,
         now: Callable[[], int],
     ) -> None:
@@ -45,7 +45,7 @@
                 engine,
                 address,
                 self._connection,
-                dialer,
+                connector,
                 timers,
                 sockets,
                 now,
--- a/slipbay/backends/pool.py
+++ b/slipbay/backends/pool.py
@@ -12,7 +12,7 @@
 from slipbay.core.timers import Timer, Timers
 from slipbay.log import log
 from slipbay.policy.events import EngineId
-from slipbay.stream import Dial, Dialer, Stream
+from slipbay.stream import Connector, PendingConnect, Stream
 
 SWEEP_US = 1_000_000
 MAX_EVICTED_PER_TURN = 8  # idle connections evicted per turn of the loop; they hold descriptors until its end
@@ -108,7 +108,7 @@
         self.done = done
         self.failed = failed
         self.started_us = started_us
-        self.dial: Dial | None = None
+        self.pending_connect: PendingConnect | None = None
         self.stream: C | None = None
         self.timer: Timer | None = None
         self.connects = 0
@@ -125,8 +125,8 @@
     def cancel(self) -> None:
         """Stop waiting, and abort the connection that is being opened."""
         if self.finish():
-            if self.dial is not None:
-                self.dial.give_up()
+            if self.pending_connect is not None:
+                self.pending_connect.abandon()
             if self.stream is not None:
                 self.stream.pool.discard(self.stream)
 
@@ -139,7 +139,7 @@
         engine: EngineId,
         address: Address,
         create_stream: Callable[[Pool[C]], C],
-        dialer: Dialer,
+        connector: Connector,
         timers: Timers,
         sockets: SocketBudget,
         now: Callable[[], int],
@@ -149,7 +149,7 @@
         self.engine = engine
         self.address = address
         self._create_stream = create_stream
-        self._dialer = dialer
+        self._connector = connector
         self._timers = timers
         self._sockets = sockets
         self.now = now
@@ -207,7 +207,7 @@
         self._sockets.used += 1
         stream.on_usable = lambda: self._deliver(pending, stream)
         stream.on_broken = lambda: self._fail(pending, stream.failure)
-        pending.dial = self._dialer.dial(
+        pending.pending_connect = self._connector.connect(
             self.address,
             stream,
             self._connect_timeout_us,
@@ -242,8 +242,8 @@
                 self.discard(pending.stream)
             self._open_stream(pending)
         elif pending.finish():
-            if pending.dial is not None:
-                pending.dial.give_up()
+            if pending.pending_connect is not None:
+                pending.pending_connect.abandon()
             if pending.stream is not None:
                 self.discard(pending.stream)
             is_alive = failure is ConnectFailure.TIMED_OUT and self._last_answer_us >= pending.started_us
--- a/slipbay/discovery/endpoint_watch.py
+++ b/slipbay/discovery/endpoint_watch.py
@@ -19,7 +19,7 @@
 from slipbay.discovery.watch_events import EndpointListReader, Heartbeat, ListChange, UnreadableEventError
 from slipbay.log import log
 from slipbay.policy.events import ListKind
-from slipbay.stream import Dial, Dialer, Stream
+from slipbay.stream import Connector, PendingConnect, Stream
 from slipbay.wire.lines import Lines, LineTooLongError
 
 MAX_LINE_BYTES = 4 * 1024 * 1024
@@ -58,9 +58,11 @@
     A lost connection delays events and loses none: the watch resumes after the last event that it has.
     """
 
-    def __init__(self, config: Config, timers: Timers, dialer: Dialer, notify: EndpointListener) -> None:
+    def __init__(
+        self, config: Config, timers: Timers, connector: Connector, notify: EndpointListener
+    ) -> None:
         self._timers = timers
-        self._dialer = dialer
+        self._connector = connector
         self._notify = notify
         self._address = config.journal
         self._initial_events = config.known
@@ -68,7 +70,7 @@
         self.pos = 0
         self._gap: WatchGap | None = None
         self._stream: _WatchStream | None = None
-        self._pending_dial: Dial | None = None
+        self._pending_connect: PendingConnect | None = None
         self._timer: Timer | None = None
         self._random = Random(config.seed)
         self._failures = 0  # connections in a row without an event
@@ -92,7 +94,7 @@
 
     def _connect(self) -> None:
         self._stream = _WatchStream(self)
-        self._pending_dial = self._dialer.dial(
+        self._pending_connect = self._connector.connect(
             self._address, self._stream, CONNECT_TIMEOUT_US, lambda _error: self._schedule_reconnect()
         )
         self._restart_silence_timer()
@@ -119,8 +121,8 @@
         self._stream = None
         if self._timer is not None:
             self._timer.cancel()
-        if self._pending_dial is not None:
-            self._pending_dial.give_up()
+        if self._pending_connect is not None:
+            self._pending_connect.abandon()
         if stream is not None:
             stream.abort()
 
--- a/slipbay/router.py
+++ b/slipbay/router.py
@@ -31,7 +31,7 @@
 from slipbay.peers.udp import PeerSocket
 from slipbay.policy import Controller
 from slipbay.policy.events import EngineList, EstimatesRestored, FleetSize, ListKind, PeerMessage
-from slipbay.stream import Dialer
+from slipbay.stream import Connector
 
 if TYPE_CHECKING:
     from slipbay.idempotency.coordinator import IdempotencyCoordinator
@@ -74,7 +74,7 @@
         self._has_endpoints = False
         self.clock = Clock(loop)
         self.timers = Timers(loop, self.clock)
-        self.dialer = Dialer(loop, self.timers)
+        self.connector = Connector(loop, self.timers)
         self.policy = Controller(config.settings, config.seed)
         self.dispatcher = Dispatcher(
             loop,
@@ -90,7 +90,7 @@
         sockets = SocketBudget(config.limits.engine_sockets)
         self.http_backend = self._make_http_backend(sockets)
         self.mysql_backend = self._make_mysql_backend(sockets)
-        self.endpoint_watch = EndpointWatch(config, self.timers, self.dialer, self._endpoints_changed)
+        self.endpoint_watch = EndpointWatch(config, self.timers, self.connector, self._endpoints_changed)
         self.peers = PeerSocket(
             config, lambda sender, body: self.dispatcher.notify(PeerMessage(sender, body))
         )
@@ -111,7 +111,7 @@
     # Parts that every router has
 
     def _make_http_backend(self, sockets: SocketBudget) -> HttpBackend:
-        backend = HttpBackend(self.config, self.timers, self.dialer, sockets, self.clock.now)
+        backend = HttpBackend(self.config, self.timers, self.connector, sockets, self.clock.now)
         backend.exact = self.clock.exact
         self.dispatcher.backends.append(backend)
         return backend
@@ -120,7 +120,7 @@
         mysql = self.config.mysql
         if mysql is None:
             return None
-        backend = MysqlBackend(self.config, mysql, self.timers, self.dialer, sockets, self.clock.now)
+        backend = MysqlBackend(self.config, mysql, self.timers, self.connector, sockets, self.clock.now)
         self.dispatcher.backends.append(backend)
         return backend
 
--- a/slipbay/stream.py
+++ b/slipbay/stream.py
@@ -146,22 +146,27 @@
         """``congested`` has changed."""
 
 
-class Dial:
-    """One pending connect. It ends exactly once: by success, by ``failed`` or by ``give_up``."""
+class PendingConnect:
+    """One pending connect. It ends exactly once: by success, by ``failed`` or by ``abandon``."""
 
     def __init__(
-        self, dialer: Dialer, address: Address, stream: Stream, timeout_us: int, failed: Callable[[int], None]
+        self,
+        connector: Connector,
+        address: Address,
+        stream: Stream,
+        timeout_us: int,
+        failed: Callable[[int], None],
     ) -> None:
-        self._dialer = dialer
+        self._connector = connector
         self._stream = stream
         self._failed = failed
         self._is_pending = True
         self._sock: socket.socket | None = None
         error = self._connect(address)
         self._timer = (
-            dialer.timers.after(0, lambda: self._fail(error))
+            connector.timers.after(0, lambda: self._fail(error))
             if error
-            else dialer.timers.after(timeout_us, lambda: self._fail(errno.ETIMEDOUT))
+            else connector.timers.after(timeout_us, lambda: self._fail(errno.ETIMEDOUT))
         )
 
     def _connect(self, address: Address) -> int:
@@ -175,7 +180,7 @@
             error = self._sock.connect_ex(address)
             if error not in CONNECT_STARTED:
                 return error
-            self._dialer.loop.add_writer(self._sock.fileno(), self._writable)
+            self._connector.loop.add_writer(self._sock.fileno(), self._writable)
         except OSError as problem:
             return problem.errno or errno.EIO
         return 0
@@ -184,7 +189,7 @@
         self._is_pending = False
         self._timer.cancel()
         if self._sock is not None:
-            self._dialer.loop.remove_writer(self._sock.fileno())
+            self._connector.loop.remove_writer(self._sock.fileno())
 
     def _writable(self) -> None:
         if self._sock is None:
@@ -194,21 +199,21 @@
             self._fail(error)
         else:
             self._stop_polling()
-            self._dialer.hand_over(self._stream, self._sock)
+            self._connector.hand_over(self._stream, self._sock)
 
     def _fail(self, error: int) -> None:
-        self.give_up()
+        self.abandon()
         self._failed(error)
 
-    def give_up(self) -> None:
-        """Cancel the connect. No effect after success or failure; then the caller aborts the stream."""
+    def abandon(self) -> None:
+        """Abandon the connect. No effect after success or failure; then the caller aborts the stream."""
         if self._is_pending:
             self._stop_polling()
             if self._sock is not None:
                 self._sock.close()
 
 
-class Dialer:
+class Connector:
     """Opens connections. asyncio creates transports only in coroutines, so each connection has a task until
     its transport exists: a single task would create them one after another, and a turn of the loop is long in
     a busy process."""
@@ -217,10 +222,12 @@
         self.loop = loop
         self.timers = timers
 
-    def dial(self, address: Address, stream: Stream, timeout_us: int, failed: Callable[[int], None]) -> Dial:
+    def connect(
+        self, address: Address, stream: Stream, timeout_us: int, failed: Callable[[int], None]
+    ) -> PendingConnect:
         """Start to connect. Later ``stream.opened`` or ``failed(errno)`` is called, but neither within this
-        call nor after the connect is cancelled."""
-        return Dial(self, address, stream, timeout_us, failed)
+        call nor after the connect is abandoned."""
+        return PendingConnect(self, address, stream, timeout_us, failed)
 
     def hand_over(self, stream: Stream, sock: socket.socket) -> None:
         """Create the transport of a connected socket, in a separate task."""
--- a/tests/exchange_models.py
+++ b/tests/exchange_models.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 from typing import Any, Protocol
 
-from fakes import FakeDialer, FakeLoop, FakeTransport
+from fakes import FakeConnector, FakeLoop, FakeTransport
 
 from slipbay.backends.http import HttpBackend
 from slipbay.backends.http_exchange import HttpExchange
@@ -144,7 +144,7 @@
         self.sent_other_statement = False
         self.stopped: Outcome | None = None
         self.loop = FakeLoop()
-        self.dialer = FakeDialer(self.loop, self.written)
+        self.connector = FakeConnector(self.loop, self.written)
         self.sockets = SocketBudget(8)
         self.in_transit: list[tuple[FakeTransport, str]] = []  # written, but not received by the engine
         self.calls: list[tuple[FakeTransport, str]] = []  # received by the engine, but not answered
@@ -158,13 +158,13 @@
 
     @property
     def idle(self) -> bool:
-        return not (self.calls or self.in_transit or self.dialer.waiting)
+        return not (self.calls or self.in_transit or self.connector.waiting)
 
     def moves(self) -> Moves:
         moves: Moves = {}
         if self.in_transit:
             moves["arrive"] = lambda draw: self.arrive(draw(range(10)))
-        if self.dialer.waiting:
+        if self.connector.waiting:
             moves["connect"] = lambda draw: self.connect()
             moves["die"] = lambda draw: self.die()
             moves["reset"] = lambda draw: self.reset()
@@ -197,30 +197,30 @@
         self.call_arrived(transport, call)
 
     def connect(self) -> None:
-        self.dialer.accept(0)
+        self.connector.accept(0)
         self.loop.settle()
 
     def refuse(self) -> None:
         """The engine refuses, as it is at its connection limit; this proves nothing about the query. Not
         modelled: the engine breaks the connection and accepts another router before this one reconnects."""
-        self.dialer.refuse(0)
+        self.connector.refuse(0)
         self.loop.settle()
 
     def die(self) -> None:
         """The process ends, and with it the query and all connections."""
-        for transport in self.dialer.transports:
+        for transport in self.connector.transports:
             transport.close()
         self.calls.clear()
         self.in_transit.clear()
         self.process_ended()
         self.loop.settle()
-        if self.dialer.waiting:
-            self.dialer.refuse(0)
+        if self.connector.waiting:
+            self.connector.refuse(0)
         self.loop.settle()
 
     def reset(self) -> None:
         """A new connection is reset; this proves nothing about the query."""
-        self.dialer.refuse(0, errno.ECONNRESET)
+        self.connector.refuse(0, errno.ECONNRESET)
         self.loop.settle()
 
     def deliver(self, transport: FakeTransport, data: bytes) -> None:
@@ -243,7 +243,7 @@
     def serve(self, us: int) -> None:
         end = self.loop.us + us
         while self.loop.us < end:
-            while self.dialer.waiting:
+            while self.connector.waiting:
                 self.connect()
             while self.in_transit:
                 self.arrive(0)
@@ -270,8 +270,8 @@
         self.posted = 0  # when the POST was written
         self.hidden = False  # the query runs, but calls reach a new process that does not have it
         config: Any = SimpleNamespace(classes=("lookup",), connect_timeout_us=250_000, idle_us=30_000_000)
-        dialer: Any = self.dialer
-        backend = HttpBackend(config, self.loop.timers, dialer, self.sockets, self.loop.now)
+        connector: Any = self.connector
+        backend = HttpBackend(config, self.loop.timers, connector, self.sockets, self.loop.now)
         entry: Any = SimpleNamespace(engine=ENGINE, state=EngineState.READY, ready_at_us=0)
         backend.endpoints_changed(ListKind.CACHED, [Endpoint(entry, ("127.0.0.1", 1))])
         self.begin(backend, b"SELECT 1")
@@ -340,7 +340,7 @@
         if stop:
             self.stop()
         self.loop.advance(UNREACHABLE_AFTER_US + 50_000)
-        for transport in self.dialer.transports:
+        for transport in self.connector.transports:
             transport.close()
         self.calls.clear()
         self.in_transit.clear()
@@ -391,7 +391,7 @@
         super().__init__(check)
         pool = self.backend._pools[ENGINE]
         pool.acquire(lambda stream: stream.release(), lambda trouble: None)
-        self.dialer.accept(1)
+        self.connector.accept(1)
         self.loop.settle()
 
 
@@ -439,15 +439,15 @@
         login: Any = SimpleNamespace(
             engines={ENGINE: ("127.0.0.1", 1)}, engine_password=b"oil", engine_user="router", schema=""
         )
-        dialer: Any = self.dialer
-        backend = MysqlBackend(config, login, self.loop.timers, dialer, self.sockets, self.loop.now)
+        connector: Any = self.connector
+        backend = MysqlBackend(config, login, self.loop.timers, connector, self.sockets, self.loop.now)
         if before:
             self.check = accept_any
             for _ in range(2):  # the second prepare closes the statement number of the first
                 self.begin(backend, PREPARE)
                 self.serve(5_000)
             if before == "elsewhere":
-                self.dialer.transports[0].close()
+                self.connector.transports[0].close()
                 self.loop.settle()
             self.check = check
             self.end = ""
@@ -482,7 +482,7 @@
         return moves
 
     def connect(self) -> None:
-        transport = self.dialer.accept(0)
+        transport = self.connector.accept(0)
         self.last_thread += 1
         self.threads[transport] = self.last_thread
         self.deliver(
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -128,7 +128,7 @@
         return b""
 
 
-class FakeDialer:
+class FakeConnector:
     """Connections come up, are refused or stay silent as the test says."""
 
     def __init__(self, loop: FakeLoop, take: Callable[[FakeTransport, bytes], None]) -> None:
@@ -137,19 +137,21 @@
         self.waiting: list[tuple[Stream, Callable[[int], None]]] = []
         self.transports: list[FakeTransport] = []
 
-    def dial(
+    def connect(
         self, address: object, stream: Stream, timeout_us: int, failed: Callable[[int], None]
-    ) -> FakeDialer.One:
+    ) -> FakeConnector.One:
         self.waiting.append((stream, failed))
-        return FakeDialer.One(self, stream)
+        return FakeConnector.One(self, stream)
 
     class One:
-        def __init__(self, dialer: FakeDialer, stream: Stream) -> None:
-            self._dialer = dialer
+        def __init__(self, connector: FakeConnector, stream: Stream) -> None:
+            self._connector = connector
             self._stream = stream
 
-        def give_up(self) -> None:
-            self._dialer.waiting = [item for item in self._dialer.waiting if item[0] is not self._stream]
+        def abandon(self) -> None:
+            self._connector.waiting = [
+                item for item in self._connector.waiting if item[0] is not self._stream
+            ]
 
     def accept(self, index: int, sock: QuietSocket | None = None) -> FakeTransport:
         stream, _ = self.waiting.pop(index)
--- a/tests/test_dial.py
+++ b/tests/test_dial.py
@@ -15,7 +15,7 @@
 
 from slipbay.clock import Clock
 from slipbay.core.timers import Timers
-from slipbay.stream import Dial, Dialer, Stream
+from slipbay.stream import Connector, PendingConnect, Stream
 
 BROADCAST = ("255.255.255.255", 9)  # connect() fails immediately: nothing is sent
 REFUSED = (errno.EACCES, errno.ENETUNREACH)  # with a network, and without one
@@ -37,9 +37,9 @@
         self.log.append("ended")
 
 
-def make_dialer() -> Dialer:
+def make_connector() -> Connector:
     loop = asyncio.get_running_loop()
-    return Dialer(loop, Timers(loop, Clock(loop)))
+    return Connector(loop, Timers(loop, Clock(loop)))
 
 
 @contextmanager
@@ -60,7 +60,7 @@
     async def test() -> None:
         errors: list[int] = []
         stream = RecordingStream()
-        make_dialer().dial(BROADCAST, stream, LONG_US, errors.append)
+        make_connector().connect(BROADCAST, stream, LONG_US, errors.append)
         assert not errors  # never within the call
         await until(lambda: bool(errors or stream.log))
         assert len(errors) == 1
@@ -71,22 +71,24 @@
 
 
 @pytest.mark.parametrize("what", ["connect", "descriptors"])
-def test_a_connect_that_failed_immediately_and_is_cancelled_reports_no_failure(what: str) -> None:
+def test_a_connect_that_failed_immediately_and_is_abandoned_reports_no_failure(what: str) -> None:
     """Guards against a reported failure of a connection that its owner has already replaced."""
 
     async def test() -> None:
         errors: list[int] = []
-        dialer = make_dialer()
+        connector = make_connector()
         if what == "connect":
-            dial: Dial | None = dialer.dial(BROADCAST, RecordingStream(), LONG_US, errors.append)
+            pending: PendingConnect | None = connector.connect(
+                BROADCAST, RecordingStream(), LONG_US, errors.append
+            )
         else:
             with no_descriptors():
-                dial = dialer.dial((HOST, 9), RecordingStream(), LONG_US, errors.append)
-        assert dial is not None
-        dial.give_up()
+                pending = connector.connect((HOST, 9), RecordingStream(), LONG_US, errors.append)
+        assert pending is not None
+        pending.abandon()
         last: list[int] = []
         # Its failure is reported after all earlier ones
-        dialer.dial(BROADCAST, RecordingStream(), LONG_US, last.append)
+        connector.connect(BROADCAST, RecordingStream(), LONG_US, last.append)
         await until(lambda: bool(last))
         assert not errors
 
@@ -96,15 +98,15 @@
 def test_without_a_descriptor_a_connect_fails_soon_and_the_next_one_may_succeed() -> None:
     async def test() -> None:
         errors: list[int] = []
-        dialer = make_dialer()
+        connector = make_connector()
         stream = RecordingStream()
         with listener() as server:
             with no_descriptors():
-                dialer.dial(server.getsockname(), RecordingStream(), LONG_US, errors.append)
+                connector.connect(server.getsockname(), RecordingStream(), LONG_US, errors.append)
             assert not errors
             await until(lambda: bool(errors))
             assert errors == [errno.EMFILE]
-            dialer.dial(server.getsockname(), stream, LONG_US, errors.append)
+            connector.connect(server.getsockname(), stream, LONG_US, errors.append)
             await until(lambda: stream.log == ["opened"])
             stream.abort()
             await until(lambda: stream.lost)
@@ -115,10 +117,12 @@
 def test_a_connect_that_succeeds_and_times_out_in_one_turn_ends_once() -> None:
     async def test() -> None:
         errors: list[int] = []
-        dialer = make_dialer()
+        connector = make_connector()
         stream = RecordingStream()
         with listener() as server:
-            dialer.dial(server.getsockname(), stream, 0, errors.append)  # on loopback it succeeds immediately
+            connector.connect(
+                server.getsockname(), stream, 0, errors.append
+            )  # on loopback it succeeds immediately
             await until(lambda: bool(errors or stream.log))
             await turns()
             assert (errors, stream.log) in (([], ["opened"]), ([errno.ETIMEDOUT], []))
@@ -135,28 +139,28 @@
 
     async def test() -> None:
         errors: list[int] = []
-        dialer = make_dialer()
+        connector = make_connector()
         stream = RecordingStream()
-        hand_over = dialer.hand_over
+        hand_over = connector.hand_over
 
         def handed_over(stream: Stream, sock: socket.socket) -> None:
             hand_over(stream, sock)
             if later is None:
-                give_up()
+                abandon()
             else:
                 asyncio.get_running_loop().create_task(abort(later))
 
-        def give_up() -> None:
-            dial.give_up()
+        def abandon() -> None:
+            pending.abandon()
             stream.abort()
 
         async def abort(later: int) -> None:
             await turns(later)
-            give_up()
+            abandon()
 
-        dialer.hand_over = handed_over  # type: ignore[method-assign]
+        connector.hand_over = handed_over  # type: ignore[method-assign]
         with listener() as server:
-            dial = dialer.dial(server.getsockname(), stream, LONG_US, errors.append)
+            pending = connector.connect(server.getsockname(), stream, LONG_US, errors.append)
             other, _ = await asyncio.get_running_loop().sock_accept(server)
             with other:
                 other.setblocking(False)
@@ -171,9 +175,9 @@
 def test_a_connection_reset_before_its_transport_is_created_ends_once() -> None:
     async def test() -> None:
         errors: list[int] = []
-        dialer = make_dialer()
+        connector = make_connector()
         stream = RecordingStream()
-        hand_over = dialer.hand_over
+        hand_over = connector.hand_over
 
         def handed_over(stream: Stream, sock: socket.socket) -> None:
             other, _ = server.accept()
@@ -181,9 +185,9 @@
             other.close()
             hand_over(stream, sock)
 
-        dialer.hand_over = handed_over  # type: ignore[method-assign]
+        connector.hand_over = handed_over  # type: ignore[method-assign]
         with listener() as server:
-            dialer.dial(server.getsockname(), stream, LONG_US, errors.append)
+            connector.connect(server.getsockname(), stream, LONG_US, errors.append)
             await until(lambda: stream.lost)
             assert stream.log in (["opened", "ended"], ["ended"])
             assert not errors
@@ -196,19 +200,19 @@
 
     async def test() -> None:
         errors: list[int] = []
-        dialer = make_dialer()
+        connector = make_connector()
         stream = RecordingStream()
         with listener() as server:
 
             def again(error: int) -> None:
                 errors.append(error)
                 target = server.getsockname() if len(errors) == 3 else closed
-                dialer.dial(target, stream, LONG_US, again)
+                connector.connect(target, stream, LONG_US, again)
 
             with socket.socket() as bound:  # bound but not listening: connects are refused
                 bound.bind((HOST, 0))
                 closed = bound.getsockname()
-                dialer.dial(closed, stream, LONG_US, again)
+                connector.connect(closed, stream, LONG_US, again)
                 await until(lambda: bool(stream.log))
             assert errors == [errno.ECONNREFUSED] * 3
             assert stream.log == ["opened"]
--- a/tests/test_engine_races.py
+++ b/tests/test_engine_races.py
@@ -12,7 +12,7 @@
 
 import pytest
 from exchange_models import ENGINE, Attempt, HttpModel
-from fakes import FakeDialer, FakeLoop
+from fakes import FakeConnector, FakeLoop
 from loopback import HOST, SETTINGS, HttpCall, JsonClient, Loopback, StandInEngine, http_answer, run, until
 
 from slipbay.backends import http_connection
@@ -20,7 +20,7 @@
 from slipbay.backends.http_exchange import HttpExchange
 from slipbay.backends.pool import MAX_EVICTED_PER_TURN, ConnectFailure, Pool, SocketBudget
 from slipbay.policy.events import Outcome
-from slipbay.stream import Dialer, Stream
+from slipbay.stream import Connector, Stream
 
 FIRST = b"first\tx\ty\n"
 SECOND = b"second\tx\ty\n"
@@ -216,22 +216,22 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a timeout reported for an engine by a process that got no CPU time to see it."""
-    original = Dialer.hand_over
+    original = Connector.hand_over
 
     async def test() -> None:
         engine = StandInEngine()
         async with Loopback(engine) as net:
 
-            def hand_over(self: Dialer, stream: Stream, sock: socket.socket) -> None:
+            def hand_over(self: Connector, stream: Stream, sock: socket.socket) -> None:
                 original(self, stream, sock)
                 if isinstance(stream, HttpConnection):
-                    monkeypatch.setattr(Dialer, "hand_over", original)
+                    monkeypatch.setattr(Connector, "hand_over", original)
                     net.router.clock._offset += net.router.config.connect_timeout_us
                     net.router.clock._now = None
                     net.router.timers._run_due()
 
             await until(lambda: bool(net.journal.writers))
-            monkeypatch.setattr(Dialer, "hand_over", hand_over)
+            monkeypatch.setattr(Connector, "hand_over", hand_over)
             assert await served(await net.client(), "SELECT 1") == b"a\tb\tc\n"
             assert len(engine.writers) == 1
 
@@ -241,17 +241,17 @@
 def test_idle_connections_are_evicted_a_few_at_a_time() -> None:
     """Guards against a burst that runs out of descriptors: an evicted connection is closed a turn later."""
     loop = FakeLoop()
-    dialer: Any = FakeDialer(loop, lambda transport, data: None)
+    connector: Any = FakeConnector(loop, lambda transport, data: None)
     sockets = SocketBudget(20)
     full, wanted = (
-        Pool(name, (HOST, 1), HttpConnection, dialer, loop.timers, sockets, loop.now, 250_000, 30_000_000)
+        Pool(name, (HOST, 1), HttpConnection, connector, loop.timers, sockets, loop.now, 250_000, 30_000_000)
         for name in (b"s-0", b"s-1")
     )
     failures: list[ConnectFailure] = []
     for _ in range(20):
         full.acquire(lambda stream: None, failures.append)
-    while dialer.waiting:
-        dialer.accept(0)
+    while connector.waiting:
+        connector.accept(0)
     for stream in list(full._streams):
         stream.release()
     for _ in range(20):
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from types import SimpleNamespace
 
-from fakes import FakeDialer, FakeLoop
+from fakes import FakeConnector, FakeLoop
 from loopback import HOST, Loopback, StandInEngine, event, host, run, until
 
 from slipbay.discovery.endpoint_watch import EndpointWatch
@@ -67,15 +67,15 @@
     service."""
     loop = FakeLoop()
     routers = 40
-    dialer = FakeDialer(loop, lambda transport, data: None)
+    connector = FakeConnector(loop, lambda transport, data: None)
     for seed in range(routers):
         config = SimpleNamespace(journal=("127.0.0.1", 1), known={}, zones=(), kinds=(), seed=seed)
-        EndpointWatch(config, loop.timers, dialer, lambda kind, hosts: None).start()  # type: ignore[arg-type]
+        EndpointWatch(config, loop.timers, connector, lambda kind, hosts: None).start()  # type: ignore[arg-type]
     attempts = []
     for _ in range(1000):  # 10 s
-        attempts.append(len(dialer.waiting))
-        while dialer.waiting:
-            dialer.refuse(0)
+        attempts.append(len(connector.waiting))
+        while connector.waiting:
+            connector.refuse(0)
         loop.advance(10_000)
     assert routers * 8 < sum(attempts) < routers * 20
     assert max(attempts[50:]) < routers / 4
--- a/tests/test_http_exchange.py
+++ b/tests/test_http_exchange.py
@@ -36,15 +36,15 @@
     """Guards against two attempts at once: a router under load was stopped after it had read the clock and
     before it wrote the POST, and took the query for dropped in its next turn."""
     model = HttpModel()
-    write = model.dialer._take
+    write = model.connector._take
 
     def stop_and_write(transport: FakeTransport, data: bytes) -> None:
         model.loop.us += 5_000_000
         write(transport, data)
 
-    model.dialer._take = stop_and_write
+    model.connector._take = stop_and_write
     model.connect()
-    model.dialer._take = write
+    model.connector._take = write
     model.arrive(0)
     model.loop.advance(QUERY_DROPPED_US - 300_000)
     assert model.runs
@@ -62,7 +62,7 @@
     )
     model.answer(0, "note")
     assert [call for _, call in model.in_transit] == ["DELETE /obj/9b1f03aa5c7e2d41"]
-    assert not model.dialer.waiting
+    assert not model.connector.waiting
 
 
 def test_a_reset_of_a_new_connection_does_not_end_the_attempt() -> None:
@@ -70,15 +70,15 @@
     for cold."""
     model = HttpModel()
     model.reset()
-    model.dialer.accept(0, EndedSocket())  # ended as soon as it was established
+    model.connector.accept(0, EndedSocket())  # ended as soon as it was established
     model.loop.settle()
     before = model.sent
     model.connect()
     assert (before, model.sent) == (0, 1)
-    model.dialer.transports[-1].close()  # before the engine read any data
+    model.connector.transports[-1].close()  # before the engine read any data
     model.loop.settle()
     assert not model.attempt.ends
-    assert len(model.dialer.waiting) == 1
+    assert len(model.connector.waiting) == 1
     model = HttpModel()
     for _ in range(3):
         model.reset()
@@ -126,9 +126,9 @@
     model.attempt.request.expires_in_us = 800_000
     model.connect()
     model.loop.advance(340_000)
-    assert not model.dialer.waiting
+    assert not model.connector.waiting
     model.loop.advance(20_000)
-    assert len(model.dialer.waiting) == 1
+    assert len(model.connector.waiting) == 1
 
 
 def test_a_missing_page_is_requested_again_soon() -> None:
@@ -138,7 +138,7 @@
     model.arrive(0)
     model.answer(0, "pages")
     model.loop.advance(110_000)
-    assert len(model.dialer.waiting) == 1
+    assert len(model.connector.waiting) == 1
     assert not model.attempt.ends
 
 
@@ -148,11 +148,11 @@
     model.connect()
     model.arrive(0)
     model.answer(0, "page")
-    transport = model.dialer.transports[0]
+    transport = model.connector.transports[0]
     transport.stream.sock = EndedSocket()  # type: ignore[assignment]
     model.backend.start(Attempt(model.loop.us, b"SELECT 1"))
     assert not model.in_transit
-    assert len(model.dialer.waiting) == 1
+    assert len(model.connector.waiting) == 1
 
 
 def test_a_call_without_an_answer_does_not_keep_its_connection() -> None:
@@ -165,5 +165,5 @@
     model.connect()
     model.loop.advance(6_000_000)
     assert model.attempt.ends == [(Outcome.CANCELLED, None)]
-    assert all(transport.closing for transport in model.dialer.transports)
+    assert all(transport.closing for transport in model.connector.transports)
     assert not model.sockets.used
--- a/tests/test_list_races.py
+++ b/tests/test_list_races.py
@@ -431,11 +431,11 @@
             new = StandInEndpointList()
             await old.start()
             await new.start()
-            dialer = net.router.dialer
-            hand_over = dialer.hand_over
+            connector = net.router.connector
+            hand_over = connector.hand_over
 
             def handed_over(stream: Stream, sock: socket.socket) -> None:
-                dialer.hand_over = hand_over  # type: ignore[method-assign]
+                connector.hand_over = hand_over  # type: ignore[method-assign]
                 hand_over(stream, sock)
                 if later is None:
                     net.watch.follow((HOST, new.port))
@@ -447,7 +447,7 @@
                     await asyncio.sleep(0)
                 net.watch.follow((HOST, new.port))
 
-            dialer.hand_over = handed_over  # type: ignore[method-assign]
+            connector.hand_over = handed_over  # type: ignore[method-assign]
             net.watch.follow((HOST, old.port))
             await until(lambda: bool(old.asked and new.asked))
             assert new.asked == [b"tail 1\n"]
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -19,7 +19,7 @@
 from slipbay.clock import Clock
 from slipbay.core.timers import Timers
 from slipbay.frontends.server import Server
-from slipbay.stream import Dialer, Stream
+from slipbay.stream import Connector, Stream
 
 SOCKETS = 128  # 51 for clients; they are promised a third, which is 42
 
@@ -156,11 +156,11 @@
     async def test() -> None:
         nonlocal turns
         loop = asyncio.get_running_loop()
-        dialer = Dialer(loop, Timers(loop, Clock(loop)))
+        connector = Connector(loop, Timers(loop, Clock(loop)))
         streams = [Counted() for _ in range(40)]
         with socket.create_server((HOST, 0), backlog=64) as server:
             for stream in streams:
-                dialer.dial(server.getsockname(), stream, 10_000_000, lambda error: None)
+                connector.connect(server.getsockname(), stream, 10_000_000, lambda error: None)
             given_up = streams.pop()
             given_up.abort()  # before it came up
             while not (all(stream.opened_in for stream in streams) and given_up.lost):
