--- a/slipbay/backends/mysql_connection.py
+++ b/slipbay/backends/mysql_connection.py
@@ -69,7 +69,7 @@
         plugin = (
             greeting.plugin if greeting.plugin in (mysql.NATIVE, mysql.CACHING_SHA2) else mysql.CACHING_SHA2
         )
-        proof = mysql.prove(plugin, self._config.engine_password, greeting.challenge)
+        auth_response = mysql.compute_auth_response(plugin, self._config.engine_password, greeting.challenge)
         self._handle_packet = self._handle_auth
         capabilities = mysql.CAPABILITIES & ~mysql.CONNECT_ATTRS & greeting.capabilities
         if not self._config.schema:
@@ -80,7 +80,7 @@
                     capabilities,
                     mysql.UTF8MB4,
                     self._config.engine_user,
-                    proof or b"",
+                    auth_response or b"",
                     self._config.schema,
                     plugin,
                 )
@@ -95,10 +95,10 @@
                 self.on_usable()
             case mysql.AUTH_SWITCH:
                 plugin, challenge = mysql.read_auth_switch(payload)
-                proof = mysql.prove(plugin, self._config.engine_password, challenge)
-                if proof is None:
+                auth_response = mysql.compute_auth_response(plugin, self._config.engine_password, challenge)
+                if auth_response is None:
                     raise mysql.MalformedPacketError(f"the engine requires the unknown plugin {plugin}")
-                self.send(proof, sequence + 1)
+                self.send(auth_response, sequence + 1)
             case mysql.MORE_DATA if payload[1:2] == bytes([mysql.FAST_AUTH_OK]):
                 pass  # OK follows
             case mysql.MORE_DATA:
--- a/slipbay/discovery/endpoint_watch.py
+++ b/slipbay/discovery/endpoint_watch.py
@@ -151,7 +151,7 @@
 
     def _on_silence(self) -> None:
         if (
-            self._stream is not None and self._stream.unread()
+            self._stream is not None and self._stream.has_unread_data()
         ):  # received, but this process was too busy to read it
             self._restart_silence_timer()
             return
--- a/slipbay/frontends/jsonrpc.py
+++ b/slipbay/frontends/jsonrpc.py
@@ -107,7 +107,7 @@
     @property
     def unparsed(self) -> int:
         """Bytes that came and are no whole line yet."""
-        return self._lines.held
+        return self._lines.buffered_bytes
 
     def received(self, data: bytes) -> None:
         """Take bytes in; whole lines are served in order."""
@@ -162,7 +162,7 @@
         if len(self._open) >= MOST_OPEN:
             raise jsonrpc.JsonRpcError(id, jsonrpc.INVALID_REQUEST, "too many requests are open here")
         if self.server.draining:  # what we took before is still answered; this one can go elsewhere
-            self.write(jsonrpc.error(id, jsonrpc.REFUSED, "this router is about to end", 0))
+            self.write(jsonrpc.error(id, jsonrpc.REJECTED, "this router is about to end", 0))
             return
         params = jsonrpc.read_query(call)
         tenant = 0
@@ -212,10 +212,10 @@
                 self.write(
                     jsonrpc.result(id, result)
                     if parts is None
-                    else jsonrpc.gathered(id, result, parts.requested, parts.present, parts.missing)
+                    else jsonrpc.scattered_result(id, result, parts.requested, parts.present, parts.missing)
                 )
             case Rejected(retry_after_us, _):
-                self.write(jsonrpc.error(id, jsonrpc.REFUSED, "refused for now", retry_after_us // 1000))
+                self.write(jsonrpc.error(id, jsonrpc.REJECTED, "refused for now", retry_after_us // 1000))
             case Failed(reason, is_client_error=True):
                 self.write(jsonrpc.error(id, jsonrpc.INVALID_PARAMS, reason))
             case Failed(reason):
--- a/slipbay/frontends/mysql.py
+++ b/slipbay/frontends/mysql.py
@@ -138,7 +138,7 @@
             _figure(told, "ram_mb", estimate.memory_mb),
             sql.table_group(text),
             tenant,
-            is_write=not (work.prepare or outline.only_reads),
+            is_write=not (work.prepare or outline.is_read_only),
             size_bytes=work.size,
         )
         if (
@@ -177,14 +177,14 @@
         """Hints and rules choose, but what is not plainly a read stays in a class that is never run twice."""
         settings = self.mysql
         classes = self.config.classes
-        number = settings.read_class if outline.only_reads else settings.write_class
+        number = settings.read_class if outline.is_read_only else settings.write_class
         if told.get("class") in classes:
             number = classes.index(told["class"])
         else:
             fitting = (rule.service_class for rule in settings.rules if rule.pattern.search(text))
             number = next(fitting, number)
         safe = self.config.settings.classes[number].effect is not Effect.UNSAFE
-        return settings.write_class if safe and not outline.only_reads else number
+        return settings.write_class if safe and not outline.is_read_only else number
 
 
 def _figure(told: dict[str, str], name: str, default: float) -> float:
@@ -221,14 +221,14 @@
     @property
     def unparsed(self) -> int:
         """Bytes that came and were not served yet."""
-        return self._packets.held + sum(
+        return self._packets.buffered_bytes + sum(
             len(data) for statement in self._statements.values() for data in statement.long_data.values()
         )
 
     @property
     def mid_message(self) -> bool:
         """Whether a packet has come in part."""
-        return bool(self._packets.held)
+        return bool(self._packets.buffered_bytes)
 
     # Bytes
 
@@ -320,8 +320,10 @@
         elif identity is not None:
             assert self._tls is not None
             self._admit(sequence, identity.tenant(self._tls.client_certificate))
-        elif told.plugin in (mysql.CACHING_SHA2, mysql.NATIVE) and (told.proof or not self._password()):
-            self._check(sequence, told.plugin, told.proof)
+        elif told.plugin in (mysql.CACHING_SHA2, mysql.NATIVE) and (
+            told.auth_response or not self._password()
+        ):
+            self._check(sequence, told.plugin, told.auth_response)
         else:
             self._take = lambda sequence, proof: self._check(sequence, mysql.CACHING_SHA2, proof)
             self._send([mysql.auth_switch(mysql.CACHING_SHA2, self._challenge)], sequence + 1)
@@ -335,7 +337,7 @@
         """The password's proof. An unknown user costs the same work and gets the same answer."""
         assert self._told is not None
         password = self._password()
-        wanted = mysql.prove(plugin, password or b"?", self._challenge)
+        wanted = mysql.compute_auth_response(plugin, password or b"?", self._challenge)
         good = hmac.compare_digest(wanted or b"", proof) if password != b"" else proof in (b"", b"\0")
         if password is None or not good:
             self._admit(sequence, None)
@@ -353,7 +355,7 @@
         self._tenant = tenant
         self._take = self._command
         self.welcome(self._front.mysql.idle_us)
-        self._packets.most_bytes = self._front.mysql.most_packet_bytes
+        self._packets.max_payload_bytes = self._front.mysql.most_packet_bytes
         self._send([mysql.ok()], sequence + 1)
 
     # Commands
@@ -510,7 +512,7 @@
             case Rejected(retry_after_us):
                 self._error(
                     sequence,
-                    mysql.ER_REFUSED,
+                    mysql.ER_REJECTED,
                     f"Refused for now; nothing ran, retry after {retry_after_us // 1000} ms",
                 )
             case Failed(_, deadline_passed=True):
--- a/slipbay/frontends/server.py
+++ b/slipbay/frontends/server.py
@@ -165,7 +165,7 @@
             if not (connection.busy or connection.closing)
         )
         for loss, _, _, connection in idle:
-            if connection.unread():
+            if connection.has_unread_data():
                 continue
             if room >= (MOST_EVICTED_AT_ONCE if loss < EvictionCost.IDLE else 1):
                 break
@@ -207,7 +207,7 @@
                 continue
             if connection.unsent:
                 connection.abort()
-            elif not (connection.half_closed or connection.unread()):
+            elif not (connection.half_closed or connection.has_unread_data()):
                 connection.close_gracefully()
         self.bound_memory()
         self._timers.after(SWEEP_US, self._sweep)
@@ -304,7 +304,9 @@
     def close_if_drained(self) -> None:
         """On the way out the connection closes with its last answer, but not in the middle of a message: the
         rest of a slow writer's is on its way, and gets an answer too."""
-        if self.server.draining and not (self.closing or self.busy or self.mid_message or self.unread()):
+        if self.server.draining and not (
+            self.closing or self.busy or self.mid_message or self.has_unread_data()
+        ):
             self.close_gracefully()
 
     def close_gracefully(self) -> None:
--- a/slipbay/stream.py
+++ b/slipbay/stream.py
@@ -95,7 +95,7 @@
             return True
         return True
 
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether the other side has sent data that is not read yet."""
         try:
             return self.sock is not None and bool(self.sock.recv(1, PEEK_FLAGS))
--- a/slipbay/wire/jsonrpc.py
+++ b/slipbay/wire/jsonrpc.py
@@ -18,7 +18,7 @@
 METHOD_NOT_FOUND = -32601
 INVALID_PARAMS = -32602
 FAILED = -32000
-REFUSED = -32002
+REJECTED = -32002
 
 MAX_LIMIT_MS = 24 * 3600 * 1000
 MAX_CPU_MS = 4_000_000
@@ -155,7 +155,7 @@
     return b'{"jsonrpc":"2.0","id":%d,"result":{"data":"%s"}}\n' % (id, base64.b64encode(data))
 
 
-def gathered(
+def scattered_result(
     id: int, data: bytes, requested: Sequence[int], present: Sequence[int], missing: Sequence[int]
 ) -> bytes:
     """Encode the answer to a scattered query: rows of the table groups that are present, in this order."""
--- a/slipbay/wire/lines.py
+++ b/slipbay/wire/lines.py
@@ -15,7 +15,7 @@
     def __init__(self, max_line_bytes: int) -> None:
         self._max_line_bytes = max_line_bytes
         self._parts: list[bytes] = []
-        self.held = 0
+        self.buffered_bytes = 0
 
     def feed(self, data: bytes) -> list[bytes]:
         """The lines that are complete now, without their line ends."""
@@ -23,11 +23,11 @@
         if complete_lines:
             complete_lines[0] = b"".join((*self._parts, complete_lines[0]))
             self._parts = []
-            self.held = 0
+            self.buffered_bytes = 0
         if rest:
             self._parts.append(rest)
-            self.held += len(rest)
-        if self.held > self._max_line_bytes or any(
+            self.buffered_bytes += len(rest)
+        if self.buffered_bytes > self._max_line_bytes or any(
             len(line) > self._max_line_bytes for line in complete_lines
         ):
             raise LineTooLongError
--- a/slipbay/wire/mysql.py
+++ b/slipbay/wire/mysql.py
@@ -70,7 +70,7 @@
 ER_SECURE_TRANSPORT = 3159
 # Errors of the router itself, outside of the numbers that servers use
 ER_FAILED = 9500
-ER_REFUSED = 9503
+ER_REJECTED = 9503
 SQLSTATES = {
     ER_CON_COUNT: "08004",
     ER_HANDSHAKE: "08S01",
@@ -86,7 +86,7 @@
     ER_QUERY_INTERRUPTED: "70100",
     ER_MAX_PREPARED: "42000",
     ER_FAILED: "58000",
-    ER_REFUSED: "53000",
+    ER_REJECTED: "53000",
 }
 
 NATIVE = "mysql_native_password"
@@ -124,8 +124,8 @@
 class Packets:
     """Parses bytes, split in any way, into payloads with the sequence number of their last packet."""
 
-    def __init__(self, most_bytes: int) -> None:
-        self.most_bytes = most_bytes
+    def __init__(self, max_payload_bytes: int) -> None:
+        self.max_payload_bytes = max_payload_bytes
         self._data = bytearray()
         self._payload = bytearray()  # packets received so far of a payload in several packets
 
@@ -138,7 +138,7 @@
         while len(self._data) >= PACKET_HEAD_BYTES:
             size = int.from_bytes(self._data[:3], "little")
             sequence = self._data[3]
-            if len(self._payload) + size > self.most_bytes:
+            if len(self._payload) + size > self.max_payload_bytes:
                 raise PacketTooLargeError
             if len(self._data) < PACKET_HEAD_BYTES + size:
                 return
@@ -150,7 +150,7 @@
                 yield sequence, payload
 
     @property
-    def held(self) -> int:
+    def buffered_bytes(self) -> int:
         """Received bytes that are not returned yet."""
         return len(self._data) + len(self._payload)
 
@@ -362,7 +362,7 @@
     capabilities: int
     charset: int
     user: str | None = None
-    proof: bytes = b""
+    auth_response: bytes = b""
     database: str = ""
     plugin: str = NATIVE
 
@@ -380,7 +380,7 @@
             _HANDSHAKE_HEAD.pack(fields.capabilities, MAX_PACKET_PAYLOAD_BYTES, fields.charset),
             fields.user.encode(),
             b"\0",
-            lenenc_bytes(fields.proof),
+            lenenc_bytes(fields.auth_response),
             fields.database.encode() + b"\0" if fields.capabilities & CONNECT_WITH_DB else b"",
             fields.plugin.encode(),
             b"\0",
@@ -403,7 +403,9 @@
         return Login(capabilities, charset)
     reader = Reader(payload, _HANDSHAKE_HEAD.size)
     user = reader.null_terminated()
-    proof = reader.lenenc_bytes() if capabilities & PLUGIN_AUTH_LENENC else reader.take(reader.number(1))
+    auth_response = (
+        reader.lenenc_bytes() if capabilities & PLUGIN_AUTH_LENENC else reader.take(reader.number(1))
+    )
     database = reader.null_terminated() if capabilities & CONNECT_WITH_DB and reader.left else b""
     plugin = NATIVE
     if capabilities & PLUGIN_AUTH and reader.left:
@@ -412,7 +414,7 @@
         capabilities,
         charset,
         user.decode("utf-8", "replace"),
-        proof,
+        auth_response,
         database.decode("utf-8", "replace"),
         plugin,
     )
@@ -423,7 +425,7 @@
     return _HANDSHAKE_HEAD.pack(capabilities | SSL, MAX_PACKET_PAYLOAD_BYTES, charset)
 
 
-def prove(plugin: str, password: bytes, challenge: bytes) -> bytes | None:
+def compute_auth_response(plugin: str, password: bytes, challenge: bytes) -> bytes | None:
     """A client's answer to an authentication challenge, from the password; None if the plugin is unknown."""
     if plugin not in (NATIVE, CACHING_SHA2):
         return None
--- a/slipbay/wire/sql.py
+++ b/slipbay/wire/sql.py
@@ -76,7 +76,7 @@
     has_hidden_code: bool  # comments that the engine may run
 
     @property
-    def only_reads(self) -> bool:
+    def is_read_only(self) -> bool:
         """Whether the statement only reads, so that it can be repeated; false if that is uncertain."""
         if self.has_hidden_code or not self.words.isdisjoint(("into", "update", "share")):
             return False
--- a/tests/test_list_races.py
+++ b/tests/test_list_races.py
@@ -132,10 +132,10 @@
             stream = net.watch._stream
             assert stream is not None
             net.journal.writers[0].write(b'garbage\n{"pos":"x"}\n[')
-            await until(lambda: stream._lines.held == 1)
+            await until(lambda: stream._lines.buffered_bytes == 1)
             assert net.watch._timer is timer
             net.journal.writers[0].write(b"]\n" + lines(heartbeat(2)) + b"[")
-            await until(lambda: stream._lines.held == 1 and net.watch._timer is not timer)
+            await until(lambda: stream._lines.buffered_bytes == 1 and net.watch._timer is not timer)
 
     run(test)
 
@@ -220,7 +220,7 @@
             assert stream is not None
             for number, byte in enumerate(lines(event(2, net.host(0, "DRAINING")))[:-1], 1):
                 net.journal.writers[0].write(bytes([byte]))
-                await until(lambda number=number: stream._lines.held == number)  # type: ignore[misc]
+                await until(lambda number=number: stream._lines.buffered_bytes == number)  # type: ignore[misc]
             assert net.watch.pos == 1
             net.journal.writers[0].write(b"\n")
             await until(lambda: net.watch.pos == 2)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -169,9 +169,9 @@
     password_digest = hashlib.sha1(password).digest()
     mask = hashlib.sha1(challenge + hashlib.sha1(password_digest).digest()).digest()
     auth_response = bytes(a ^ b for a, b in zip(password_digest, mask, strict=True))
-    assert mysql.prove(mysql.NATIVE, password, challenge) == auth_response
-    assert mysql.prove(mysql.CACHING_SHA2, b"", challenge) == b""
-    assert mysql.prove("other", b"", b"") is None
+    assert mysql.compute_auth_response(mysql.NATIVE, password, challenge) == auth_response
+    assert mysql.compute_auth_response(mysql.CACHING_SHA2, b"", challenge) == b""
+    assert mysql.compute_auth_response("other", b"", b"") is None
 
 
 @pytest.mark.parametrize(
@@ -218,7 +218,7 @@
     ],
 )
 def test_only_statements_without_side_effects_count_as_reads(statement: str, reads: bool) -> None:
-    assert sql.outline(statement).only_reads is reads
+    assert sql.outline(statement).is_read_only is reads
 
 
 def test_hints_come_only_from_comments_with_the_router_s_mark() -> None:
--- a/tests/test_reload_races.py
+++ b/tests/test_reload_races.py
@@ -98,7 +98,7 @@
             assert stream is not None
             if moment == "in":
                 old.write(drain[:40])
-                await until(lambda: stream._lines.held == 40)
+                await until(lambda: stream._lines.buffered_bytes == 40)
             elif moment == "after":
                 old.write(drain)
                 await until(lambda: net.watch.pos == 2)
