--- a/slipbay/frontends/mysql.py
+++ b/slipbay/frontends/mysql.py
@@ -147,7 +147,7 @@
             _hint_number(hint_values, "ram_mb", estimate.memory_mb),
             sql.table_group(text),
             tenant,
-            is_write=not (work.prepare or outline.only_reads),
+            is_write=not (work.prepare or outline.is_read_only),
             size_bytes=work.size,
         )
         if (
@@ -192,14 +192,14 @@
         """
         settings = self.mysql
         classes = self.config.classes
-        class_number = settings.read_class if outline.only_reads else settings.write_class
+        class_number = settings.read_class if outline.is_read_only else settings.write_class
         if hint_values.get("class") in classes:
             class_number = classes.index(hint_values["class"])
         else:
             matches = (rule.service_class for rule in settings.rules if rule.pattern.search(text))
             class_number = next(matches, class_number)
         may_repeat = self.config.settings.classes[class_number].effect is not Effect.UNSAFE
-        return settings.write_class if may_repeat and not outline.only_reads else class_number
+        return settings.write_class if may_repeat and not outline.is_read_only else class_number
 
 
 def _hint_number(hint_values: dict[str, str], name: str, default: float) -> float:
@@ -236,14 +236,14 @@
     @property
     def unparsed(self) -> int:
         """Received bytes that have not been processed: partial packets and long parameters."""
-        return self._packets.held + sum(
+        return self._packets.buffered_bytes + sum(
             len(data) for statement in self._statements.values() for data in statement.long_data.values()
         )
 
     @property
     def mid_message(self) -> bool:
         """Whether only a part of a packet has been received."""
-        return bool(self._packets.held)
+        return bool(self._packets.buffered_bytes)
 
     # Bytes
 
@@ -343,9 +343,9 @@
             assert self._tls is not None
             self._complete_login(sequence, identity.tenant(self._tls.client_certificate))
         elif login.plugin in (mysql.CACHING_SHA2, mysql.NATIVE) and (
-            login.proof or not self._configured_password()
+            login.auth_response or not self._configured_password()
         ):
-            self._check_password(sequence, login.plugin, login.proof)
+            self._check_password(sequence, login.plugin, login.auth_response)
         else:
             self._handle_packet = lambda sequence, proof: self._check_password(
                 sequence, mysql.CACHING_SHA2, proof
@@ -364,7 +364,7 @@
         """
         assert self._credentials is not None
         password = self._configured_password()
-        expected = mysql.prove(plugin, password or b"?", self._challenge)
+        expected = mysql.compute_auth_response(plugin, password or b"?", self._challenge)
         is_valid = hmac.compare_digest(expected or b"", proof) if password != b"" else proof in (b"", b"\0")
         if password is None or not is_valid:
             self._complete_login(sequence, None)
@@ -384,7 +384,7 @@
         self._tenant = tenant
         self._handle_packet = self._receive_command
         self.extend_idle_timeout(self._frontend.mysql.idle_us)
-        self._packets.most_bytes = self._frontend.mysql.max_packet_bytes
+        self._packets.max_payload_bytes = self._frontend.mysql.max_packet_bytes
         self._send([mysql.ok()], sequence + 1)
 
     # Commands
@@ -542,7 +542,7 @@
             case Rejected(retry_after_us):
                 self._error(
                     sequence,
-                    mysql.ER_REFUSED,
+                    mysql.ER_REJECTED,
                     f"Refused for now; nothing ran, retry after {retry_after_us // 1000} ms",
                 )
             case Failed(_, deadline_passed=True):
--- a/slipbay/frontends/server.py
+++ b/slipbay/frontends/server.py
@@ -183,7 +183,7 @@
             if not (connection.busy or connection.closing)
         )
         for cost, _, _, connection in idle:
-            if connection.unread():
+            if connection.has_unread_data():
                 continue
             if evicted >= (MAX_CHEAP_EVICTIONS if cost < EvictionCost.IDLE else 1):
                 break
@@ -225,7 +225,7 @@
                 continue
             if connection.unsent:
                 connection.abort()
-            elif not (connection.half_closed or connection.unread()):
+            elif not (connection.half_closed or connection.has_unread_data()):
                 connection.close_gracefully()
         self.bound_memory()
         self._timers.after(SWEEP_US, self._sweep)
@@ -327,7 +327,9 @@
 
         A client that writes slowly may have sent only part of a message; that message is answered too.
         """
-        if self.server.draining and not (self.closing or self.busy or self.mid_message or self.unread()):
+        if self.server.draining and not (
+            self.closing or self.busy or self.mid_message or self.has_unread_data()
+        ):
             self.close_gracefully()
 
     def close_gracefully(self) -> None:
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -19,7 +19,7 @@
 from slipbay.clock import Clock
 from slipbay.core.timers import Timers
 from slipbay.frontends.server import Server
-from slipbay.stream import Dialer, Stream
+from slipbay.stream import Connector, Stream
 
 SOCKETS = 128  # of which 51 are for clients; a third, 42, is guaranteed
 
@@ -165,11 +165,11 @@
     async def test() -> None:
         nonlocal turns
         loop = asyncio.get_running_loop()
-        dialer = Dialer(loop, Timers(loop, Clock(loop)))
+        connector = Connector(loop, Timers(loop, Clock(loop)))
         streams = [RecordingStream() for _ in range(40)]
         with socket.create_server((HOST, 0), backlog=64) as server:
             for stream in streams:
-                dialer.dial(server.getsockname(), stream, 10_000_000, lambda error: None)
+                connector.connect(server.getsockname(), stream, 10_000_000, lambda error: None)
             aborted = streams.pop()
             aborted.abort()  # before it is established
             while not (all(stream.opened_in_turn for stream in streams) and aborted.lost):
