--- a/benchmarks/lives.py
+++ b/benchmarks/lives.py
@@ -34,7 +34,7 @@
 
     async def _check_views(self) -> None:
         self.told: list[dict[str, Any]] = []
-        for target in self.real:
+        for target in self.router_addresses:
             try:
                 self.told.append(await asyncio.to_thread(ask, target, question(0), 5.0))
             except (NoAnswerError, OSError) as problem:
--- a/slipbay/rig/faults.py
+++ b/slipbay/rig/faults.py
@@ -26,7 +26,7 @@
 
     routers: list[RouterProcess]
     engines: list[RigEngine]
-    links: UdpProxy
+    udp_proxy: UdpProxy
     tcp_proxy: TcpProxy | None
     script: Scenario
     run_report: RunReport
@@ -62,21 +62,21 @@
         self.components.run_report.timeline.append(f"{now:7.2f} s  {text}")
 
     async def _perform(self, action: Action) -> None:
-        components, links = self.components, self.components.links
+        components, udp_proxy = self.components, self.components.udp_proxy
         engines = [components.engines[n] for n in action.engines]
         match action.what:
             case "cut":
-                links.cut(action.sources, action.targets, not action.one_way)
+                udp_proxy.cut(action.sources, action.targets, not action.one_way)
             case "heal":
-                links.heal()
+                udp_proxy.heal()
             case "replay":
-                links.replay()
+                udp_proxy.replay()
             case "loss":
-                links.loss = action.part
+                udp_proxy.loss = action.part
             case "double":
-                links.double = action.part
+                udp_proxy.double = action.part
             case "delay":
-                links.delay_s = action.ms / 1000
+                udp_proxy.delay_s = action.ms / 1000
             case "reset":
                 self._add_to_timeline(f"{sum(engine.reset() for engine in engines)} calls were under way")
             case "renew":
--- a/slipbay/rig/process.py
+++ b/slipbay/rig/process.py
@@ -29,9 +29,8 @@
         self.port = 0
         self.ready = False  # it listens, and is neither ended nor stopped by the rig
         self._end_requested = False  # the rig has sent SIGKILL or SIGTERM
-        self._stopped_spans: list[
-            list[float]
-        ] = []  # spans in which it was stopped; s of the event loop's clock
+        # spans in which it was stopped; s of the event loop's clock
+        self._stopped_spans: list[list[float]] = []
         self.ready_or_ended = asyncio.Event()  # set when it listens, or has ended before that
         self._read_task: asyncio.Task[None] | None = None
 
@@ -127,7 +126,7 @@
         """Create a router that does not run yet.
 
         ``files`` holds the texts of operator files by name. ``{own}`` in a text is replaced by a directory of
-        this router that outlives its processes. A second process that runs beside the first has seat 1 and
+        this router that outlives its processes. A second process that runs beside the first has slot 1 and
         its own files.
         """
         self.number = number
--- a/slipbay/rig/runner.py
+++ b/slipbay/rig/runner.py
@@ -69,11 +69,13 @@
         self.run_report = RunReport(survey=script.survey)
         self.recorder = EventRecorder()
         net, self._network_socket = reserve_network()
-        self.real: list[Address] = [
+        self.router_addresses: list[Address] = [
             (f"127.{net}.{n // 250}.{n % 250 + 1}", PEER_PORT) for n in range(script.routers)
         ]
-        self.links = UdpProxy(self.real, self.random, self.recorder)
-        self.links.twin_addresses = {n: (f"127.{net}.1.{n + 1}", PEER_PORT) for n in range(script.routers)}
+        self.udp_proxy = UdpProxy(self.router_addresses, self.random, self.recorder)
+        self.udp_proxy.twin_addresses = {
+            n: (f"127.{net}.1.{n + 1}", PEER_PORT) for n in range(script.routers)
+        }
         self.engines = [
             RigEngine(f"s-{n}", self.run_report.execution_log, self.recorder) for n in range(script.engines)
         ]
@@ -87,7 +89,7 @@
         )
         self.run_report.execution_log.host_delay_s = self.host_load.host_delay_s
         if script.channel and (channel_settings := tomllib.loads(script.channel)).get("enabled"):
-            self.links.budget_bytes_per_s = channel_settings.get("rate", RATE)
+            self.udp_proxy.budget_bytes_per_s = channel_settings.get("rate", RATE)
         self.endpoint_list = EndpointListServer(self.recorder, script.routers)
         self.tcp_proxy: TcpProxy | None = None
         if script.has_tcp_proxies:
@@ -112,7 +114,13 @@
             self.routers[number].clock_may_jump = True
         self.faults = Faults(
             RunComponents(
-                self.routers, self.engines, self.links, self.tcp_proxy, script, self.run_report, self._publish
+                self.routers,
+                self.engines,
+                self.udp_proxy,
+                self.tcp_proxy,
+                script,
+                self.run_report,
+                self._publish,
             )
         )
         self.ready_times_s: list[float] = []  # when routers started to listen
@@ -135,8 +143,8 @@
         return entries
 
     def _config(self, number: int, slot: int) -> dict[str, Any]:
-        own = self.links.twin_addresses[number] if slot else self.real[number]
-        self.links.start_incarnation(own, self.loop.time())
+        own = self.udp_proxy.twin_addresses[number] if slot else self.router_addresses[number]
+        self.udp_proxy.start_incarnation(own, self.loop.time())
         endpoint_list = (HOST, self.endpoint_list.ports[number])
         position = self.endpoint_list.position
         return {
@@ -145,8 +153,8 @@
             "seed": f"{self.random.randrange(2**60):x}",
             "limits": {"cores": 1, "memory_mb": 192, "sockets": 512},
             "peer_listen": format_address(own),
-            "peers": self.links.peers(number, own),
-            "peers_all": self.links.broadcast_address(number),
+            "peers": self.udp_proxy.peers(number, own),
+            "peers_all": self.udp_proxy.broadcast_address(number),
             "journal": format_address(
                 self.tcp_proxy[number, None].address if self.tcp_proxy is not None else endpoint_list
             ),
@@ -182,7 +190,7 @@
     async def execute(self) -> RunReport:
         """Start everything, run the scenario, stop everything, and check the rules."""
         watching = self.loop.create_task(self.host_load.watch())
-        await self.links.open()
+        await self.udp_proxy.open()
         await self.endpoint_list.start()
         for engine in self.engines:
             await engine.start()
@@ -210,8 +218,8 @@
         finally:
             await self._stop_all()
             watching.cancel()
-        self.run_report.max_bytes_in_second = self.links.max_bytes_in_second
-        self.run_report.faults += self.links.over_budget[:5]
+        self.run_report.max_bytes_in_second = self.udp_proxy.max_bytes_in_second
+        self.run_report.faults += self.udp_proxy.over_budget[:5]
         check_rules(
             self.run_report,
             sum(len(router.incarnations) for router in self.routers),
@@ -266,13 +274,13 @@
         if self.tcp_proxy is not None:
             self.tcp_proxy.close()
         self.endpoint_list.close()
-        self.links.close()
+        self.udp_proxy.close()
         self._network_socket.close()
 
     def _peer_address(self, router: RouterProcess) -> Address:
         """Return the address on which a router's latest process listens for peers."""
         slot = [incarnation for incarnation in router.incarnations if incarnation.alive][-1].slot
-        return self.links.twin_addresses[router.number] if slot else self.real[router.number]
+        return self.udp_proxy.twin_addresses[router.number] if slot else self.router_addresses[router.number]
 
     async def _check_views(self) -> None:
         """Query every router's membership view until all views are correct."""
--- a/slipbay/rig/udp_proxy.py
+++ b/slipbay/rig/udp_proxy.py
@@ -22,10 +22,10 @@
 
 
 class UdpRelay(asyncio.DatagramProtocol):
-    """The socket that router ``near`` uses as the address of router ``far``; ``far`` None: of all others."""
+    """The socket that ``source_router`` uses as the address of ``target_router``; None: of all others."""
 
-    def __init__(self, links: UdpProxy, source_router: int, target_router: int | None) -> None:
-        self.links = links
+    def __init__(self, udp_proxy: UdpProxy, source_router: int, target_router: int | None) -> None:
+        self.udp_proxy = udp_proxy
         self.source_router = source_router
         self.target_router = target_router
         self.transport: asyncio.DatagramTransport | None = None
@@ -35,18 +35,20 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Forward a datagram of the router ``near``; ignore datagrams of any other sender."""
+        """Forward a datagram of ``source_router``; ignore datagrams of any other sender."""
         if addr not in (
-            self.links.real[self.source_router],
-            self.links.twin_addresses.get(self.source_router),
+            self.udp_proxy.router_addresses[self.source_router],
+            self.udp_proxy.twin_addresses.get(self.source_router),
         ):
             return
-        self.links.count_datagram(self.source_router, addr, len(data), asyncio.get_running_loop().time())
+        self.udp_proxy.count_datagram(self.source_router, addr, len(data), asyncio.get_running_loop().time())
         for target_router in (
-            [self.target_router] if self.target_router is not None else range(len(self.links.real))
+            [self.target_router]
+            if self.target_router is not None
+            else range(len(self.udp_proxy.router_addresses))
         ):
             if target_router != self.source_router:
-                self.links.forward(self.source_router, target_router, data)
+                self.udp_proxy.forward(self.source_router, target_router, data)
 
     def error_received(self, exc: Exception) -> None:
         """Ignore the error."""
@@ -63,8 +65,10 @@
 class UdpProxy:
     """All datagram links between routers."""
 
-    def __init__(self, real: list[Address], random: Random, recorder: EventRecorder | None = None) -> None:
-        self.real = real
+    def __init__(
+        self, router_addresses: list[Address], random: Random, recorder: EventRecorder | None = None
+    ) -> None:
+        self.router_addresses = router_addresses
         self.random = random
         self.recorder = recorder or EventRecorder()
         # addresses of second processes that run beside the first
@@ -85,8 +89,11 @@
     async def open(self) -> None:
         """Open the sockets of all pairs."""
         loop = asyncio.get_running_loop()
-        for source_router in range(len(self.real)):
-            for target_router in [None, *(n for n in range(len(self.real)) if n != source_router)]:
+        for source_router in range(len(self.router_addresses)):
+            for target_router in [
+                None,
+                *(n for n in range(len(self.router_addresses)) if n != source_router),
+            ]:
                 relay = self.relays[source_router, target_router] = UdpRelay(
                     self, source_router, target_router
                 )
@@ -104,8 +111,10 @@
         ``own`` is its own address if it differs from the usual one.
         """
         addresses = [
-            (own or self.real[source_router]) if n == source_router else self.relays[source_router, n].address
-            for n in range(len(self.real))
+            (own or self.router_addresses[source_router])
+            if n == source_router
+            else self.relays[source_router, n].address
+            for n in range(len(self.router_addresses))
         ]
         return [f"{host}:{port}" for host, port in addresses]
 
@@ -176,11 +185,11 @@
                 if number % 3 == 2:
                     data = data[: self.random.randrange(len(data))] + self.random.randbytes(3)
                 self._deliver(source_router, target_router, data)
-                unknown_sender.sendto(data, self.real[target_router])
+                unknown_sender.sendto(data, self.router_addresses[target_router])
 
     def _deliver(self, source_router: int, target_router: int, data: bytes) -> None:
         transport = self.relays[target_router, source_router].transport
         if transport is not None and not transport.is_closing():
-            transport.sendto(data, self.real[target_router])
+            transport.sendto(data, self.router_addresses[target_router])
             if target_router in self.twin_addresses:
                 transport.sendto(data, self.twin_addresses[target_router])
--- a/tests/channel_play.py
+++ b/tests/channel_play.py
@@ -81,13 +81,15 @@
     async def _check_views(self) -> None:
         for number in self.asked:
             self.heard.at_status[number] = sum(size for _, size in self.heard.sent[number])
-            self.heard.status[number] = await asyncio.to_thread(ask, self.real[number], question(0), 5.0)
+            self.heard.status[number] = await asyncio.to_thread(
+                ask, self.router_addresses[number], question(0), 5.0
+            )
 
 
 def listening(heard: Heard) -> type[UdpRelay]:
     class Listening(UdpRelay):
         def datagram_received(self, data: bytes, addr: Address) -> None:
-            if addr == self.links.real[self.source_router]:
+            if addr == self.udp_proxy.router_addresses[self.source_router]:
                 heard.sent[self.source_router].append((time.monotonic(), len(data)))
                 heard.framed[self.source_router] += is_framed(data)
             super().datagram_received(data, addr)
--- a/tests/compat/test_mixed_versions.py
+++ b/tests/compat/test_mixed_versions.py
@@ -111,7 +111,7 @@
                         continue
 
     async def _query_status(self, number: int) -> None:
-        address = self.real[number]
+        address = self.router_addresses[number]
         reports = self.reports
         reports.views[number] = await asyncio.to_thread(status_client.ask, address)
         reports.channels[number] = await asyncio.to_thread(
