--- a/slipbay/rig/checker.py
+++ b/slipbay/rig/checker.py
@@ -220,7 +220,7 @@
     return max_excess
 
 
-def quota_bounds(script: Scenario) -> list[QuotaBound]:
+def quota_bounds(scenario: Scenario) -> list[QuotaBound]:
     """Return the bounds that a scenario's quota plans guarantee.
 
     Over the whole run the largest plan holds, and once all routers have received the last plan, that plan's
@@ -231,13 +231,13 @@
         table = tomllib.loads(text)
         return convert(table, QuotaPlan, "quota") if table.pop("enabled", False) else None
 
-    current_plan = plan(script.quota) if script.quota else None
+    current_plan = plan(scenario.quota) if scenario.quota else None
     if current_plan is None:
         return []
     plans = [current_plan]
-    informed_routers = set(range(script.routers))
+    informed_routers = set(range(scenario.routers))
     applied_s = 0.0
-    for action in sorted(script.do, key=lambda action: action.at):
+    for action in sorted(scenario.do, key=lambda action: action.at):
         if action.what == "reload" and action.file == "quota":
             try:
                 new_plan = plan(action.text)
@@ -245,7 +245,7 @@
                     continue
                 check_change(
                     current_plan,
-                    check(new_plan, [tenant.name for tenant in script.load.sources], list(CLASSES)),
+                    check(new_plan, [tenant.name for tenant in scenario.load.sources], list(CLASSES)),
                 )
             except (ConfigError, ValueError):
                 continue
@@ -256,11 +256,11 @@
             informed_routers |= set(action.routers)
             applied_s = action.at + PLAN_APPLY_S
     found = [
-        _largest_bound(name, plans, script.routers) for name in {q.name: 0 for p in plans for q in p.quotas}
+        _largest_bound(name, plans, scenario.routers) for name in {q.name: 0 for p in plans for q in p.quotas}
     ]
-    if len(plans) > 1 and len(informed_routers) == script.routers:
+    if len(plans) > 1 and len(informed_routers) == scenario.routers:
         found += [
-            _largest_bound(quota.name, [current_plan], script.routers, applied_s)
+            _largest_bound(quota.name, [current_plan], scenario.routers, applied_s)
             for quota in current_plan.quotas
         ]
     return found
--- a/slipbay/rig/faults.py
+++ b/slipbay/rig/faults.py
@@ -28,7 +28,7 @@
     engines: list[RigEngine]
     udp_proxy: UdpProxy
     tcp_proxy: TcpProxy | None
-    script: Scenario
+    scenario: Scenario
     run_report: RunReport
     publish: Callable[[tuple[int, ...]], None]  # publishes the current state of these engines
 
@@ -104,7 +104,7 @@
     async def _change_connections(self, action: Action) -> None:
         assert self.components.tcp_proxy is not None
         directions = DIRECTIONS if action.way == "both" else (action.way,)
-        for pair in self.components.script.connection_pairs(action):
+        for pair in self.components.scenario.connection_pairs(action):
             connection = self.components.tcp_proxy[pair]
             match action.what:
                 case "cut_wire":
--- a/slipbay/rig/load.py
+++ b/slipbay/rig/load.py
@@ -31,19 +31,19 @@
 
     def __init__(
         self,
-        script: Scenario,
+        scenario: Scenario,
         routers: list[RouterProcess],
         run_report: RunReport,
         random: Random,
         host_delay_s: Callable[[float], float],
     ) -> None:
         """Create clients; ``host_delay_s`` returns the seconds of delay by the host since a time."""
-        self.script = script
+        self.scenario = scenario
         self.routers = routers
         self.run_report = run_report
         self.random = random
         self._host_delay_s = host_delay_s
-        self._survey = script.survey
+        self._survey = scenario.survey
         # table groups in the answers to scattered queries
         self._present_groups: dict[str, tuple[int, ...]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -57,7 +57,7 @@
         """Yield time, tenant and class of each request, at random at the rates of the scenario."""
         sources = [
             (tenant, name, rate)
-            for tenant in self.script.load.sources
+            for tenant in self.scenario.load.sources
             for name, rate in (
                 ("lookup", tenant.lookups),
                 ("report", tenant.reports),
@@ -68,7 +68,7 @@
         ]
         total = sum(rate for *_, rate in sources)
         at = 0.0
-        while total and (at := at + self.random.expovariate(total)) < self.script.seconds:
+        while total and (at := at + self.random.expovariate(total)) < self.scenario.seconds:
             tenant, name, _ = self.random.choices(sources, [rate for *_, rate in sources])[0]
             if tenant.since_s <= at < tenant.until_s:
                 yield at, tenant, name
@@ -80,7 +80,7 @@
         loop = asyncio.get_running_loop()
         self._began = began
         for at, tenant, name in self._generate_requests():
-            load = self.script.load
+            load = self.scenario.load
             mean = load.lookup_ms if name in ("lookup", SURVEY) else load.report_ms
             work = mean * (self.random.expovariate(1.0) if load.work == "exponential" else 1.0)
             router_numbers = tenant.routers or range(len(self.routers))
@@ -108,8 +108,8 @@
         self, client_request: ClientRequest, router_numbers: Sequence[int], work_ms: int
     ) -> None:
         """Make all attempts for a request; its duration counts from the first attempt."""
-        load = self.script.load
-        keyed = bool(self.script.store) and client_request.service_class == "ticket-load"
+        load = self.scenario.load
+        keyed = bool(self.scenario.store) and client_request.service_class == "ticket-load"
         number = client_request.router
         txn = ""
         failures = 0
@@ -148,7 +148,7 @@
     async def _wait_until_ready(self, router: RouterProcess) -> bool:
         """Wait until a router is ready again; return False if the scenario does not start it again."""
         while not router.ready:
-            if not router.alive and self._now() > self.script.seconds:
+            if not router.alive and self._now() > self.scenario.seconds:
                 return False
             await asyncio.sleep(0.05)
         return True
--- a/slipbay/rig/runner.py
+++ b/slipbay/rig/runner.py
@@ -63,21 +63,21 @@
 class Rig:
     """One run of a scenario, with all of its processes and stand-in services."""
 
-    def __init__(self, script: Scenario, folder: Path) -> None:
-        self.script = script
-        self.random = Random(script.seed)
-        self.run_report = RunReport(survey=script.survey)
+    def __init__(self, scenario: Scenario, folder: Path) -> None:
+        self.scenario = scenario
+        self.random = Random(scenario.seed)
+        self.run_report = RunReport(survey=scenario.survey)
         self.recorder = EventRecorder()
         net, self._network_socket = reserve_network()
         self.router_addresses: list[Address] = [
-            (f"127.{net}.{n // 250}.{n % 250 + 1}", PEER_PORT) for n in range(script.routers)
+            (f"127.{net}.{n // 250}.{n % 250 + 1}", PEER_PORT) for n in range(scenario.routers)
         ]
         self.udp_proxy = UdpProxy(self.router_addresses, self.random, self.recorder)
         self.udp_proxy.twin_addresses = {
-            n: (f"127.{net}.1.{n + 1}", PEER_PORT) for n in range(script.routers)
+            n: (f"127.{net}.1.{n + 1}", PEER_PORT) for n in range(scenario.routers)
         }
         self.engines = [
-            RigEngine(f"s-{n}", self.run_report.execution_log, self.recorder) for n in range(script.engines)
+            RigEngine(f"s-{n}", self.run_report.execution_log, self.recorder) for n in range(scenario.engines)
         ]
         self.host_load = HostLoad(
             lambda: [
@@ -88,15 +88,15 @@
             ]
         )
         self.run_report.execution_log.host_delay_s = self.host_load.host_delay_s
-        if script.channel and (channel_settings := tomllib.loads(script.channel)).get("enabled"):
+        if scenario.channel and (channel_settings := tomllib.loads(scenario.channel)).get("enabled"):
             self.udp_proxy.budget_bytes_per_s = channel_settings.get("rate", RATE)
-        self.endpoint_list = EndpointListServer(self.recorder, script.routers)
+        self.endpoint_list = EndpointListServer(self.recorder, scenario.routers)
         self.tcp_proxy: TcpProxy | None = None
-        if script.has_tcp_proxies:
+        if scenario.has_tcp_proxies:
             self.tcp_proxy = TcpProxy(
                 net,
-                script.routers,
-                script.engines,
+                scenario.routers,
+                scenario.engines,
                 lambda engine: (HOST, self.engines[engine].port),
                 lambda router: (HOST, self.endpoint_list.ports[router]),
             )
@@ -105,12 +105,12 @@
                 n,
                 lambda slot, n=n: self._config(n, slot),  # type: ignore[misc]
                 folder,
-                {**script.operator_files, "fleet": "" if n in script.without_view else script.fleet},
+                {**scenario.operator_files, "fleet": "" if n in scenario.without_view else scenario.fleet},
                 self._on_router_ready,
             )
-            for n in range(script.routers)
+            for n in range(scenario.routers)
         ]
-        for number in script.jumping_routers:
+        for number in scenario.jumping_routers:
             self.routers[number].clock_may_jump = True
         self.faults = Faults(
             RunComponents(
@@ -118,7 +118,7 @@
                 self.engines,
                 self.udp_proxy,
                 self.tcp_proxy,
-                script,
+                scenario,
                 self.run_report,
                 self._publish,
             )
@@ -133,7 +133,7 @@
 
     def _endpoint_entries(self, router: int) -> list[dict[str, Any]]:
         """Return the endpoint list as one router receives it."""
-        zones = zone_names(self.script.zones)
+        zones = zone_names(self.scenario.zones)
         entries = []
         for n, engine in enumerate(self.engines):
             entry = host(engine.name, engine.port, engine.state, engine.started_ms)
@@ -160,10 +160,10 @@
             ),
             "settings": settings(
                 number,
-                self.script.routers,
-                self.script.zones,
-                [tenant.name for tenant in self.script.load.sources],
-                bool(self.script.gather),
+                self.scenario.routers,
+                self.scenario.zones,
+                [tenant.name for tenant in self.scenario.load.sources],
+                bool(self.scenario.gather),
             ),
             "known": {
                 "pos": position,
@@ -175,7 +175,7 @@
         """Publish the current state of these engines in the endpoint list."""
         entry = {
             router: [hosts[n] for n in numbers]
-            for router, hosts in enumerate(map(self._endpoint_entries, range(self.script.routers)))
+            for router, hosts in enumerate(map(self._endpoint_entries, range(self.scenario.routers)))
         }
         self.endpoint_list.publish(entry.__getitem__)
 
@@ -206,14 +206,14 @@
             self.run_report.began = self.began
             self.say(f"{len(self.routers)} routers are up")
             clients = Clients(
-                self.script, self.routers, self.run_report, self.random, self.host_load.host_delay_s
+                self.scenario, self.routers, self.run_report, self.random, self.host_load.host_delay_s
             )
-            await asyncio.gather(self.faults.run(self.script.do, self.began), clients.run(self.began))
+            await asyncio.gather(self.faults.run(self.scenario.do, self.began), clients.run(self.began))
             self.run_report.starved = (cpu_wait_s(os.getpid()) - waited_before_s) / (
                 self.loop.time() - self.began
             )
             await self._wait_until_ready()
-            if self.script.settle_s:
+            if self.scenario.settle_s:
                 await self._check_views()
         finally:
             await self._stop_all()
@@ -223,8 +223,8 @@
         check_rules(
             self.run_report,
             sum(len(router.incarnations) for router in self.routers),
-            quota_bounds(self.script),
-            cancels=not self.script.has_tcp_proxies,
+            quota_bounds(self.scenario),
+            cancels=not self.scenario.has_tcp_proxies,
         )
         for row in self.run_report.quotas:
             self.say(
@@ -234,7 +234,12 @@
         service = Service(self.run_report.client_requests)
         self.run_report.seconds = service.by_second()
         self.run_report.intervals = report.intervals(
-            service, self.recorder, self.faults.performed, self.ready_times_s, self.began, self.script.seconds
+            service,
+            self.recorder,
+            self.faults.performed,
+            self.ready_times_s,
+            self.began,
+            self.scenario.seconds,
         )
         return self.run_report
 
@@ -289,9 +294,9 @@
 
         began = self.loop.time()
         running = [router for router in self.routers if router.alive]
-        queried = [router for router in running if router.number not in self.script.without_view]
+        queried = [router for router in running if router.number not in self.scenario.without_view]
         incorrect: dict[int, object] = {}
-        while self.loop.time() - began < self.script.settle_s:
+        while self.loop.time() - began < self.scenario.settle_s:
             incorrect = {}
             for router in queried:
                 try:
@@ -305,10 +310,10 @@
                 self.say(f"all {len(queried)} views are right")
                 return
             await asyncio.sleep(0.05)
-        self.run_report.faults.append(f"views are not right after {self.script.settle_s:g} s: {incorrect}")
+        self.run_report.faults.append(f"views are not right after {self.scenario.settle_s:g} s: {incorrect}")
 
 
-def run_scenario(script: Scenario) -> RunReport:
+def run_scenario(scenario: Scenario) -> RunReport:
     """Run a scenario in an event loop of its own, with its files in a temporary directory."""
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(Rig(script, Path(folder)).execute())
+        return asyncio.run(Rig(scenario, Path(folder)).execute())
--- a/slipbay/rig/scenario.py
+++ b/slipbay/rig/scenario.py
@@ -216,13 +216,13 @@
 
 def from_table(table: dict[str, Any], name: str = "script") -> Scenario:
     """Convert and check a scenario. Raises ``ConfigError`` with file and key."""
-    script = convert(table, Scenario, name)
+    scenario = convert(table, Scenario, name)
 
     def check(is_valid: bool, key: str, wanted: str) -> None:
         if not is_valid:
             raise ConfigError(f"{name}: {key}: want {wanted}")
 
-    for number, (action, given) in enumerate(zip(script.do, table.get("do", []), strict=True)):
+    for number, (action, given) in enumerate(zip(scenario.do, table.get("do", []), strict=True)):
         key = f"do[{number}]"
         check(action.what in ACTIONS, f"{key}.what", f"one of {', '.join(ACTIONS)}; got {action.what!r}")
         keys = ACTIONS[action.what]
@@ -231,14 +231,14 @@
         for needed in REQUIRED_KEYS:
             optional = "wire" in keys and needed in CONNECTION_KEYS
             check(needed not in keys or needed in given or optional, f"{key}.{needed}", "this key")
-        check(action.at <= script.seconds, f"{key}.at", f"at most seconds ({script.seconds:g})")
+        check(action.at <= scenario.seconds, f"{key}.at", f"at most seconds ({scenario.seconds:g})")
         for list_key, count in (
-            ("routers", script.routers),
-            ("engines", script.engines),
-            ("router_zones", script.zones),
-            ("engine_zones", script.zones),
-            ("from", script.routers),
-            ("to", script.routers),
+            ("routers", scenario.routers),
+            ("engines", scenario.engines),
+            ("router_zones", scenario.zones),
+            ("engine_zones", scenario.zones),
+            ("from", scenario.routers),
+            ("to", scenario.routers),
         ):
             check(
                 all(n < count for n in getattr(action, FIELD_BY_KEY.get(list_key, list_key))),
@@ -246,16 +246,16 @@
                 f"numbers from 0 to {count - 1}",
             )
     router_lists = {
-        "without_view": script.without_view,
-        **{f"load.tenants[{n}].routers": tenant.routers for n, tenant in enumerate(script.load.tenants)},
+        "without_view": scenario.without_view,
+        **{f"load.tenants[{n}].routers": tenant.routers for n, tenant in enumerate(scenario.load.tenants)},
     }
     for key, numbers in router_lists.items():
-        check(all(n < script.routers for n in numbers), key, f"numbers from 0 to {script.routers - 1}")
+        check(all(n < scenario.routers for n in numbers), key, f"numbers from 0 to {scenario.routers - 1}")
     check(
-        script.survey is not None or not any(tenant.surveys for tenant in script.load.sources),
+        scenario.survey is not None or not any(tenant.surveys for tenant in scenario.load.sources),
         "load.surveys",
         f"a text of gather that declares {SURVEY}",
     )
-    names = [tenant.name for tenant in script.load.sources]
+    names = [tenant.name for tenant in scenario.load.sources]
     check(len(names) == len(set(names)), "load.tenants", "each name once")
-    return script
+    return scenario
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -439,10 +439,10 @@
     asked = ""  # what a command says of a router then
 
     async def _check_views(self) -> None:
-        for router in self.routers if self.script.comeback else ():
+        for router in self.routers if self.scenario.comeback else ():
             while not self.told(router.lines):
                 await asyncio.sleep(0.05)
-        if "status" in self.script.channel:
+        if "status" in self.scenario.channel:
             result = await asyncio.to_thread(
                 CliRunner().invoke,
                 main,
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -21,9 +21,9 @@
 SCRIPT = read(FOLDER / "rig-together.toml")
 
 
-def run_with_logs(script: Scenario, folder: Path) -> tuple[RunReport, list[list[str]]]:
+def run_with_logs(scenario: Scenario, folder: Path) -> tuple[RunReport, list[list[str]]]:
     """Return the report, and the lines that each router logged."""
-    rig = Rig(script, folder)
+    rig = Rig(scenario, folder)
     return asyncio.run(rig.execute()), [router.lines for router in rig.routers]
 
 
