--- a/slipbay/rig/checker.py
+++ b/slipbay/rig/checker.py
@@ -81,7 +81,7 @@
     settled_s: float | None = None  # how long after the load the membership views took to become correct
     starved: float = 0.0  # fraction of the load's duration in which the host kept the rig from running
     execution_log: ExecutionLog = field(default_factory=ExecutionLog)
-    began: float = 0.0  # when all routers were ready, by the clock of the execution log
+    started_s: float = 0.0  # when all routers were ready, by the clock of the execution log
     quotas: list[dict[str, Any]] = field(default_factory=list)  # bound and worst window of each quota
     survey: ScatterTable | None = None  # how queries are scattered
     max_bytes_in_second: int = 0  # most bytes that one router process sent in any second
@@ -108,7 +108,7 @@
         """
         first: dict[str, float] = {}
         for at, _, txn in self.execution_log.starts:
-            first.setdefault(txn, at - self.began)
+            first.setdefault(txn, at - self.started_s)
         asked: dict[str, float] = {}
         for answer in self.answers:
             names = [answer.txn]
@@ -142,7 +142,7 @@
         for answer in self.answers:
             if answer.service_class != SURVEY or answer.outcome not in ("served", "failed", "refused"):
                 continue
-            ended = self.began + answer.ended
+            ended = self.started_s + answer.ended
             for name in self._parts(answer.txn):
                 part = execution_log.parts[name]
                 delayed_s = execution_log.host_delay_s(ended)
--- a/slipbay/rig/faults.py
+++ b/slipbay/rig/faults.py
@@ -44,21 +44,21 @@
         # time in s from when all routers were ready, and text of each action
         self.performed: list[tuple[float, str]] = []
 
-    async def run(self, actions: tuple[Action, ...], began: float) -> None:
-        """Perform all actions. Their times count from ``began``, in s of the event loop's clock."""
+    async def run(self, actions: tuple[Action, ...], started_s: float) -> None:
+        """Perform all actions. Their times count from ``started_s``, in s of the event loop's clock."""
         loop = asyncio.get_running_loop()
         tasks = []
-        self._began = began
+        self._started_s = started_s
         for action in sorted(actions, key=lambda action: action.at):
-            await asyncio.sleep(max(0.0, began + action.at - loop.time()))
-            self.performed.append((loop.time() - began, str(action)))
+            await asyncio.sleep(max(0.0, started_s + action.at - loop.time()))
+            self.performed.append((loop.time() - started_s, str(action)))
             self._add_to_timeline(str(action))
             tasks.append(loop.create_task(self._perform(action)))
             await asyncio.sleep(0)
         await asyncio.gather(*tasks)
 
     def _add_to_timeline(self, text: str) -> None:
-        now = asyncio.get_running_loop().time() - self._began
+        now = asyncio.get_running_loop().time() - self._started_s
         self.components.run_report.timeline.append(f"{now:7.2f} s  {text}")
 
     async def _perform(self, action: Action) -> None:
--- a/slipbay/rig/load.py
+++ b/slipbay/rig/load.py
@@ -48,10 +48,10 @@
         self._present_groups: dict[str, tuple[int, ...]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._request_count = 0
-        self._began = 0.0
+        self._started_s = 0.0
 
     def _now(self) -> float:
-        return asyncio.get_running_loop().time() - self._began
+        return asyncio.get_running_loop().time() - self._started_s
 
     def _generate_requests(self) -> Iterator[tuple[float, Tenant, str]]:
         """Yield time, tenant and class of each request, at random at the rates of the scenario."""
@@ -73,12 +73,12 @@
             if tenant.since_s <= at < tenant.until_s:
                 yield at, tenant, name
 
-    async def run(self, began: float) -> None:
-        """Send all of the load and wait for the last answer. ``began`` is a time of the event loop's clock
+    async def run(self, started_s: float) -> None:
+        """Send all of the load and wait for the last answer. ``started_s`` is a time of the event loop's clock
         in s.
         """
         loop = asyncio.get_running_loop()
-        self._began = began
+        self._started_s = started_s
         for at, tenant, name in self._generate_requests():
             load = self.scenario.load
             mean = load.lookup_ms if name in ("lookup", SURVEY) else load.report_ms
@@ -191,7 +191,7 @@
     ) -> tuple[str, float | None]:
         name = client_request.service_class
         deadline_s = CLASSES[name].deadline_s
-        began = self._now()
+        started_s = self._now()
         statement = f"SELECT {work_ms}"
         work = work_ms
         if name == SURVEY and self._survey is not None:
@@ -214,11 +214,11 @@
         try:
             writer.write(json.dumps(message).encode() + b"\n")
             line = await asyncio.wait_for(reader.readline(), deadline_s + ANSWER_WAIT_S)
-            since = self._began + began
+            since = self._started_s + started_s
             allowed_s = deadline_s + CLIENT_SLACK_S + self._host_delay_s(since) + incarnation.stopped_s(since)
             if not line:
-                return ("unsaid" if asked - began > IDLE_CLOSE_S else "cut"), None
-            duration_s = self._now() - began
+                return ("unsaid" if asked - started_s > IDLE_CLOSE_S else "cut"), None
+            duration_s = self._now() - started_s
             if duration_s > allowed_s:
                 self.run_report.faults.append(
                     f"late: {txn} ({name}) after {duration_s:.2f} s at n{incarnation.router.number}, "
--- a/slipbay/rig/report.py
+++ b/slipbay/rig/report.py
@@ -153,13 +153,13 @@
     recorder: EventRecorder,
     actions: list[tuple[float, str]],
     ready_times_s: list[float],
-    began: float,
+    started_s: float,
     seconds: float,
 ) -> list[dict[str, Any]]:
     """Return service, time to full service, and peaks for the time before the first action and from each
     action to the next.
 
-    ``actions``, ``ready_times_s`` (when routers started to listen) and ``seconds`` count from ``began``, a
+    ``actions``, ``ready_times_s`` (when routers started to listen) and ``seconds`` count from ``started_s``, a
     time of the clock of ``recorder``.
     """
     starts = [(0.0, "start"), *actions]
@@ -180,8 +180,8 @@
                 "full_service_s": None if full is None else round(full, 3),
                 "first_ready_s": round(min(ready_delays_s), 3) if number and ready_delays_s else None,
                 "cut": service.count_cut(at, until),
-                "threads": recorder.max_threads(began + at, began + until),
-                **{kind: recorder.peak_count(kind, began + at, began + until) for kind in PEAK_KINDS},
+                "threads": recorder.max_threads(started_s + at, started_s + until),
+                **{kind: recorder.peak_count(kind, started_s + at, started_s + until) for kind in PEAK_KINDS},
             }
         )
     return rows
--- a/slipbay/rig/runner.py
+++ b/slipbay/rig/runner.py
@@ -124,7 +124,7 @@
             )
         )
         self.ready_times_s: list[float] = []  # when routers started to listen
-        self.began = 0.0
+        self.started_s = 0.0
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
@@ -180,12 +180,12 @@
         self.endpoint_list.publish(entry.__getitem__)
 
     def _on_router_ready(self, incarnation: RouterIncarnation) -> None:
-        if self.began:
-            self.ready_times_s.append(self.loop.time() - self.began)
+        if self.started_s:
+            self.ready_times_s.append(self.loop.time() - self.started_s)
 
     def say(self, text: str) -> None:
         """Add a line to the timeline of the run."""
-        self.run_report.timeline.append(f"{self.loop.time() - self.began:7.2f} s  {text}")
+        self.run_report.timeline.append(f"{self.loop.time() - self.started_s:7.2f} s  {text}")
 
     async def execute(self) -> RunReport:
         """Start everything, run the scenario, stop everything, and check the rules."""
@@ -202,15 +202,17 @@
             for router in self.routers:
                 await router.spawn()
             await self._wait_until_ready()
-            self.began, waited_before_s = self.loop.time(), cpu_wait_s(os.getpid())
-            self.run_report.began = self.began
+            self.started_s, waited_before_s = self.loop.time(), cpu_wait_s(os.getpid())
+            self.run_report.started_s = self.started_s
             self.say(f"{len(self.routers)} routers are up")
             clients = Clients(
                 self.scenario, self.routers, self.run_report, self.random, self.host_load.host_delay_s
             )
-            await asyncio.gather(self.faults.run(self.scenario.do, self.began), clients.run(self.began))
+            await asyncio.gather(
+                self.faults.run(self.scenario.do, self.started_s), clients.run(self.started_s)
+            )
             self.run_report.starved = (cpu_wait_s(os.getpid()) - waited_before_s) / (
-                self.loop.time() - self.began
+                self.loop.time() - self.started_s
             )
             await self._wait_until_ready()
             if self.scenario.settle_s:
@@ -238,7 +240,7 @@
             self.recorder,
             self.faults.performed,
             self.ready_times_s,
-            self.began,
+            self.started_s,
             self.scenario.seconds,
         )
         return self.run_report
@@ -292,11 +294,11 @@
         from slipbay.membership.status_client import ask
         from slipbay.peer_channel.status_pages import NoAnswerError
 
-        began = self.loop.time()
+        started_s = self.loop.time()
         running = [router for router in self.routers if router.alive]
         queried = [router for router in running if router.number not in self.scenario.without_view]
         incorrect: dict[int, object] = {}
-        while self.loop.time() - began < self.scenario.settle_s:
+        while self.loop.time() - started_s < self.scenario.settle_s:
             incorrect = {}
             for router in queried:
                 try:
@@ -306,7 +308,7 @@
                 except (NoAnswerError, OSError) as problem:
                     incorrect[router.number] = str(problem)
             if not incorrect:
-                self.run_report.settled_s = self.loop.time() - began
+                self.run_report.settled_s = self.loop.time() - started_s
                 self.say(f"all {len(queried)} views are right")
                 return
             await asyncio.sleep(0.05)
--- a/tests/quota_play.py
+++ b/tests/quota_play.py
@@ -85,7 +85,7 @@
     with tempfile.TemporaryDirectory() as directory:
         rig = Rig(convert(table, Scenario, "script"), Path(directory))
         verdict = asyncio.run(rig.execute())
-        return Observations(verdict, rig.began), rig
+        return Observations(verdict, rig.started_s), rig
 
 
 def bound(rate: float = 30, burst: float = 16) -> float:
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -463,7 +463,7 @@
 
     def since_death(self, sort: str, end_s: float) -> int:
         """How many marks of a sort there are until so long after new lives may be there."""
-        dead = self.began + self.run_report.intervals[-1]["at"]
+        dead = self.started_s + self.run_report.intervals[-1]["at"]
         return sum(dead + 0.3 <= at < dead + 0.3 + end_s for at in self.recorder._times[sort])
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -486,7 +486,7 @@
 
 def test_the_checker_finds_a_window_that_exceeds_a_quota() -> None:
     """Five requests per second for 4 s, and 20 more at 2 s: each is admitted and started within 10 ms."""
-    run_report = RunReport(began=100.0)
+    run_report = RunReport(started_s=100.0)
     for number, at in enumerate([*(n / 5 for n in range(20)), *[2.0] * 20]):
         run_report.execution_log.record_start("s-0", f"{number}", "lookup", 100 + at + 0.01)
         run_report.answers.append(Answer(f"{number}", "lookup", "a", 0, 0, at, at + 0.5, "served"))
