--- a/slipbay/rig/checker.py
+++ b/slipbay/rig/checker.py
@@ -35,8 +35,8 @@
     tenant: str
     router: int
     incarnation: int
-    asked: float
-    ended: float
+    sent_s: float
+    ended_s: float
     outcome: str  # served, refused, failed, cut (its router ended) or unreached (no connection was accepted)
     retry_after_s: float | None = None
     is_repeat: bool = False
@@ -109,7 +109,7 @@
         first: dict[str, float] = {}
         for at, _, txn in self.execution_log.starts:
             first.setdefault(txn, at - self.started_s)
-        asked: dict[str, float] = {}
+        first_sent_s: dict[str, float] = {}
         for answer in self.answers:
             names = [answer.txn]
             class_ = answer.service_class
@@ -120,8 +120,8 @@
             if (not tenants or answer.tenant in tenants) and (not classes or class_ in classes):
                 for name in names:
                     if name in first:
-                        asked[name] = min(answer.asked, asked.get(name, answer.asked))
-        return [(at, first[txn]) for txn, at in asked.items()]
+                        first_sent_s[name] = min(answer.sent_s, first_sent_s.get(name, answer.sent_s))
+        return [(at, first[txn]) for txn, at in first_sent_s.items()]
 
     def _parts(self, query: str) -> list[str]:
         """Return the request names of those parts of a scattered query that ran."""
@@ -142,7 +142,7 @@
         for answer in self.answers:
             if answer.service_class != SURVEY or answer.outcome not in ("served", "failed", "refused"):
                 continue
-            ended = self.started_s + answer.ended
+            ended = self.started_s + answer.ended_s
             for name in self._parts(answer.txn):
                 part = execution_log.parts[name]
                 delayed_s = execution_log.host_delay_s(ended)
@@ -209,14 +209,14 @@
 
     A request counts where the client sent it and an engine started it within the window.
     """
-    ended = sorted((ran, asked) for asked, ran in spans)
+    spans_by_end = sorted((ran, sent_s) for sent_s, ran in spans)
     max_excess = 0.0
-    for begin in {asked for asked, _ in spans}:
+    for window_start_s in {sent_s for sent_s, _ in spans}:
         count = 0
-        for ran, asked in ended:
-            if asked >= begin:
+        for ran, sent_s in spans_by_end:
+            if sent_s >= window_start_s:
                 count += 1
-                max_excess = max(max_excess, count - rate * (ran - begin))
+                max_excess = max(max_excess, count - rate * (ran - window_start_s))
     return max_excess
 
 
--- a/slipbay/rig/engines.py
+++ b/slipbay/rig/engines.py
@@ -41,11 +41,11 @@
     def record_start(self, engine: str, request: str, class_name: str, now: float) -> None:
         """Record that an engine starts a request, and check that this start is allowed."""
         other_engines = self.running.setdefault(request, set())
-        asked = self.last_requested_s.get(request, now)
+        last_s = self.last_requested_s.get(request, now)
         # otherwise the router has abandoned the first execution
         if (
             other_engines
-            and now - asked + self.host_delay_s(asked - UNREQUESTED_TIMEOUT_S) <= UNREQUESTED_TIMEOUT_S
+            and now - last_s + self.host_delay_s(last_s - UNREQUESTED_TIMEOUT_S) <= UNREQUESTED_TIMEOUT_S
         ):
             self.faults.append(f"twice at once: {request} on {engine} beside {sorted(other_engines)}")
         other_engines.add(engine)
--- a/slipbay/rig/load.py
+++ b/slipbay/rig/load.py
@@ -74,9 +74,7 @@
                 yield at, tenant, name
 
     async def run(self, started_s: float) -> None:
-        """Send all of the load and wait for the last answer. ``started_s`` is a time of the event loop's clock
-        in s.
-        """
+        """Send all of the load, from ``started_s`` of the event loop's clock, and wait for the last answer."""
         loop = asyncio.get_running_loop()
         self._started_s = started_s
         for at, tenant, name in self._generate_requests():
@@ -157,7 +155,7 @@
         self, client_request: ClientRequest, incarnation: RouterIncarnation, txn: str, work_ms: int
     ) -> Answer:
         name = client_request.service_class
-        asked = self._now()
+        sent_s = self._now()
         for _ in range(5):
             outcome, retry_after_s = await self._exchange(incarnation, client_request, txn, work_ms)
             if outcome != "unsaid":
@@ -168,7 +166,7 @@
             client_request.tenant,
             incarnation.router.number,
             incarnation.number,
-            asked,
+            sent_s,
             self._now(),
             outcome,
             retry_after_s,
@@ -210,14 +208,14 @@
             reader, writer = await asyncio.open_connection(HOST, incarnation.port)
         except OSError:
             return "unreached", None
-        asked = self._now()
+        sent_s = self._now()
         try:
             writer.write(json.dumps(message).encode() + b"\n")
             line = await asyncio.wait_for(reader.readline(), deadline_s + ANSWER_WAIT_S)
             since = self._started_s + started_s
             allowed_s = deadline_s + CLIENT_SLACK_S + self._host_delay_s(since) + incarnation.stopped_s(since)
             if not line:
-                return ("unsaid" if asked - started_s > IDLE_CLOSE_S else "cut"), None
+                return ("unsaid" if sent_s - started_s > IDLE_CLOSE_S else "cut"), None
             duration_s = self._now() - started_s
             if duration_s > allowed_s:
                 self.run_report.faults.append(
--- a/slipbay/rig/report.py
+++ b/slipbay/rig/report.py
@@ -159,8 +159,8 @@
     """Return service, time to full service, and peaks for the time before the first action and from each
     action to the next.
 
-    ``actions``, ``ready_times_s`` (when routers started to listen) and ``seconds`` count from ``started_s``, a
-    time of the clock of ``recorder``.
+    ``actions``, ``ready_times_s`` (when routers started to listen) and ``seconds`` count from
+    ``started_s``, a time of the clock of ``recorder``.
     """
     starts = [(0.0, "start"), *actions]
     first = actions[0][0] if actions else seconds
--- a/tests/quota_play.py
+++ b/tests/quota_play.py
@@ -35,7 +35,7 @@
 
     def __init__(self, verdict: RunReport, started_s: float) -> None:
         self.verdict = verdict
-        self.asked = {answer.txn: (answer.asked, answer.router) for answer in verdict.answers}
+        self.asked = {answer.txn: (answer.sent_s, answer.router) for answer in verdict.answers}
         self.first_run_s: dict[str, float] = {}
         for at, _, txn in verdict.execution_log.starts:
             self.first_run_s.setdefault(txn, at - started_s)
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -76,7 +76,7 @@
     served_halves = {
         (answer.tenant, answer.router // 4)
         for answer in run_report.answers
-        if answer.outcome == "served" and 8 < answer.asked < 11
+        if answer.outcome == "served" and 8 < answer.sent_s < 11
     }
     assert {
         ("ishikari-fuel", 0),
