--- a/slipbay/rig/checker.py
+++ b/slipbay/rig/checker.py
@@ -283,7 +283,7 @@
 def check_rules(
     run_report: RunReport, process_count: int, quota_bounds: Sequence[QuotaBound] = (), cancels: bool = True
 ) -> None:
-    """Check the rules that can only be checked after the whole run.
+    """Check the rules that can only be checked after the complete run.
 
     ``process_count`` is the number of router processes; ``cancels``: see ``RunReport.uncancelled_parts``.
     """
--- a/slipbay/rig/engines.py
+++ b/slipbay/rig/engines.py
@@ -12,11 +12,11 @@
 from slipbay.rig.report import EventRecorder
 from slipbay.rig.standins import HttpCall, StandInEngine, http_answer
 
-LONG_POLL_S = 0.25
-UNREQUESTED_TIMEOUT_S = 2.0
+LONG_POLL_S = 0.25  # s for which a call waits at the engine for its result
+UNREQUESTED_TIMEOUT_S = 2.0  # s without a request by any router, after which an execution is abandoned
 # milliseconds of work; table group and query of a part
 STATEMENT_PATTERN = re.compile(r"\D*(\d+)(?:\D+_(\d+)\D+ of ([0-9a-f]{16}))?")
-DRAIN_GRACE_S = 1.05  # s after the drain event was sent, when no new request may arrive
+DRAIN_GRACE_S = 1.05  # s after all routers received the drain event, when no new request may arrive
 
 
 class ExecutionLog:
@@ -42,7 +42,7 @@
         """Record that an engine starts a request, and check that this start is allowed."""
         other_engines = self.running.setdefault(request, set())
         last_s = self.last_requested_s.get(request, now)
-        # otherwise the router has abandoned the first execution
+        # An execution that no router has requested for this time is abandoned, so another may start.
         if (
             other_engines
             and now - last_s + self.host_delay_s(last_s - UNREQUESTED_TIMEOUT_S) <= UNREQUESTED_TIMEOUT_S
--- a/slipbay/rig/load.py
+++ b/slipbay/rig/load.py
@@ -74,7 +74,7 @@
                 yield at, tenant, name
 
     async def run(self, started_s: float) -> None:
-        """Send all of the load, from ``started_s`` of the event loop's clock, and wait for the last answer."""
+        """Send all of the load, from ``started_s`` of the event loop's clock, and await the last answer."""
         loop = asyncio.get_running_loop()
         self._started_s = started_s
         for at, tenant, name in self._generate_requests():
--- a/slipbay/rig/report.py
+++ b/slipbay/rig/report.py
@@ -11,8 +11,8 @@
 
 from slipbay.rig.platform import CLASSES
 
-WINDOW_S = 0.1  # span over which peaks are counted
-# service is full when it stays at this fraction of the earlier service for this many seconds
+WINDOW_S = 0.1  # span in which the events of a peak are counted
+# Service is full when it stays at this fraction of the earlier service for this many seconds.
 FULL_FRACTION = 0.95
 FULL_S = 1.0
 SEARCH_STEP_S = 0.02
