--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -251,11 +251,11 @@
 
 def test_connections_to_the_journal_are_stalled_while_an_engine_drains_and_later_cut() -> None:
     run_report = run_checked(
-        action(0.5, "stall_wire", connection="journal"),
+        action(0.5, "stall_wire", wire="journal"),
         action(1, "drain", engines=[0]),
-        action(4, "heal_wire", connection="journal"),
-        action(5, "cut_wire", connection="journal", routers=[0]),
-        action(6, "heal_wire", connection="journal"),
+        action(4, "heal_wire", wire="journal"),
+        action(5, "cut_wire", wire="journal", routers=[0]),
+        action(6, "heal_wire", wire="journal"),
         seconds=7,
         routers=3,
     )
