--- a/benchmarks/lives.py
+++ b/benchmarks/lives.py
@@ -35,7 +35,7 @@
 
     async def _check_views(self) -> None:
         self.statuses: list[dict[str, Any]] = []
-        for target in self.real:
+        for target in self.router_addresses:
             try:
                 self.statuses.append(await asyncio.to_thread(request_status, target, encode_request(0), 5.0))
             except (NoAnswerError, OSError) as problem:
--- a/slipbay/rig/checker.py
+++ b/slipbay/rig/checker.py
@@ -35,8 +35,8 @@
     tenant: str
     router: int
     incarnation: int
-    asked: float
-    ended: float
+    sent_s: float
+    ended_s: float
     outcome: str  # served, refused, failed, cut (its router ended) or unreached (no connection was accepted)
     retry_after_s: float | None = None
     is_repeat: bool = False
@@ -81,7 +81,7 @@
     settled_s: float | None = None  # how long after the load the membership views took to become correct
     starved: float = 0.0  # fraction of the load's duration in which the host kept the rig from running
     execution_log: ExecutionLog = field(default_factory=ExecutionLog)
-    began: float = 0.0  # when all routers were ready, by the clock of the execution log
+    started_s: float = 0.0  # when all routers were ready, by the clock of the execution log
     quotas: list[dict[str, Any]] = field(default_factory=list)  # bound and worst window of each quota
     survey: ScatterTable | None = None  # how queries are scattered
     max_bytes_in_second: int = 0  # most bytes that one router process sent in any second
@@ -108,8 +108,8 @@
         """
         first: dict[str, float] = {}
         for at, _, txn in self.execution_log.starts:
-            first.setdefault(txn, at - self.began)
-        asked: dict[str, float] = {}
+            first.setdefault(txn, at - self.started_s)
+        first_sent_s: dict[str, float] = {}
         for answer in self.answers:
             names = [answer.txn]
             class_ = answer.service_class
@@ -120,8 +120,8 @@
             if (not tenants or answer.tenant in tenants) and (not classes or class_ in classes):
                 for name in names:
                     if name in first:
-                        asked[name] = min(answer.asked, asked.get(name, answer.asked))
-        return [(at, first[txn]) for txn, at in asked.items()]
+                        first_sent_s[name] = min(answer.sent_s, first_sent_s.get(name, answer.sent_s))
+        return [(at, first[txn]) for txn, at in first_sent_s.items()]
 
     def _parts(self, query: str) -> list[str]:
         """Return the request names of those parts of a scattered query that ran."""
@@ -142,7 +142,7 @@
         for answer in self.answers:
             if answer.service_class != SURVEY or answer.outcome not in ("served", "failed", "refused"):
                 continue
-            ended = self.began + answer.ended
+            ended = self.started_s + answer.ended_s
             for name in self._parts(answer.txn):
                 part = execution_log.parts[name]
                 delayed_s = execution_log.host_delay_s(ended)
@@ -209,18 +209,18 @@
 
     A request counts where the client sent it and an engine started it within the window.
     """
-    ended = sorted((ran, asked) for asked, ran in spans)
+    spans_by_end = sorted((ran, sent_s) for sent_s, ran in spans)
     max_excess = 0.0
-    for begin in {asked for asked, _ in spans}:
+    for window_start_s in {sent_s for sent_s, _ in spans}:
         count = 0
-        for ran, asked in ended:
-            if asked >= begin:
+        for ran, sent_s in spans_by_end:
+            if sent_s >= window_start_s:
                 count += 1
-                max_excess = max(max_excess, count - rate * (ran - begin))
+                max_excess = max(max_excess, count - rate * (ran - window_start_s))
     return max_excess
 
 
-def quota_bounds(script: Scenario) -> list[QuotaBound]:
+def quota_bounds(scenario: Scenario) -> list[QuotaBound]:
     """Return the bounds that a scenario's quota plans guarantee.
 
     Over the whole run the largest plan holds, and once all routers have received the last plan, that plan's
@@ -231,13 +231,13 @@
         table = tomllib.loads(text)
         return convert(table, QuotaPlan, "quota") if table.pop("enabled", False) else None
 
-    current_plan = plan(script.quota) if script.quota else None
+    current_plan = plan(scenario.quota) if scenario.quota else None
     if current_plan is None:
         return []
     plans = [current_plan]
-    informed_routers = set(range(script.routers))
+    informed_routers = set(range(scenario.routers))
     applied_s = 0.0
-    for action in sorted(script.do, key=lambda action: action.at):
+    for action in sorted(scenario.do, key=lambda action: action.at):
         if action.what == "reload" and action.file == "quota":
             try:
                 new_plan = plan(action.text)
@@ -245,7 +245,7 @@
                     continue
                 check_change(
                     current_plan,
-                    check(new_plan, [tenant.name for tenant in script.load.sources], list(CLASSES)),
+                    check(new_plan, [tenant.name for tenant in scenario.load.sources], list(CLASSES)),
                 )
             except (ConfigError, ValueError):
                 continue
@@ -256,11 +256,11 @@
             informed_routers |= set(action.routers)
             applied_s = action.at + PLAN_APPLY_S
     found = [
-        _largest_bound(name, plans, script.routers) for name in {q.name: 0 for p in plans for q in p.quotas}
+        _largest_bound(name, plans, scenario.routers) for name in {q.name: 0 for p in plans for q in p.quotas}
     ]
-    if len(plans) > 1 and len(informed_routers) == script.routers:
+    if len(plans) > 1 and len(informed_routers) == scenario.routers:
         found += [
-            _largest_bound(quota.name, [current_plan], script.routers, applied_s)
+            _largest_bound(quota.name, [current_plan], scenario.routers, applied_s)
             for quota in current_plan.quotas
         ]
     return found
@@ -283,7 +283,7 @@
 def check_rules(
     run_report: RunReport, process_count: int, quota_bounds: Sequence[QuotaBound] = (), cancels: bool = True
 ) -> None:
-    """Check the rules that can only be checked after the whole run.
+    """Check the rules that can only be checked after the complete run.
 
     ``process_count`` is the number of router processes; ``cancels``: see ``RunReport.uncancelled_parts``.
     """
--- a/slipbay/rig/faults.py
+++ b/slipbay/rig/faults.py
@@ -26,9 +26,9 @@
 
     routers: list[RouterProcess]
     engines: list[RigEngine]
-    links: UdpProxy
+    udp_proxy: UdpProxy
     tcp_proxy: TcpProxy | None
-    script: Scenario
+    scenario: Scenario
     run_report: RunReport
     publish: Callable[[tuple[int, ...]], None]  # publishes the current state of these engines
 
@@ -44,39 +44,39 @@
         # time in s from when all routers were ready, and text of each action
         self.performed: list[tuple[float, str]] = []
 
-    async def run(self, actions: tuple[Action, ...], began: float) -> None:
-        """Perform all actions. Their times count from ``began``, in s of the event loop's clock."""
+    async def run(self, actions: tuple[Action, ...], started_s: float) -> None:
+        """Perform all actions. Their times count from ``started_s``, in s of the event loop's clock."""
         loop = asyncio.get_running_loop()
         tasks = []
-        self._began = began
+        self._started_s = started_s
         for action in sorted(actions, key=lambda action: action.at):
-            await asyncio.sleep(max(0.0, began + action.at - loop.time()))
-            self.performed.append((loop.time() - began, str(action)))
+            await asyncio.sleep(max(0.0, started_s + action.at - loop.time()))
+            self.performed.append((loop.time() - started_s, str(action)))
             self._add_to_timeline(str(action))
             tasks.append(loop.create_task(self._perform(action)))
             await asyncio.sleep(0)
         await asyncio.gather(*tasks)
 
     def _add_to_timeline(self, text: str) -> None:
-        now = asyncio.get_running_loop().time() - self._began
+        now = asyncio.get_running_loop().time() - self._started_s
         self.components.run_report.timeline.append(f"{now:7.2f} s  {text}")
 
     async def _perform(self, action: Action) -> None:
-        components, links = self.components, self.components.links
+        components, udp_proxy = self.components, self.components.udp_proxy
         engines = [components.engines[n] for n in action.engines]
         match action.what:
             case "cut":
-                links.cut(action.sources, action.targets, not action.one_way)
+                udp_proxy.cut(action.sources, action.targets, not action.one_way)
             case "heal":
-                links.heal()
+                udp_proxy.heal()
             case "replay":
-                links.replay()
+                udp_proxy.replay()
             case "loss":
-                links.loss = action.part
+                udp_proxy.loss = action.part
             case "double":
-                links.double = action.part
+                udp_proxy.double = action.part
             case "delay":
-                links.delay_s = action.ms / 1000
+                udp_proxy.delay_s = action.ms / 1000
             case "reset":
                 self._add_to_timeline(f"{sum(engine.reset() for engine in engines)} calls were under way")
             case "renew":
@@ -104,7 +104,7 @@
     async def _change_connections(self, action: Action) -> None:
         assert self.components.tcp_proxy is not None
         directions = DIRECTIONS if action.way == "both" else (action.way,)
-        for pair in self.components.script.connection_pairs(action):
+        for pair in self.components.scenario.connection_pairs(action):
             connection = self.components.tcp_proxy[pair]
             match action.what:
                 case "cut_wire":
--- a/slipbay/rig/load.py
+++ b/slipbay/rig/load.py
@@ -31,33 +31,33 @@
 
     def __init__(
         self,
-        script: Scenario,
+        scenario: Scenario,
         routers: list[RouterProcess],
         run_report: RunReport,
         random: Random,
         host_delay_s: Callable[[float], float],
     ) -> None:
         """Create clients; ``host_delay_s`` returns the seconds of delay by the host since a time."""
-        self.script = script
+        self.scenario = scenario
         self.routers = routers
         self.run_report = run_report
         self.random = random
         self._host_delay_s = host_delay_s
-        self._survey = script.survey
+        self._survey = scenario.survey
         # table groups in the answers to scattered queries
         self._present_groups: dict[str, tuple[int, ...]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._request_count = 0
-        self._began = 0.0
+        self._started_s = 0.0
 
     def _now(self) -> float:
-        return asyncio.get_running_loop().time() - self._began
+        return asyncio.get_running_loop().time() - self._started_s
 
     def _generate_requests(self) -> Iterator[tuple[float, Tenant, str]]:
         """Yield time, tenant and class of each request, at random at the rates of the scenario."""
         sources = [
             (tenant, name, rate)
-            for tenant in self.script.load.sources
+            for tenant in self.scenario.load.sources
             for name, rate in (
                 ("lookup", tenant.lookups),
                 ("report", tenant.reports),
@@ -68,19 +68,17 @@
         ]
         total = sum(rate for *_, rate in sources)
         at = 0.0
-        while total and (at := at + self.random.expovariate(total)) < self.script.seconds:
+        while total and (at := at + self.random.expovariate(total)) < self.scenario.seconds:
             tenant, name, _ = self.random.choices(sources, [rate for *_, rate in sources])[0]
             if tenant.since_s <= at < tenant.until_s:
                 yield at, tenant, name
 
-    async def run(self, began: float) -> None:
-        """Send all of the load and wait for the last answer. ``began`` is a time of the event loop's clock
-        in s.
-        """
+    async def run(self, started_s: float) -> None:
+        """Send all of the load, from ``started_s`` of the event loop's clock, and await the last answer."""
         loop = asyncio.get_running_loop()
-        self._began = began
+        self._started_s = started_s
         for at, tenant, name in self._generate_requests():
-            load = self.script.load
+            load = self.scenario.load
             mean = load.lookup_ms if name in ("lookup", SURVEY) else load.report_ms
             work = mean * (self.random.expovariate(1.0) if load.work == "exponential" else 1.0)
             router_numbers = tenant.routers or range(len(self.routers))
@@ -108,8 +106,8 @@
         self, client_request: ClientRequest, router_numbers: Sequence[int], work_ms: int
     ) -> None:
         """Make all attempts for a request; its duration counts from the first attempt."""
-        load = self.script.load
-        keyed = bool(self.script.store) and client_request.service_class == "ticket-load"
+        load = self.scenario.load
+        keyed = bool(self.scenario.store) and client_request.service_class == "ticket-load"
         number = client_request.router
         txn = ""
         failures = 0
@@ -148,7 +146,7 @@
     async def _wait_until_ready(self, router: RouterProcess) -> bool:
         """Wait until a router is ready again; return False if the scenario does not start it again."""
         while not router.ready:
-            if not router.alive and self._now() > self.script.seconds:
+            if not router.alive and self._now() > self.scenario.seconds:
                 return False
             await asyncio.sleep(0.05)
         return True
@@ -157,7 +155,7 @@
         self, client_request: ClientRequest, incarnation: RouterIncarnation, txn: str, work_ms: int
     ) -> Answer:
         name = client_request.service_class
-        asked = self._now()
+        sent_s = self._now()
         for _ in range(5):
             outcome, retry_after_s = await self._exchange(incarnation, client_request, txn, work_ms)
             if outcome != "unsaid":
@@ -168,7 +166,7 @@
             client_request.tenant,
             incarnation.router.number,
             incarnation.number,
-            asked,
+            sent_s,
             self._now(),
             outcome,
             retry_after_s,
@@ -191,7 +189,7 @@
     ) -> tuple[str, float | None]:
         name = client_request.service_class
         deadline_s = CLASSES[name].deadline_s
-        began = self._now()
+        started_s = self._now()
         statement = f"SELECT {work_ms}"
         work = work_ms
         if name == SURVEY and self._survey is not None:
@@ -210,15 +208,15 @@
             reader, writer = await asyncio.open_connection(HOST, incarnation.port)
         except OSError:
             return "unreached", None
-        asked = self._now()
+        sent_s = self._now()
         try:
             writer.write(json.dumps(message).encode() + b"\n")
             line = await asyncio.wait_for(reader.readline(), deadline_s + ANSWER_WAIT_S)
-            since = self._began + began
+            since = self._started_s + started_s
             allowed_s = deadline_s + CLIENT_SLACK_S + self._host_delay_s(since) + incarnation.stopped_s(since)
             if not line:
-                return ("unsaid" if asked - began > IDLE_CLOSE_S else "cut"), None
-            duration_s = self._now() - began
+                return ("unsaid" if sent_s - started_s > IDLE_CLOSE_S else "cut"), None
+            duration_s = self._now() - started_s
             if duration_s > allowed_s:
                 self.run_report.faults.append(
                     f"late: {txn} ({name}) after {duration_s:.2f} s at n{incarnation.router.number}, "
--- a/slipbay/rig/runner.py
+++ b/slipbay/rig/runner.py
@@ -63,19 +63,21 @@
 class Rig:
     """One run of a scenario, with all of its processes and stand-in services."""
 
-    def __init__(self, script: Scenario, folder: Path) -> None:
-        self.script = script
-        self.random = Random(script.seed)
-        self.run_report = RunReport(survey=script.survey)
+    def __init__(self, scenario: Scenario, folder: Path) -> None:
+        self.scenario = scenario
+        self.random = Random(scenario.seed)
+        self.run_report = RunReport(survey=scenario.survey)
         self.recorder = EventRecorder()
         net, self._network_socket = reserve_network()
-        self.real: list[Address] = [
-            (f"127.{net}.{n // 250}.{n % 250 + 1}", PEER_PORT) for n in range(script.routers)
+        self.router_addresses: list[Address] = [
+            (f"127.{net}.{n // 250}.{n % 250 + 1}", PEER_PORT) for n in range(scenario.routers)
         ]
-        self.links = UdpProxy(self.real, self.random, self.recorder)
-        self.links.twin_addresses = {n: (f"127.{net}.1.{n + 1}", PEER_PORT) for n in range(script.routers)}
+        self.udp_proxy = UdpProxy(self.router_addresses, self.random, self.recorder)
+        self.udp_proxy.twin_addresses = {
+            n: (f"127.{net}.1.{n + 1}", PEER_PORT) for n in range(scenario.routers)
+        }
         self.engines = [
-            RigEngine(f"s-{n}", self.run_report.execution_log, self.recorder) for n in range(script.engines)
+            RigEngine(f"s-{n}", self.run_report.execution_log, self.recorder) for n in range(scenario.engines)
         ]
         self.host_load = HostLoad(
             lambda: [
@@ -86,15 +88,15 @@
             ]
         )
         self.run_report.execution_log.host_delay_s = self.host_load.host_delay_s
-        if script.channel and (channel_settings := tomllib.loads(script.channel)).get("enabled"):
-            self.links.budget_bytes_per_s = channel_settings.get("rate", RATE)
-        self.endpoint_list = EndpointListServer(self.recorder, script.routers)
+        if scenario.channel and (channel_settings := tomllib.loads(scenario.channel)).get("enabled"):
+            self.udp_proxy.budget_bytes_per_s = channel_settings.get("rate", RATE)
+        self.endpoint_list = EndpointListServer(self.recorder, scenario.routers)
         self.tcp_proxy: TcpProxy | None = None
-        if script.has_tcp_proxies:
+        if scenario.has_tcp_proxies:
             self.tcp_proxy = TcpProxy(
                 net,
-                script.routers,
-                script.engines,
+                scenario.routers,
+                scenario.engines,
                 lambda engine: (HOST, self.engines[engine].port),
                 lambda router: (HOST, self.endpoint_list.ports[router]),
             )
@@ -103,20 +105,26 @@
                 n,
                 lambda slot, n=n: self._config(n, slot),  # type: ignore[misc]
                 folder,
-                {**script.operator_files, "fleet": "" if n in script.without_view else script.fleet},
+                {**scenario.operator_files, "fleet": "" if n in scenario.without_view else scenario.fleet},
                 self._on_router_ready,
             )
-            for n in range(script.routers)
+            for n in range(scenario.routers)
         ]
-        for number in script.jumping_routers:
+        for number in scenario.jumping_routers:
             self.routers[number].clock_may_jump = True
         self.faults = Faults(
             RunComponents(
-                self.routers, self.engines, self.links, self.tcp_proxy, script, self.run_report, self._publish
+                self.routers,
+                self.engines,
+                self.udp_proxy,
+                self.tcp_proxy,
+                scenario,
+                self.run_report,
+                self._publish,
             )
         )
         self.ready_times_s: list[float] = []  # when routers started to listen
-        self.began = 0.0
+        self.started_s = 0.0
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
@@ -125,7 +133,7 @@
 
     def _endpoint_entries(self, router: int) -> list[dict[str, Any]]:
         """Return the endpoint list as one router receives it."""
-        zones = zone_names(self.script.zones)
+        zones = zone_names(self.scenario.zones)
         entries = []
         for n, engine in enumerate(self.engines):
             entry = host(engine.name, engine.port, engine.state, engine.started_ms)
@@ -135,8 +143,8 @@
         return entries
 
     def _config(self, number: int, slot: int) -> dict[str, Any]:
-        own = self.links.twin_addresses[number] if slot else self.real[number]
-        self.links.start_incarnation(own, self.loop.time())
+        own = self.udp_proxy.twin_addresses[number] if slot else self.router_addresses[number]
+        self.udp_proxy.start_incarnation(own, self.loop.time())
         endpoint_list = (HOST, self.endpoint_list.ports[number])
         position = self.endpoint_list.position
         return {
@@ -145,17 +153,17 @@
             "seed": f"{self.random.randrange(2**60):x}",
             "limits": {"cores": 1, "memory_mb": 192, "sockets": 512},
             "peer_listen": format_address(own),
-            "peers": self.links.peers(number, own),
-            "peers_all": self.links.broadcast_address(number),
+            "peers": self.udp_proxy.peers(number, own),
+            "peers_all": self.udp_proxy.broadcast_address(number),
             "journal": format_address(
                 self.tcp_proxy[number, None].address if self.tcp_proxy is not None else endpoint_list
             ),
             "settings": settings(
                 number,
-                self.script.routers,
-                self.script.zones,
-                [tenant.name for tenant in self.script.load.sources],
-                bool(self.script.gather),
+                self.scenario.routers,
+                self.scenario.zones,
+                [tenant.name for tenant in self.scenario.load.sources],
+                bool(self.scenario.gather),
             ),
             "known": {
                 "pos": position,
@@ -167,22 +175,22 @@
         """Publish the current state of these engines in the endpoint list."""
         entry = {
             router: [hosts[n] for n in numbers]
-            for router, hosts in enumerate(map(self._endpoint_entries, range(self.script.routers)))
+            for router, hosts in enumerate(map(self._endpoint_entries, range(self.scenario.routers)))
         }
         self.endpoint_list.publish(entry.__getitem__)
 
     def _on_router_ready(self, incarnation: RouterIncarnation) -> None:
-        if self.began:
-            self.ready_times_s.append(self.loop.time() - self.began)
+        if self.started_s:
+            self.ready_times_s.append(self.loop.time() - self.started_s)
 
     def say(self, text: str) -> None:
         """Add a line to the timeline of the run."""
-        self.run_report.timeline.append(f"{self.loop.time() - self.began:7.2f} s  {text}")
+        self.run_report.timeline.append(f"{self.loop.time() - self.started_s:7.2f} s  {text}")
 
     async def execute(self) -> RunReport:
         """Start everything, run the scenario, stop everything, and check the rules."""
         watching = self.loop.create_task(self.host_load.watch())
-        await self.links.open()
+        await self.udp_proxy.open()
         await self.endpoint_list.start()
         for engine in self.engines:
             await engine.start()
@@ -194,29 +202,31 @@
             for router in self.routers:
                 await router.spawn()
             await self._wait_until_ready()
-            self.began, waited_before_s = self.loop.time(), cpu_wait_s(os.getpid())
-            self.run_report.began = self.began
+            self.started_s, waited_before_s = self.loop.time(), cpu_wait_s(os.getpid())
+            self.run_report.started_s = self.started_s
             self.say(f"{len(self.routers)} routers are up")
             clients = Clients(
-                self.script, self.routers, self.run_report, self.random, self.host_load.host_delay_s
+                self.scenario, self.routers, self.run_report, self.random, self.host_load.host_delay_s
+            )
+            await asyncio.gather(
+                self.faults.run(self.scenario.do, self.started_s), clients.run(self.started_s)
             )
-            await asyncio.gather(self.faults.run(self.script.do, self.began), clients.run(self.began))
             self.run_report.starved = (cpu_wait_s(os.getpid()) - waited_before_s) / (
-                self.loop.time() - self.began
+                self.loop.time() - self.started_s
             )
             await self._wait_until_ready()
-            if self.script.settle_s:
+            if self.scenario.settle_s:
                 await self._check_views()
         finally:
             await self._stop_all()
             watching.cancel()
-        self.run_report.max_bytes_in_second = self.links.max_bytes_in_second
-        self.run_report.faults += self.links.over_budget[:5]
+        self.run_report.max_bytes_in_second = self.udp_proxy.max_bytes_in_second
+        self.run_report.faults += self.udp_proxy.over_budget[:5]
         check_rules(
             self.run_report,
             sum(len(router.incarnations) for router in self.routers),
-            quota_bounds(self.script),
-            cancels=not self.script.has_tcp_proxies,
+            quota_bounds(self.scenario),
+            cancels=not self.scenario.has_tcp_proxies,
         )
         for row in self.run_report.quotas:
             self.say(
@@ -226,7 +236,12 @@
         service = Service(self.run_report.client_requests)
         self.run_report.seconds = service.by_second()
         self.run_report.intervals = report.intervals(
-            service, self.recorder, self.faults.performed, self.ready_times_s, self.began, self.script.seconds
+            service,
+            self.recorder,
+            self.faults.performed,
+            self.ready_times_s,
+            self.started_s,
+            self.scenario.seconds,
         )
         return self.run_report
 
@@ -266,24 +281,24 @@
         if self.tcp_proxy is not None:
             self.tcp_proxy.close()
         self.endpoint_list.close()
-        self.links.close()
+        self.udp_proxy.close()
         self._network_socket.close()
 
     def _peer_address(self, router: RouterProcess) -> Address:
         """Return the address on which a router's latest process listens for peers."""
         slot = [incarnation for incarnation in router.incarnations if incarnation.alive][-1].slot
-        return self.links.twin_addresses[router.number] if slot else self.real[router.number]
+        return self.udp_proxy.twin_addresses[router.number] if slot else self.router_addresses[router.number]
 
     async def _check_views(self) -> None:
         """Query every router's membership view until all views are correct."""
         from slipbay.membership.status_client import request_status
         from slipbay.peer_channel.status_pages import NoAnswerError
 
-        began = self.loop.time()
+        started_s = self.loop.time()
         running = [router for router in self.routers if router.alive]
-        queried = [router for router in running if router.number not in self.script.without_view]
+        queried = [router for router in running if router.number not in self.scenario.without_view]
         incorrect: dict[int, object] = {}
-        while self.loop.time() - began < self.script.settle_s:
+        while self.loop.time() - started_s < self.scenario.settle_s:
             incorrect = {}
             for router in queried:
                 try:
@@ -293,14 +308,14 @@
                 except (NoAnswerError, OSError) as problem:
                     incorrect[router.number] = str(problem)
             if not incorrect:
-                self.run_report.settled_s = self.loop.time() - began
+                self.run_report.settled_s = self.loop.time() - started_s
                 self.say(f"all {len(queried)} views are right")
                 return
             await asyncio.sleep(0.05)
-        self.run_report.faults.append(f"views are not right after {self.script.settle_s:g} s: {incorrect}")
+        self.run_report.faults.append(f"views are not right after {self.scenario.settle_s:g} s: {incorrect}")
 
 
-def run_scenario(script: Scenario) -> RunReport:
+def run_scenario(scenario: Scenario) -> RunReport:
     """Run a scenario in an event loop of its own, with its files in a temporary directory."""
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(Rig(script, Path(folder)).execute())
+        return asyncio.run(Rig(scenario, Path(folder)).execute())
--- a/tests/channel_play.py
+++ b/tests/channel_play.py
@@ -83,14 +83,14 @@
         for number in self.routers_with_channel:
             self.traffic.at_status[number] = sum(size for _, size in self.traffic.sent[number])
             self.traffic.status[number] = await asyncio.to_thread(
-                request_status, self.real[number], encode_request(0), 5.0
+                request_status, self.router_addresses[number], encode_request(0), 5.0
             )
 
 
 def recording_relay(traffic: Traffic) -> type[UdpRelay]:
     class RecordingRelay(UdpRelay):
         def datagram_received(self, data: bytes, addr: Address) -> None:
-            if addr == self.links.real[self.source_router]:
+            if addr == self.udp_proxy.router_addresses[self.source_router]:
                 traffic.sent[self.source_router].append((time.monotonic(), len(data)))
                 traffic.framed[self.source_router] += is_framed(data)
             super().datagram_received(data, addr)
--- a/tests/quota_play.py
+++ b/tests/quota_play.py
@@ -35,7 +35,7 @@
 
     def __init__(self, verdict: RunReport, started_s: float) -> None:
         self.verdict = verdict
-        self.asked = {answer.txn: (answer.asked, answer.router) for answer in verdict.answers}
+        self.asked = {answer.txn: (answer.sent_s, answer.router) for answer in verdict.answers}
         self.first_run_s: dict[str, float] = {}
         for at, _, txn in verdict.execution_log.starts:
             self.first_run_s.setdefault(txn, at - started_s)
@@ -85,7 +85,7 @@
     with tempfile.TemporaryDirectory() as directory:
         rig = Rig(convert(table, Scenario, "script"), Path(directory))
         verdict = asyncio.run(rig.execute())
-        return Observations(verdict, rig.began), rig
+        return Observations(verdict, rig.started_s), rig
 
 
 def bound(rate: float = 30, burst: float = 16) -> float:
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -455,10 +455,10 @@
     status_output = ""  # output of the status command of the first router
 
     async def _check_views(self) -> None:
-        for router in self.routers if self.script.comeback else ():
+        for router in self.routers if self.scenario.comeback else ():
             while not self.full_service_lines(router.lines):
                 await asyncio.sleep(0.05)
-        if "status" in self.script.channel:
+        if "status" in self.scenario.channel:
             result = await asyncio.to_thread(
                 CliRunner().invoke,
                 main,
@@ -479,7 +479,7 @@
 
     def events_after_restart(self, event: str, end_s: float) -> int:
         """Number of events of a kind within ``end_s`` after the new incarnations can run."""
-        killed_at = self.began + self.run_report.intervals[-1]["at"]
+        killed_at = self.started_s + self.run_report.intervals[-1]["at"]
         return sum(killed_at + 0.3 <= at < killed_at + 0.3 + end_s for at in self.recorder._times[event])
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -251,11 +251,11 @@
 
 def test_connections_to_the_journal_are_stalled_while_an_engine_drains_and_later_cut() -> None:
     run_report = run_checked(
-        action(0.5, "stall_wire", connection="journal"),
+        action(0.5, "stall_wire", wire="journal"),
         action(1, "drain", engines=[0]),
-        action(4, "heal_wire", connection="journal"),
-        action(5, "cut_wire", connection="journal", routers=[0]),
-        action(6, "heal_wire", connection="journal"),
+        action(4, "heal_wire", wire="journal"),
+        action(5, "cut_wire", wire="journal", routers=[0]),
+        action(6, "heal_wire", wire="journal"),
         seconds=7,
         routers=3,
     )
@@ -486,7 +486,7 @@
 
 def test_the_checker_finds_a_window_that_exceeds_a_quota() -> None:
     """Five requests per second for 4 s, and 20 more at 2 s: each is admitted and started within 10 ms."""
-    run_report = RunReport(began=100.0)
+    run_report = RunReport(started_s=100.0)
     for number, at in enumerate([*(n / 5 for n in range(20)), *[2.0] * 20]):
         run_report.execution_log.record_start("s-0", f"{number}", "lookup", 100 + at + 0.01)
         run_report.answers.append(Answer(f"{number}", "lookup", "a", 0, 0, at, at + 0.5, "served"))
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -21,9 +21,9 @@
 SCRIPT = read(FOLDER / "rig-together.toml")
 
 
-def run_with_logs(script: Scenario, folder: Path) -> tuple[RunReport, list[list[str]]]:
+def run_with_logs(scenario: Scenario, folder: Path) -> tuple[RunReport, list[list[str]]]:
     """Return the report, and the lines that each router logged."""
-    rig = Rig(script, folder)
+    rig = Rig(scenario, folder)
     return asyncio.run(rig.execute()), [router.lines for router in rig.routers]
 
 
@@ -76,7 +76,7 @@
     served_halves = {
         (answer.tenant, answer.router // 4)
         for answer in run_report.answers
-        if answer.outcome == "served" and 8 < answer.asked < 11
+        if answer.outcome == "served" and 8 < answer.sent_s < 11
     }
     assert {
         ("ishikari-fuel", 0),
