--- a/benchmarks/channel_cuts.py
+++ b/benchmarks/channel_cuts.py
@@ -52,7 +52,7 @@
         if part is None
         else TruncatedGossip(routers, engines, part, seed)
     )
-    fleet.deaf = part == 0
+    fleet.drops_gossip = part == 0
     fleet.until(2 * SECOND)
     fleet.load(seconds, level)
     account = fleet.account
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -27,7 +27,7 @@
 ) -> FleetModel:
     """Five of eight routers are killed after a fifth of the time."""
     fleet = FleetModel(routers, engines, seed=seed, skew=0.5)
-    fleet.deaf = not has_gossip
+    fleet.drops_gossip = not has_gossip
     fleet.load(seconds / 5, level)
     for me in range(routers * 5 // 8):
         fleet.kill(me)
--- a/slipbay/emulator/fleet_model.py
+++ b/slipbay/emulator/fleet_model.py
@@ -132,7 +132,7 @@
             retry_window_us=10 * SECOND,
         )
         self.account = Account()
-        self.deaf = False
+        self.drops_gossip = False
         self.is_sampling = False
         self.entries: dict[bytes, EngineEntry] = {}
         self.engines: dict[bytes, EngineModel] = {}
@@ -172,7 +172,7 @@
 
     def _list(self, entry: EngineEntry) -> None:
         for me in range(len(self.routers)):
-            self._tell(me, EngineList(ListKind.DELTA, (entry,)))
+            self._deliver_event(me, EngineList(ListKind.DELTA, (entry,)))
 
     # Routers
 
@@ -183,7 +183,7 @@
             replace(self.settings, router_number=me, zone=me % self.zones),
             self.seed * 1_000_003 + me * 1009 + self.lives[me],
         )
-        self._tell(me, EngineList(ListKind.CACHED, tuple(self.entries.values())))
+        self._deliver_event(me, EngineList(ListKind.CACHED, tuple(self.entries.values())))
 
     def kill(self, me: int) -> None:
         """Kill a router. Its attempts run for 2 s more, until the engines detect the closed connections."""
@@ -200,7 +200,7 @@
         self.engines[name].stop(self.now, number)
         self._schedule_completion(name)
 
-    def _tell(self, me: int, event: Event) -> None:
+    def _deliver_event(self, me: int, event: Event) -> None:
         router = self.routers[me]
         incarnation = self.lives[me]
         if router is None:
@@ -225,16 +225,16 @@
 
     def _fire(self, me: int, incarnation: int, token: int) -> None:
         if incarnation == self.lives[me]:
-            self._tell(me, TimerFired(token))
+            self._deliver_event(me, TimerFired(token))
 
     def _send(self, me: int, body: bytes, to: int | None) -> None:
         for other in range(len(self.routers)) if to is None else [to]:
             if other != me:
                 self.account.gossip_messages += 1
-                if not self.deaf and self.random.random() >= self.loss:
+                if not self.drops_gossip and self.random.random() >= self.loss:
                     self.agenda.at(
                         self.now + self.random.randrange(2_000, 25_000),
-                        lambda o=other: self._tell(o, PeerMessage(me, body)),  # type: ignore[misc]
+                        lambda o=other: self._deliver_event(o, PeerMessage(me, body)),  # type: ignore[misc]
                     )
 
     # Requests
@@ -251,7 +251,7 @@
         self.account.came[kind] += 1
         self.account.worth += traffic.spec.utility
         estimate_us = int(work * exp(self.traffic.gauss(0, 0.1)))
-        self._tell(
+        self._deliver_event(
             me, QueryArrived(query, kind, traffic.spec.deadline_us, estimate_us, group=float(query % 17))
         )
 
@@ -305,9 +305,9 @@
             query, attempt, attempt_on_engine[0], outcome, 0, good, int(work) if good else None
         )
         if good:
-            self._tell(me, event)
+            self._deliver_event(me, event)
         else:
-            self.agenda.at(self.now + 1_000, lambda: self._tell(me, event))
+            self.agenda.at(self.now + 1_000, lambda: self._deliver_event(me, event))
 
     def _refused(self, query: int) -> None:
         self.account.refused[self.asked[query][0]] += 1
--- a/slipbay/emulator/restart_model.py
+++ b/slipbay/emulator/restart_model.py
@@ -205,7 +205,7 @@
 
     def _restore_all_estimates(self, me: int) -> None:
         """Give a new incarnation all estimates of the one before it."""
-        self._tell(me, self.saved_estimates[me])
+        self._deliver_event(me, self.saved_estimates[me])
         router, (started, charges) = self.routers[me], self.saved_charges[me]
         assert router is not None
         router.uptime.started_us = started
@@ -231,9 +231,9 @@
             self.seen.stale += age > current.machine.collector.oldest_report_us or age > max(
                 astuple(current.machine.plan.ages)
             )
-        self._tell(me, merged.estimates)
+        self._deliver_event(me, merged.estimates)
         if merged.retries:
-            self._tell(me, RetryBudgetRestored((), ((self.now, float(merged.retries)),)))
+            self._deliver_event(me, RetryBudgetRestored((), ((self.now, float(merged.retries)),)))
 
     def _on_phase_change(self, me: int, phase: Phase) -> None:
         current = self.current_incarnations[me]
@@ -279,7 +279,7 @@
         current = self.current_incarnations[me]
         if current is not None and current.machine is not None and incarnation == self.lives[me]:
             new_limits = current.machine.limits.connection_limits(self.now)
-            self._tell(me, new_limits)
+            self._deliver_event(me, new_limits)
             if new_limits.limit_connections:
                 self.agenda.at(
                     self.now + LIMIT_UPDATE_US, lambda: self._update_connection_limits(me, incarnation)
@@ -292,7 +292,7 @@
         if any(router is not None for router in self.routers):
             super().ask(kind)
 
-    def _tell(self, me: int, event: Event) -> None:
+    def _deliver_event(self, me: int, event: Event) -> None:
         if isinstance(event, QueryArrived):
             self.router_of[event.query] = me
             self.seen.asked[self.now // INTERVAL_US] += event.query not in self.original_request
@@ -302,7 +302,7 @@
                 return
         if self.perfect:
             self._set_actual_threads(me)
-        super()._tell(me, event)
+        super()._deliver_event(me, event)
 
     def _set_actual_threads(self, me: int) -> None:
         router = self.routers[me]
@@ -350,7 +350,7 @@
         running = [me for me, router in enumerate(self.routers) if router is not None]
         kind, work, _ = self.asked[query]
         if running:
-            self._tell(
+            self._deliver_event(
                 self.random.choice(running),
                 QueryArrived(
                     query, kind, self.mix[kind].spec.deadline_us, int(work), group=float(query % 17)
--- a/tests/cold_starts.py
+++ b/tests/cold_starts.py
@@ -149,7 +149,7 @@
     def send_full_lists(self) -> None:
         """Send the full list to each router now."""
         for me in range(len(self.routers)):
-            self._tell(me, EngineList(ListKind.FULL, tuple(self.entries.values())))
+            self._deliver_event(me, EngineList(ListKind.FULL, tuple(self.entries.values())))
 
     def _list(self, entry: EngineEntry) -> None:
         for me in range(len(self.routers)):
@@ -161,16 +161,16 @@
                     lambda me=me, run=run, delta=delta: self._receive_list(me, run, delta),  # type: ignore[misc]
                 )
             else:
-                self._tell(me, delta)
+                self._deliver_event(me, delta)
 
     def _receive_list(self, me: int, run: int, delta: EngineList) -> None:
         if run == self.lives[me]:  # a restarted router started with a newer list
-            self._tell(me, delta)
+            self._deliver_event(me, delta)
 
-    def _tell(self, me: int, event: Event) -> None:
+    def _deliver_event(self, me: int, event: Event) -> None:
         if isinstance(event, EngineList):
             self.notified_starts |= {(me, entry.engine, entry.ready_at_us) for entry in event.entries}
-        super()._tell(me, event)
+        super()._deliver_event(me, event)
 
     # Between routers
 
@@ -187,7 +187,7 @@
             attempt = self.sent[me, query]
             self.sent[me, query] += 1
             event = AttemptEnded(query, attempt, name, Outcome.CONNECT_FAILED)
-            self.agenda.at(self.now + REFUSED_US, lambda: self._tell(me, event))
+            self.agenda.at(self.now + REFUSED_US, lambda: self._deliver_event(me, event))
             return
         super()._dispatch(me, query, name)
         start = self.starts.get(name)
--- a/tests/exchange_models.py
+++ b/tests/exchange_models.py
@@ -610,7 +610,7 @@
 
     def act(self, action: Action) -> None:
         self.actions = [action]
-        self.tier._tell(0, TimerFired(0))
+        self.tier._deliver_event(0, TimerFired(0))
 
     def dispatch(self) -> None:
         """The first is ours, and gets less of the engine with each other one."""
--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -110,8 +110,8 @@
             tier.start(me)
     if partitions > 1:
         for me in range(routers):
-            tier._tell(me, FleetSize(routers // partitions))
-    tier.deaf = gossip_mode is Gossip.LOST
+            tier._deliver_event(me, FleetSize(routers // partitions))
+    tier.drops_gossip = gossip_mode is Gossip.LOST
     lag_random = Random(seed)
     for me in range(routers):
         tier.lag_us[me] = lag_random.randrange(4 * SECOND) if scenario is not engines_join else 0
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -127,11 +127,11 @@
         self._second_hashes = hashes
         super().__init__(*args, **options)
 
-    def _tell(self, me: int, event: Event) -> None:
+    def _deliver_event(self, me: int, event: Event) -> None:
         router = self.routers[me]
         if isinstance(router, Controller):  # a new incarnation
             self.routers[me] = cast(Controller, RecordingPolicy(router, me, self._second_hashes))
-        super()._tell(me, event)
+        super()._deliver_event(me, event)
 
 
 def one_router(hashes: SecondHashes) -> None:
@@ -156,9 +156,9 @@
     """Load above the capacity, in two zones, uneven, and for a while without messages between routers."""
     tier = RecordingFleet(hashes, 3, 6, seed=7, zones=2, skew=1.0)
     tier.load(3, 1.3)
-    tier.deaf = True
+    tier.drops_gossip = True
     tier.load(3, 1.3)
-    tier.deaf = False
+    tier.drops_gossip = False
     tier.load(3, 0.5)
 
 
