--- a/slipbay/emulator/channel_fleet.py
+++ b/slipbay/emulator/channel_fleet.py
@@ -58,7 +58,7 @@
         self.network = Network(self.agenda, self.random, self._deliver, weather)
         self.offsets = [self.random.randint(-skew_us, skew_us) for _ in range(size)]
         self.drifts_ppm = [self.random.randint(-drift_ppm, drift_ppm) for _ in range(size)]
-        self.lives = [0] * size
+        self.incarnation_numbers = [0] * size
         self.muxes: list[Multiplexer | None] = [None] * size
         self.views: list[MembershipStateMachine | None] = [None] * size
         self.fullest = [0] * size  # maximum bytes that the router sent in any second of true time
@@ -85,7 +85,7 @@
     def start(self, numbers: Iterable[int] | None = None) -> None:
         """Start new incarnations of the given routers, or of all."""
         for me in range(self.size) if numbers is None else numbers:
-            self.lives[me] += 1
+            self.incarnation_numbers[me] += 1
             incarnation = self.random.randrange(2**16)
             now = self.clock(me)
             mux = self.muxes[me] = Multiplexer(
--- a/slipbay/emulator/fleet_model.py
+++ b/slipbay/emulator/fleet_model.py
@@ -136,7 +136,7 @@
         self.is_sampling = False
         self.entries: dict[bytes, EngineEntry] = {}
         self.engines: dict[bytes, EngineModel] = {}
-        self.lives = [0] * routers
+        self.incarnation_numbers = [0] * routers
         self.routers: list[Controller | None] = [None] * routers
         self.asked: dict[int, tuple[int, float, int]] = {}  # by request: class, work in us, arrival time
         self.out: defaultdict[tuple[int, int, int], tuple[bytes, int]] = defaultdict(lambda: (b"", 0))
@@ -178,10 +178,10 @@
 
     def start(self, me: int) -> None:
         """Start a new incarnation of a router."""
-        self.lives[me] += 1
+        self.incarnation_numbers[me] += 1
         self.routers[me] = Controller(
             replace(self.settings, router_number=me, zone=me % self.zones),
-            self.seed * 1_000_003 + me * 1009 + self.lives[me],
+            self.seed * 1_000_003 + me * 1009 + self.incarnation_numbers[me],
         )
         self._deliver_event(me, EngineList(ListKind.CACHED, tuple(self.entries.values())))
 
@@ -202,7 +202,7 @@
 
     def _deliver_event(self, me: int, event: Event) -> None:
         router = self.routers[me]
-        incarnation = self.lives[me]
+        incarnation = self.incarnation_numbers[me]
         if router is None:
             return
         for action in router.handle(self.now, [event]):
@@ -224,7 +224,7 @@
                     raise AssertionError("a request failed in a model that has no failing engines")
 
     def _fire(self, me: int, incarnation: int, token: int) -> None:
-        if incarnation == self.lives[me]:
+        if incarnation == self.incarnation_numbers[me]:
             self._deliver_event(me, TimerFired(token))
 
     def _send(self, me: int, body: bytes, to: int | None) -> None:
--- a/slipbay/emulator/membership_model.py
+++ b/slipbay/emulator/membership_model.py
@@ -40,7 +40,7 @@
         self.agenda = EventQueue(EPOCH)
         self.network = Network(self.agenda, self.random, self._deliver, weather)
         self.offsets = [self.random.randrange(2 * skew_us + 1) - skew_us for _ in range(size)]
-        self.lives = [0] * size
+        self.incarnation_numbers = [0] * size
         self.members: list[MembershipStateMachine | None] = [None] * size
         self.stopped: set[int] = set()
         self._unread: dict[int, list[tuple[int, bytes]]] = {}  # datagrams that a stopped process has not read
@@ -54,7 +54,7 @@
 
     def start(self, me: int) -> None:
         """Start a new incarnation of a member; its first tick is at a random time within 250 ms."""
-        self.lives[me] += 1
+        self.incarnation_numbers[me] += 1
         incarnation = self.random.randrange(2**16)
         now = self.now + self.offsets[me]
         self.members[me] = MembershipStateMachine(
@@ -67,7 +67,7 @@
             timing=self.timing,
             keys=MessageKeys(self.key),
         )
-        start_count = self.lives[me]
+        start_count = self.incarnation_numbers[me]
         self.agenda.at(self.now + self.random.randrange(250_000), lambda: self._tick(me, start_count))
 
     def kill(self, numbers: Iterable[int]) -> None:
@@ -111,7 +111,7 @@
 
     def _tick(self, me: int, start_count: int) -> None:
         member = self.members[me]
-        if start_count == self.lives[me] and member is not None:
+        if start_count == self.incarnation_numbers[me] and member is not None:
             due = self.now + 50_000
             if me not in self.stopped:
                 offset = self.offsets[me]
--- a/slipbay/emulator/restart_model.py
+++ b/slipbay/emulator/restart_model.py
@@ -127,7 +127,7 @@
 
     def start(self, me: int) -> None:
         """Start a new incarnation of a router, with a warm-up if there is a plan."""
-        number = self.lives[me] + 1
+        number = self.incarnation_numbers[me] + 1
         seed = self.random.randrange(2**60)
         machine = mux = None
         if self.plan is not None:
@@ -216,7 +216,7 @@
         router = self.routers[me]
         assert router is not None
         self.first_reported_us.setdefault(
-            (me, self.requesting_router, self.lives[self.requesting_router]), now
+            (me, self.requesting_router, self.incarnation_numbers[self.requesting_router]), now
         )
         return router.estimates(now, GROUPS), sum(
             at > now - self.settings.retry_window_us for at, _ in router.retry_budget().retries
@@ -226,7 +226,7 @@
         current = self.current_incarnations[me]
         assert current is not None and current.machine is not None
         for source in current.machine.collector.sources:
-            age = self.now - self.first_reported_us[source, me, self.lives[me]]
+            age = self.now - self.first_reported_us[source, me, self.incarnation_numbers[me]]
             self.seen.news.append(age)
             self.seen.stale += age > current.machine.collector.oldest_report_us or age > max(
                 astuple(current.machine.plan.ages)
@@ -244,7 +244,7 @@
 
     def _tick(self, me: int, incarnation: int) -> None:
         current = self.current_incarnations[me]
-        if current is None or current.mux is None or incarnation != self.lives[me]:
+        if current is None or current.mux is None or incarnation != self.incarnation_numbers[me]:
             return
         self._transmit(me, current.mux.tick(self.now))
         self._schedule_tick(me)
@@ -255,7 +255,7 @@
         due = current.mux.next_tick()
         if due is not None and due != current.due:
             current.due = due
-            incarnation = self.lives[me]
+            incarnation = self.incarnation_numbers[me]
             self.agenda.at(max(due, self.now + 1_000), lambda: self._tick(me, incarnation))
 
     def _transmit(self, me: int, sends: list[Send]) -> None:
@@ -277,7 +277,11 @@
     def _update_connection_limits(self, me: int, incarnation: int) -> None:
         """Send the decisions their current connection limits."""
         current = self.current_incarnations[me]
-        if current is not None and current.machine is not None and incarnation == self.lives[me]:
+        if (
+            current is not None
+            and current.machine is not None
+            and incarnation == self.incarnation_numbers[me]
+        ):
             new_limits = current.machine.limits.connection_limits(self.now)
             self._deliver_event(me, new_limits)
             if new_limits.limit_connections:
--- a/tests/cold_starts.py
+++ b/tests/cold_starts.py
@@ -155,7 +155,7 @@
         for me in range(len(self.routers)):
             delta = EngineList(ListKind.DELTA, (entry,))
             if self.lag_us[me]:
-                run = self.lives[me]
+                run = self.incarnation_numbers[me]
                 self.agenda.at(
                     self.now + self.lag_us[me],
                     lambda me=me, run=run, delta=delta: self._receive_list(me, run, delta),  # type: ignore[misc]
@@ -164,7 +164,7 @@
                 self._deliver_event(me, delta)
 
     def _receive_list(self, me: int, run: int, delta: EngineList) -> None:
-        if run == self.lives[me]:  # a restarted router started with a newer list
+        if run == self.incarnation_numbers[me]:  # a restarted router started with a newer list
             self._deliver_event(me, delta)
 
     def _deliver_event(self, me: int, event: Event) -> None:
