--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -67,9 +67,9 @@
     ready = last_kill + down
     chosen = range(round(killed * routers))
     if cold:
-        fleet.agenda.at(first_kill - SECOND, lambda: fleet.renew(sorted(fleet.engines)[::cold]))
+        fleet.event_queue.at(first_kill - SECOND, lambda: fleet.renew(sorted(fleet.engines)[::cold]))
     for at in {first_kill, last_kill}:
-        fleet.agenda.at(at, lambda: fleet.restart(chosen, down, SPREAD_US))
+        fleet.event_queue.at(at, lambda: fleet.restart(chosen, down, SPREAD_US))
     fleet.load(kill_s + AFTER_S, level)
     fleet.until(fleet.now + 5 * SECOND)
     seen = fleet.seen
--- a/slipbay/emulator/channel_fleet.py
+++ b/slipbay/emulator/channel_fleet.py
@@ -54,8 +54,8 @@
         self.parts = parts
         self.view = view
         self.random = Random(seed)
-        self.agenda = EventQueue(EPOCH)
-        self.network = Network(self.agenda, self.random, self._deliver, weather)
+        self.event_queue = EventQueue(EPOCH)
+        self.network = Network(self.event_queue, self.random, self._deliver, weather)
         self.offsets = [self.random.randint(-skew_us, skew_us) for _ in range(size)]
         self.drifts_ppm = [self.random.randint(-drift_ppm, drift_ppm) for _ in range(size)]
         self.incarnation_numbers = [0] * size
@@ -71,7 +71,7 @@
     @property
     def now(self) -> int:
         """True time in us."""
-        return self.agenda.now
+        return self.event_queue.now
 
     def clock(self, me: int) -> int:
         """Return the time of the router's own clock."""
@@ -136,7 +136,7 @@
 
     def run(self, seconds: float) -> None:
         """Run the simulation for some seconds."""
-        self.agenda.until(self.now + int(seconds * SECOND))
+        self.event_queue.until(self.now + int(seconds * SECOND))
 
     def _clock_at(self, me: int, true_us: int) -> int:
         return true_us + self.offsets[me] + (true_us - EPOCH) * self.drifts_ppm[me] // SECOND
@@ -181,7 +181,7 @@
         if due is not None:
             self._tick_number[me] += 1
             number = self._tick_number[me]
-            self.agenda.at(
+            self.event_queue.at(
                 max(self._true_time(me, due), self.now + MIN_TICK_INTERVAL_US), lambda: self._tick(me, number)
             )
 
--- a/slipbay/emulator/fleet_model.py
+++ b/slipbay/emulator/fleet_model.py
@@ -101,7 +101,7 @@
         rule: ColdRule | None = None,
         loss: float = 0.0,
     ) -> None:
-        self.agenda = EventQueue(SECOND)
+        self.event_queue = EventQueue(SECOND)
         self.random = Random(seed)
         self.mix = mix
         self.rule = rule or ColdRule()
@@ -148,12 +148,12 @@
             self.add_engine(born=0)
         for me in range(routers):
             self.start(me)
-        self.agenda.at(self.agenda.now, self._sample_threads)
+        self.event_queue.at(self.event_queue.now, self._sample_threads)
 
     @property
     def now(self) -> int:
         """The simulated time in us."""
-        return self.agenda.now
+        return self.event_queue.now
 
     # Engines
 
@@ -191,7 +191,7 @@
         for key, (name, number) in list(self.out.items()):
             if key[0] == me:
                 del self.out[key]
-                self.agenda.at(
+                self.event_queue.at(
                     self.now + 2 * SECOND,
                     lambda name=name, number=number: self._stop(name, number),  # type: ignore[misc]
                 )
@@ -208,7 +208,7 @@
         for action in router.handle(self.now, [event]):
             match action:
                 case SetTimer(token, at):
-                    self.agenda.at(at, lambda t=token: self._fire(me, incarnation, t))  # type: ignore[misc]
+                    self.event_queue.at(at, lambda t=token: self._fire(me, incarnation, t))  # type: ignore[misc]
                 case SendGossip(body, to):
                     self._send(me, body, to)
                 case UpdateAttempt(query, priority):
@@ -232,7 +232,7 @@
             if other != me:
                 self.account.gossip_messages += 1
                 if not self.drops_gossip and self.random.random() >= self.loss:
-                    self.agenda.at(
+                    self.event_queue.at(
                         self.now + self.random.randrange(2_000, 25_000),
                         lambda o=other: self._deliver_event(o, PeerMessage(me, body)),  # type: ignore[misc]
                     )
@@ -276,7 +276,7 @@
         wanted = engine.wanted
         end = engine.next_end(self.now)
         if end is not None:
-            self.agenda.at(end, lambda: self._complete_attempts(name, wanted))
+            self.event_queue.at(end, lambda: self._complete_attempts(name, wanted))
 
     def _complete_attempts(self, name: bytes, wanted: int) -> None:
         engine = self.engines[name]
@@ -307,7 +307,7 @@
         if good:
             self._deliver_event(me, event)
         else:
-            self.agenda.at(self.now + 1_000, lambda: self._deliver_event(me, event))
+            self.event_queue.at(self.now + 1_000, lambda: self._deliver_event(me, event))
 
     def _refused(self, query: int) -> None:
         self.account.refused[self.asked[query][0]] += 1
@@ -324,11 +324,11 @@
             self.account.thread_samples += [
                 e.threads for n, e in self.engines.items() if self.entries[n].state is EngineState.READY
             ]
-        self.agenda.at(self.now + SECOND // 10, self._sample_threads)
+        self.event_queue.at(self.now + SECOND // 10, self._sample_threads)
 
     def until(self, when: int) -> None:
         """Run the simulation until the time ``when``."""
-        self.agenda.until(when)
+        self.event_queue.until(when)
 
     def load(self, seconds: float, level: float) -> None:
         """Send a Poisson stream of client requests for ``seconds``.
--- a/slipbay/emulator/membership_model.py
+++ b/slipbay/emulator/membership_model.py
@@ -37,8 +37,8 @@
         self.timing = timing
         self.key = key
         self.random = Random(seed)
-        self.agenda = EventQueue(EPOCH)
-        self.network = Network(self.agenda, self.random, self._deliver, weather)
+        self.event_queue = EventQueue(EPOCH)
+        self.network = Network(self.event_queue, self.random, self._deliver, weather)
         self.offsets = [self.random.randrange(2 * skew_us + 1) - skew_us for _ in range(size)]
         self.incarnation_numbers = [0] * size
         self.members: list[MembershipStateMachine | None] = [None] * size
@@ -50,7 +50,7 @@
     @property
     def now(self) -> int:
         """True time in us."""
-        return self.agenda.now
+        return self.event_queue.now
 
     def start(self, me: int) -> None:
         """Start a new incarnation of a member; its first tick is at a random time within 250 ms."""
@@ -68,7 +68,7 @@
             keys=MessageKeys(self.key),
         )
         start_count = self.incarnation_numbers[me]
-        self.agenda.at(self.now + self.random.randrange(250_000), lambda: self._tick(me, start_count))
+        self.event_queue.at(self.now + self.random.randrange(250_000), lambda: self._tick(me, start_count))
 
     def kill(self, numbers: Iterable[int]) -> None:
         """Kill members; their unread datagrams are lost."""
@@ -83,7 +83,7 @@
         if member is not None:
             for to, data in member.leave(self.now + self.offsets[me]):
                 self.network.send(me, to, data)
-            self.agenda.at(self.now + 700_000, lambda: self.kill([me]))
+            self.event_queue.at(self.now + 700_000, lambda: self.kill([me]))
 
     def stop(self, me: int) -> None:
         """Stop a member's process as on SIGSTOP."""
@@ -119,7 +119,7 @@
                 if due <= self.now:  # a message since the schedule may have moved the next tick
                     self._run_tick(me)
                     due = member.next_tick() - offset
-            self.agenda.at(max(due, self.now + 10_000), lambda: self._tick(me, start_count))
+            self.event_queue.at(max(due, self.now + 10_000), lambda: self._tick(me, start_count))
 
     def _run_tick(self, me: int) -> None:
         member = self.members[me]
@@ -150,9 +150,9 @@
         while self.now < end:
             if self.settled():
                 return (self.now - start) / SECOND
-            self.agenda.until(self.now + 50_000)
+            self.event_queue.until(self.now + 50_000)
         return float("inf")
 
     def run(self, seconds: float) -> None:
         """Run the simulation for some seconds."""
-        self.agenda.until(self.now + int(seconds * SECOND))
+        self.event_queue.until(self.now + int(seconds * SECOND))
--- a/slipbay/emulator/network.py
+++ b/slipbay/emulator/network.py
@@ -29,12 +29,12 @@
 
     def __init__(
         self,
-        agenda: EventQueue,
+        event_queue: EventQueue,
         random: Random,
         deliver: Callable[[int, int, bytes], None],
         weather: LinkConditions | None = None,
     ) -> None:
-        self.agenda = agenda
+        self.event_queue = event_queue
         self.random = random
         self.deliver = deliver
         self.weather = weather or LinkConditions()
@@ -64,4 +64,4 @@
             return
         for _ in range(1 + (weather.double > 0 and self.random.random() < weather.double)):
             delay_us = weather.least_us + int(self.random.random() * (weather.most_us - weather.least_us))
-            self.agenda.at(self.agenda.now + delay_us, lambda: self.deliver(target, source, data))
+            self.event_queue.at(self.event_queue.now + delay_us, lambda: self.deliver(target, source, data))
--- a/slipbay/emulator/quota.py
+++ b/slipbay/emulator/quota.py
@@ -189,7 +189,7 @@
                     room = min(size, mux.room(now, kind))
                     if room >= MIN_FILL_BYTES and mux.outside(now, kind, room):
                         self.routers.sent(me, room)
-        self.routers.agenda.at(self.now + FILL_INTERVAL_US, self._send_other_kinds)
+        self.routers.event_queue.at(self.now + FILL_INTERVAL_US, self._send_other_kinds)
 
     def run(self, seconds: float) -> None:
         """Run the simulation for some seconds."""
@@ -198,7 +198,7 @@
     def _schedule_request(self, name: str, me: int) -> None:
         rate = self.demands[name][me]
         wait = self.random.expovariate(rate) if rate > 0 else 0.2
-        self.routers.agenda.at(
+        self.routers.event_queue.at(
             self.now + max(1, int(wait * SECOND)), lambda: self._send_request(name, me, rate > 0)
         )
 
--- a/slipbay/emulator/restart_model.py
+++ b/slipbay/emulator/restart_model.py
@@ -180,7 +180,7 @@
         for me in chosen:
             self.kill(me)
         for me in chosen:
-            self.agenda.at(
+            self.event_queue.at(
                 self.now + after_us + self.traffic.randrange(spread_us + 1),
                 lambda me=me: self.start(me),  # type: ignore[misc]
             )
@@ -256,13 +256,13 @@
         if due is not None and due != current.due:
             current.due = due
             incarnation = self.incarnation_numbers[me]
-            self.agenda.at(max(due, self.now + 1_000), lambda: self._tick(me, incarnation))
+            self.event_queue.at(max(due, self.now + 1_000), lambda: self._tick(me, incarnation))
 
     def _transmit(self, me: int, sends: list[Send]) -> None:
         for to, data in sends:
             self.seen.bytes[me] += len(data)
             if self.random.random() >= self.loss:
-                self.agenda.at(
+                self.event_queue.at(
                     self.now + self.random.randrange(2_000, 25_000),
                     lambda to=to, data=data: self._receive(me, to, data),  # type: ignore[misc]
                 )
@@ -285,7 +285,7 @@
             new_limits = current.machine.limits.connection_limits(self.now)
             self._deliver_event(me, new_limits)
             if new_limits.limit_connections:
-                self.agenda.at(
+                self.event_queue.at(
                     self.now + LIMIT_UPDATE_US, lambda: self._update_connection_limits(me, incarnation)
                 )
 
@@ -348,7 +348,7 @@
             return
         retry = len(self.asked) + 1
         self.asked[retry], self.original_request[retry] = (kind, work, since), original_request
-        self.agenda.at(self.now + wait, lambda: self._retry(retry))
+        self.event_queue.at(self.now + wait, lambda: self._retry(retry))
 
     def _retry(self, query: int) -> None:
         running = [me for me, router in enumerate(self.routers) if router is not None]
--- a/tests/cold_starts.py
+++ b/tests/cold_starts.py
@@ -156,7 +156,7 @@
             delta = EngineList(ListKind.DELTA, (entry,))
             if self.lag_us[me]:
                 run = self.incarnation_numbers[me]
-                self.agenda.at(
+                self.event_queue.at(
                     self.now + self.lag_us[me],
                     lambda me=me, run=run, delta=delta: self._receive_list(me, run, delta),  # type: ignore[misc]
                 )
@@ -187,7 +187,7 @@
             attempt = self.sent[me, query]
             self.sent[me, query] += 1
             event = AttemptEnded(query, attempt, name, Outcome.CONNECT_FAILED)
-            self.agenda.at(self.now + REFUSED_US, lambda: self._deliver_event(me, event))
+            self.event_queue.at(self.now + REFUSED_US, lambda: self._deliver_event(me, event))
             return
         super()._dispatch(me, query, name)
         start = self.starts.get(name)
--- a/tests/contracts/test_channel_contract.py
+++ b/tests/contracts/test_channel_contract.py
@@ -94,7 +94,7 @@
     def __init__(self) -> None:
         self.routers = ChannelFleet(SIZE, lambda me, life, now: parties(), key=KEY)
         old = self.routers.network
-        self.routers.network = self.network(old.agenda, old.random, old.deliver)
+        self.routers.network = self.network(old.event_queue, old.random, old.deliver)
         self.routers.start()
         self.mux = [cast(Multiplexer, mux) for mux in self.routers.muxes]
 
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -269,8 +269,8 @@
     tier = RestartModel(12, 8, seed=seed, plan=WarmupPlan() if on else None, disks=on)
     dead = tier.now + 15 * SECOND
     ready = dead + 3 * SECOND // 10
-    tier.agenda.at(dead - SECOND, lambda: tier.renew(sorted(tier.engines)[::2]))
-    tier.agenda.at(dead, lambda: tier.restart(range(12), ready - dead, SECOND // 2))
+    tier.event_queue.at(dead - SECOND, lambda: tier.renew(sorted(tier.engines)[::2]))
+    tier.event_queue.at(dead, lambda: tier.restart(range(12), ready - dead, SECOND // 2))
     tier.load(19, 0.9)
     tier.until(tier.now + 4 * SECOND)
     assert max(engine.worst_push for engine in tier.engines.values()) < 1  # none falls
@@ -286,7 +286,7 @@
 
 def test_estimates_are_no_older_than_counted_where_seven_in_ten_restart() -> None:
     tier = RestartModel(20, 12, seed=2, plan=WarmupPlan(), loss=0.2)
-    tier.agenda.at(tier.now + 4 * SECOND, lambda: tier.restart(range(14), 200_000, SECOND // 2))
+    tier.event_queue.at(tier.now + 4 * SECOND, lambda: tier.restart(range(14), 200_000, SECOND // 2))
     tier.load(6, 0.5)
     assert len(tier.seen.news) > 14
     assert not tier.seen.stale
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -132,7 +132,7 @@
             body = mux.told(self.routers.clock(router), pack("<IB", 1, router % 256) + bytes(3 * 60))
             if body is not None:
                 self.routers.sent(router, len(body))
-        self.routers.agenda.at(self.now + DECISION_INTERVAL_US, lambda: self._send_decisions(router))
+        self.routers.event_queue.at(self.now + DECISION_INTERVAL_US, lambda: self._send_decisions(router))
 
     @property
     def admitted(self) -> list[int]:
