--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -67,7 +67,7 @@
 
     Returns the seconds until all views are correct, by event.
     """
-    fleet = MembershipModel(size, seed, weather=LinkConditions(loss=loss), timing=timing)
+    fleet = MembershipModel(size, seed, conditions=LinkConditions(loss=loss), timing=timing)
     fleet.run(5)
     killed = range(size * 7 // 10)
     fleet.kill(killed)
@@ -86,7 +86,7 @@
 def measure(size: int, loss: float, seed: int, seconds: float, kills: int, mass: bool, timing: Timing) -> Row:
     """Measure the traffic and wrong suspicions at rest, and the detection of some kills."""
     cpu_start_s = time.process_time()
-    fleet = MembershipModel(size, seed, weather=LinkConditions(loss=loss), timing=timing)
+    fleet = MembershipModel(size, seed, conditions=LinkConditions(loss=loss), timing=timing)
     gc.freeze()  # the collector would spend much time on a thousand tables of a thousand members
     fleet.run(seconds)
     rest = sum(fleet.network.bytes_from.values()) / size / seconds
@@ -110,7 +110,7 @@
 
 def quiet_time(size: int, loss: float, seed: int, seconds: float) -> str:
     """Run without faults; return a line on how often and how long running routers are held gone."""
-    fleet = MembershipModel(size, seed, weather=LinkConditions(loss=loss))
+    fleet = MembershipModel(size, seed, conditions=LinkConditions(loss=loss))
     since: dict[int, int] = {}
     max_holders = 0
     longest_s = 0.0
--- a/slipbay/emulator/channel_fleet.py
+++ b/slipbay/emulator/channel_fleet.py
@@ -37,7 +37,7 @@
         make: EndpointFactory,
         seed: int = 1,
         *,
-        weather: LinkConditions | None = None,
+        conditions: LinkConditions | None = None,
         skew_us: int = 200_000,
         drift_ppm: int = 0,
         key: bytes = b"",
@@ -55,7 +55,7 @@
         self.view = view
         self.random = Random(seed)
         self.event_queue = EventQueue(EPOCH)
-        self.network = Network(self.event_queue, self.random, self._deliver, weather)
+        self.network = Network(self.event_queue, self.random, self._deliver, conditions)
         self.offsets = [self.random.randint(-skew_us, skew_us) for _ in range(size)]
         self.drifts_ppm = [self.random.randint(-drift_ppm, drift_ppm) for _ in range(size)]
         self.incarnation_numbers = [0] * size
--- a/slipbay/emulator/membership_model.py
+++ b/slipbay/emulator/membership_model.py
@@ -25,7 +25,7 @@
         size: int,
         seed: int = 1,
         *,
-        weather: LinkConditions | None = None,
+        conditions: LinkConditions | None = None,
         timing: Timing | None = None,
         zones: int = 1,
         skew_us: int = 200_000,
@@ -38,7 +38,7 @@
         self.key = key
         self.random = Random(seed)
         self.event_queue = EventQueue(EPOCH)
-        self.network = Network(self.event_queue, self.random, self._deliver, weather)
+        self.network = Network(self.event_queue, self.random, self._deliver, conditions)
         self.offsets = [self.random.randrange(2 * skew_us + 1) - skew_us for _ in range(size)]
         self.incarnation_numbers = [0] * size
         self.members: list[MembershipStateMachine | None] = [None] * size
--- a/slipbay/emulator/network.py
+++ b/slipbay/emulator/network.py
@@ -32,12 +32,12 @@
         event_queue: EventQueue,
         random: Random,
         deliver: Callable[[int, int, bytes], None],
-        weather: LinkConditions | None = None,
+        conditions: LinkConditions | None = None,
     ) -> None:
         self.event_queue = event_queue
         self.random = random
         self.deliver = deliver
-        self.weather = weather or LinkConditions()
+        self.conditions = conditions or LinkConditions()
         self.cuts: set[tuple[int, int]] = set()  # pairs of sender and receiver whose messages are dropped
         self.bytes_from: Counter[int] = Counter()
         self.messages = 0
@@ -59,9 +59,11 @@
         """Send a datagram, which may be dropped, delayed or duplicated."""
         self.messages += 1
         self.bytes_from[source] += len(data)
-        weather = self.weather
-        if (source, target) in self.cuts or self.random.random() < weather.loss:
+        conditions = self.conditions
+        if (source, target) in self.cuts or self.random.random() < conditions.loss:
             return
-        for _ in range(1 + (weather.double > 0 and self.random.random() < weather.double)):
-            delay_us = weather.least_us + int(self.random.random() * (weather.most_us - weather.least_us))
+        for _ in range(1 + (conditions.double > 0 and self.random.random() < conditions.double)):
+            delay_us = conditions.least_us + int(
+                self.random.random() * (conditions.most_us - conditions.least_us)
+            )
             self.event_queue.at(self.event_queue.now + delay_us, lambda: self.deliver(target, source, data))
--- a/slipbay/emulator/quota.py
+++ b/slipbay/emulator/quota.py
@@ -108,7 +108,7 @@
         demands: dict[str, Sequence[float]],
         seed: int = 1,
         *,
-        weather: LinkConditions | None = None,
+        conditions: LinkConditions | None = None,
         drift_ppm: int = 500,
         news: int = 0,
         make: Callable[[int, int, QuotaPlan, Random, int], BorrowingStateMachine] = BorrowingStateMachine,
@@ -117,7 +117,7 @@
         self.plans = [plan] * size
         self._make = make
         self.news = news
-        self.routers = self._build(seed, weather, drift_ppm)
+        self.routers = self._build(seed, conditions, drift_ppm)
         self.random = Random(seed)
         self.asked = {name: RequestLog() for name in demands}
         self.routers.start()
@@ -127,12 +127,12 @@
         if news:
             self._send_other_kinds()
 
-    def _build(self, seed: int, weather: LinkConditions | None, drift_ppm: int) -> ChannelFleet:
+    def _build(self, seed: int, conditions: LinkConditions | None, drift_ppm: int) -> ChannelFleet:
         return ChannelFleet(
             self.size,
             self._parties,
             seed,
-            weather=weather,
+            conditions=conditions,
             drift_ppm=drift_ppm,
             parts=CHANNEL_SHARES if self.news else None,
         )
--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -428,7 +428,7 @@
 
 def play_view() -> Recorder:
     """One router dies, one leaves in order, one is new; messages are lost and doubled."""
-    model = MembershipModel(7, 3, weather=LinkConditions(loss=0.1, double=0.1), zones=2, key=KEY)
+    model = MembershipModel(7, 3, conditions=LinkConditions(loss=0.1, double=0.1), zones=2, key=KEY)
     recorder = Recorder(model.network)
     model.run(2.0)
     model.kill([2])
@@ -445,7 +445,7 @@
         "fuel": [40.0, 10.0, 5.0, 0.0, 0.0, 1.0],
         "air": [0.0, 0.0, 9.0, 1.0, 0.0, 0.0],
     }
-    fleet_model = QuotaFleet(6, quota_plan(), demands, 5, weather=LinkConditions(loss=0.05))
+    fleet_model = QuotaFleet(6, quota_plan(), demands, 5, conditions=LinkConditions(loss=0.05))
     recorder = Recorder(fleet_model.routers.network)
     fleet_model.run(4.0)
     fleet_model.routers.kill([0])
@@ -466,7 +466,7 @@
             interfaces.FrameKind.LIVES: witnesses.StoreWitnesses(me, size, life, now),
         }
 
-    routers = ChannelFleet(size, parties, 9, weather=LinkConditions(loss=0.05), key=KEY)
+    routers = ChannelFleet(size, parties, 9, conditions=LinkConditions(loss=0.05), key=KEY)
     recorder = Recorder(routers.network)
     routers.start()
     routers.run(3.0)
--- a/tests/contracts/test_channel_contract.py
+++ b/tests/contracts/test_channel_contract.py
@@ -108,8 +108,8 @@
         self.routers.network.send(99, to, data)
 
     def blow(self, loss: float, double: float) -> None:
-        self.routers.network.weather.loss = loss
-        self.routers.network.weather.double = double
+        self.routers.network.conditions.loss = loss
+        self.routers.network.conditions.double = double
 
     def cut(self, me: int, to: int) -> None:
         self.routers.network.cut([me], [to], both=False)
--- a/tests/quota_histories.py
+++ b/tests/quota_histories.py
@@ -81,7 +81,7 @@
                     routers.jump(router, CLOCKS.jump_us)
         case "weather":
             latency_us = random.choice([20_000, 100_000, 800_000])
-            routers.network.weather = LinkConditions(
+            routers.network.conditions = LinkConditions(
                 2_000, latency_us, random.choice([0.0, 0.1, 0.3]), random.choice([0.0, 0.3])
             )
         case "demand":
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -64,12 +64,12 @@
         for router in range(size):
             self._send_decisions(router)
 
-    def _build(self, seed: int, weather: LinkConditions | None, drift_ppm: int) -> ChannelFleet:
+    def _build(self, seed: int, conditions: LinkConditions | None, drift_ppm: int) -> ChannelFleet:
         return ChannelFleet(
             self.size,
             self._parties,
             seed,
-            weather=weather,
+            conditions=conditions,
             drift_ppm=drift_ppm,
             parts=PARTS,
             view=lambda router, incarnation, now: MembershipStateMachine(
@@ -142,7 +142,7 @@
         """Repair all faults: heal the network, and continue or start all routers."""
         routers = self.routers
         routers.network.heal()
-        routers.network.weather = LinkConditions()
+        routers.network.conditions = LinkConditions()
         for router in list(routers.stopped):
             routers.go_on(router)
         routers.start([router for router in range(self.size) if routers.muxes[router] is None])
@@ -185,7 +185,7 @@
         if random.random() < 0.5:  # some routers restart while others run on, over slow links
             restarted = random.sample(range(size), random.randint(1, max(1, size // 3)))
             fleet.routers.network.heal()
-            fleet.routers.network.weather = random.choice([LinkConditions(), SLOW_LINKS, SLOW_LINKS])
+            fleet.routers.network.conditions = random.choice([LinkConditions(), SLOW_LINKS, SLOW_LINKS])
             fleet.routers.kill(restarted)
             fleet.run(0.1)
             fleet.routers.start(restarted)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -119,7 +119,7 @@
 def test_a_killed_router_is_declared_gone_by_all_within_3_s_and_no_running_one_is(
     size: int, seed: int
 ) -> None:
-    fleet = MembershipModel(size, seed, weather=LOSSY)
+    fleet = MembershipModel(size, seed, conditions=LOSSY)
     fleet.run(20)
     assert fleet.settled()
     fleet.kill([size // 2])
@@ -130,7 +130,7 @@
 
 
 def test_seven_in_ten_die_and_return_as_new_processes() -> None:
-    fleet = MembershipModel(24, 4, weather=LOSSY)
+    fleet = MembershipModel(24, 4, conditions=LOSSY)
     fleet.run(3)
     fleet.kill(range(17))
     assert fleet.until_settled(5) <= 5
@@ -156,7 +156,7 @@
 
 
 def test_a_partition_by_zone_heals_and_each_side_holds_its_own_members() -> None:
-    fleet = MembershipModel(16, 5, weather=LOSSY, zones=2)
+    fleet = MembershipModel(16, 5, conditions=LOSSY, zones=2)
     even = range(0, 16, 2)
     odd = range(1, 16, 2)
     fleet.run(3)
@@ -169,7 +169,7 @@
 
 
 def test_a_stopped_router_accuses_nobody_and_rejoins_at_once() -> None:
-    fleet = MembershipModel(24, 6, weather=LOSSY)
+    fleet = MembershipModel(24, 6, conditions=LOSSY)
     fleet.run(5)
     fleet.stop(7)
     fleet.run(5)
@@ -182,7 +182,7 @@
 
 
 def test_a_one_way_cut_is_bridged_by_indirect_probes() -> None:
-    fleet = MembershipModel(12, 7, weather=LOSSY)
+    fleet = MembershipModel(12, 7, conditions=LOSSY)
     fleet.run(2)
     fleet.network.cut([0], [1], both=False)
     fleet.run(20)
@@ -190,7 +190,7 @@
 
 
 def test_a_router_that_leaves_is_held_left() -> None:
-    fleet = MembershipModel(12, 8, weather=LOSSY)
+    fleet = MembershipModel(12, 8, conditions=LOSSY)
     fleet.run(2)
     fleet.leave(3)
     fleet.run(0.7)
@@ -232,7 +232,7 @@
     """Random histories of deaths, returns, stops and cuts."""
     random = Random(seed)
     size = 10
-    fleet = MembershipModel(size, seed, weather=LinkConditions(loss=0.2, double=0.1))
+    fleet = MembershipModel(size, seed, conditions=LinkConditions(loss=0.2, double=0.1))
     for _ in range(25):
         before = dict(fleet.network.bytes_from)
         match random.randrange(5):
@@ -289,7 +289,7 @@
 
 def test_equal_seeds_give_equal_bytes() -> None:
     def play() -> tuple[int, dict[int, int]]:
-        fleet = MembershipModel(12, 11, weather=LOSSY)
+        fleet = MembershipModel(12, 11, conditions=LOSSY)
         fleet.run(3)
         fleet.kill([4])
         fleet.run(3)
--- a/tests/test_witnesses.py
+++ b/tests/test_witnesses.py
@@ -48,10 +48,12 @@
 class Scenario:
     """Router 0 is restarted repeatedly; its store is modelled as the set of requests that it records."""
 
-    def __init__(self, seed: int, witness_type: type[StoreWitnesses], weather: LinkConditions | None) -> None:
+    def __init__(
+        self, seed: int, witness_type: type[StoreWitnesses], conditions: LinkConditions | None
+    ) -> None:
         self.random = Random(seed)
         self.witness_type = witness_type
-        self.routers = ChannelFleet(SIZE, self._make, seed, weather=weather)
+        self.routers = ChannelFleet(SIZE, self._make, seed, conditions=conditions)
         self.identity: StoreIdentity | None = None
         self.stored = set[int]()
         self.sequence = 0
