--- a/benchmarks/gather.py
+++ b/benchmarks/gather.py
@@ -94,7 +94,7 @@
     since = int(warm * SECOND)
     until = int((warm + seconds) * SECOND)
     learned, perfect, all_parts, quantile, *fixed = (
-        fleet.worth(since, until, utility)
+        fleet.mean_utility(since, until, utility)
         for utility in (
             lambda query: query.learned,
             lambda query: query.perfect,
@@ -124,8 +124,8 @@
     shares = []
     for since, until in AFTER:
         span = (before_s + since) * SECOND, (before_s + until) * SECOND
-        perfect = fleet.worth(*span, lambda query: query.perfect)
-        shares.append(fleet.worth(*span, lambda query: query.learned) / perfect)
+        perfect = fleet.mean_utility(*span, lambda query: query.perfect)
+        shares.append(fleet.mean_utility(*span, lambda query: query.learned) / perfect)
     return f"{case_columns(case)} {kind:20} " + " ".join(f"{share:7.3f}" for share in shares)
 
 
@@ -135,7 +135,10 @@
     fleet.run(60 * (minutes + 1) + LATEST_US / SECOND)
     losses = [
         100
-        * (fleet.worth(*span, lambda query: query.perfect) - fleet.worth(*span, lambda query: query.learned))
+        * (
+            fleet.mean_utility(*span, lambda query: query.perfect)
+            - fleet.mean_utility(*span, lambda query: query.learned)
+        )
         for span in ((n * 60 * SECOND, (n + 1) * 60 * SECOND) for n in range(1, round(minutes) + 1))
     ]
     return f"{case_columns(case)} {'dropped' if ignores_abandoned else 'counted'} " + " ".join(
--- a/slipbay/emulator/gather.py
+++ b/slipbay/emulator/gather.py
@@ -303,15 +303,15 @@
         case: Case,
         make: Callable[[int], LearnedStoppingRules] = LearnedStoppingRules,
         *,
-        judge: bool = True,
-        told: bool = True,
+        with_oracle: bool = True,
+        with_gossip: bool = True,
     ) -> None:
         self.case = case
         self.world = World(case)
         self.now = 0
         self.scattered, self.table = case.scattered(), utilities(case.curve, case.parts)
         self.routers = [make(0) for _ in range(case.routers)]
-        self.perfect = OracleStoppingRules(self.world) if judge else None
+        self.perfect = OracleStoppingRules(self.world) if with_oracle else None
         self.random = Random(case.seed + 1000)
         self.log: list[Query] = []
         self._due: list[tuple[int, int, Callable[[], None]]] = []
@@ -322,7 +322,7 @@
                 EstimateGossip(me, case.routers, ["report"], router.model, 0)
                 for me, router in enumerate(self.routers)
             ]
-            if told
+            if with_gossip
             else []
         )
         self.bytes = 0
@@ -392,7 +392,7 @@
             self.table[sum(latency_us <= waited for latency_us in times)] - self.case.price * waited / SECOND
         )
 
-    def worth(self, since: int, until: int, way: Callable[[Query], float]) -> float:
+    def mean_utility(self, since: int, until: int, way: Callable[[Query], float]) -> float:
         """Return the mean utility of the queries that arrived in a time span."""
         values = [way(query) for query in self.log if since <= query.at < until]
         return sum(values) / max(1, len(values))
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -235,7 +235,7 @@
 def test_utility_is_near_that_of_perfect_knowledge_and_of_the_best_fixed_deadline(case: Case) -> None:
     fleet = GatherFleet(case)
     fleet.run(52)
-    mean_utility = fleet.worth
+    mean_utility = fleet.mean_utility
     since = 20 * SECOND
     until = 50 * SECOND
     achieved = mean_utility(since, until, lambda q: q.learned)
@@ -260,7 +260,9 @@
     change(fleet.world)
     fleet.run(32)
     span = 40 * SECOND, 60 * SECOND
-    assert fleet.worth(*span, lambda q: q.learned) >= 0.9 * fleet.worth(*span, lambda q: q.perfect)
+    assert fleet.mean_utility(*span, lambda q: q.learned) >= 0.9 * fleet.mean_utility(
+        *span, lambda q: q.perfect
+    )
 
 
 def test_a_model_that_drops_abandoned_parts_is_detected_by_its_growing_loss() -> None:
@@ -271,7 +273,7 @@
         fleet.run(152)
         losses.append(
             [
-                fleet.worth(*span, lambda q: q.perfect - q.learned)
+                fleet.mean_utility(*span, lambda q: q.perfect - q.learned)
                 for span in ((0, 10 * SECOND), (90 * SECOND, 150 * SECOND))
             ]
         )
@@ -335,7 +337,7 @@
 
 
 def test_reports_stay_within_their_rate_and_the_model_within_its_limits() -> None:
-    fleet = GatherFleet(Case(16, routers=8, rate=40), judge=False)
+    fleet = GatherFleet(Case(16, routers=8, rate=40), with_oracle=False)
     fleet.run(64)
     assert fleet.bytes / 64 / 8 <= 32
     model = LatencyModel(0)
