--- a/benchmarks/channel_cuts.py
+++ b/benchmarks/channel_cuts.py
@@ -59,7 +59,7 @@
     gossip = "whole" if part is None else f"a part of {part:g}" if part else "none"
     line = (
         f"{routers} routers, {engines} engines, load {level}: {gossip}: service {account.service:.3f}, "
-        f"refused {sum(account.refused.values()) / sum(account.came.values()):.3f}, threads p99 "
+        f"refused {sum(account.refused.values()) / sum(account.received.values()):.3f}, threads p99 "
         f"{account.quantile(0.99)}"
     )
     if isinstance(fleet, TruncatedGossip):
--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -67,24 +67,28 @@
     ready = last_kill + down
     chosen = range(round(killed * routers))
     if cold:
-        fleet.event_queue.at(first_kill - SECOND, lambda: fleet.renew(sorted(fleet.engines)[::cold]))
+        fleet.event_queue.at(
+            first_kill - SECOND, lambda: fleet.replace_engines(sorted(fleet.engines)[::cold])
+        )
     for at in {first_kill, last_kill}:
         fleet.event_queue.at(at, lambda: fleet.restart(chosen, down, SPREAD_US))
     fleet.load(kill_s + AFTER_S, level)
     fleet.until(fleet.now + 5 * SECOND)
-    seen = fleet.seen
-    steady = seen.part(started + 3 * SECOND, first_kill - 4 * SECOND)
-    before = seen.peaks(started + 3 * SECOND, first_kill)
-    after = seen.peaks(ready, end)
-    full_s = seen.full_after(ready, end, 0.95 * steady)
+    observed = fleet.observed
+    steady = observed.served_fraction(started + 3 * SECOND, first_kill - 4 * SECOND)
+    before = observed.peaks(started + 3 * SECOND, first_kill)
+    after = observed.peaks(ready, end)
+    full_s = observed.full_after(ready, end, 0.95 * steady)
     return (
-        f"in time {steady:.3f} before, {seen.part(ready, ready + 3 * SECOND):.3f} in the 3 s after; full "
-        f"service after {'-' if full_s is None else f'{full_s:.1f}'} s; "
+        f"in time {steady:.3f} before, "
+        f"{observed.served_fraction(ready, ready + 3 * SECOND):.3f} in the 3 s after; "
+        f"full service after {'-' if full_s is None else f'{full_s:.1f}'} s; "
         + ", ".join(f"{name} {after[name]} for {before[name]}" for name in before)
-        + f"; push {max(e.worst_push for e in fleet.engines.values()):.2f}"
-        f"; news {max(seen.news, default=0) / SECOND:.2f} s old, {seen.stale} of {len(seen.news)} stale"
-        f"; most lives took {max(seen.warmup_us, default=0) / SECOND:.1f} s by their own account, "
-        f"{max(seen.bytes.values(), default=0)} bytes"
+        + f"; push {max(e.max_start_budget_use for e in fleet.engines.values()):.2f}"
+        f"; news {max(observed.report_ages_us, default=0) / SECOND:.2f} s old, "
+        f"{observed.stale_reports} of {len(observed.report_ages_us)} stale"
+        f"; most lives took {max(observed.warmup_us, default=0) / SECOND:.1f} s by their own account, "
+        f"{max(observed.bytes.values(), default=0)} bytes"
     )
 
 
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -88,10 +88,10 @@
     cpu_start_s = time.process_time()
     fleet = SCENARIOS[scenario](routers, engines, level, seed, seconds)
     fleet.until(fleet.now + 25 * SECOND)
-    account, request_count = fleet.account, max(1, sum(fleet.account.came.values()))
+    account, request_count = fleet.account, max(1, sum(fleet.account.received.values()))
     cpu_s = time.process_time() - cpu_start_s
-    by_class = " ".join(f"{account.good[k] / max(1, account.came[k]):.2f}" for k in range(len(fleet.mix)))
-    budget_use = max(e.worst_push for e in fleet.engines.values())
+    by_class = " ".join(f"{account.good[k] / max(1, account.received[k]):.2f}" for k in range(len(fleet.mix)))
+    budget_use = max(e.max_start_budget_use for e in fleet.engines.values())
     rejected = sum(account.refused.values()) / request_count
     idle = account.idle_refused / request_count
     return (
--- a/slipbay/emulator/engines.py
+++ b/slipbay/emulator/engines.py
@@ -57,7 +57,7 @@
         self.alive = True
         self.recent_starts: deque[tuple[int, float]] = deque()
         self.window_work_us = 0.0  # work in us received within the window
-        self.worst_push = 0.0  # largest fraction of the slow-start budget that any window used
+        self.max_start_budget_use = 0.0  # largest fraction of the slow-start budget that any window used
         self.wanted = 0  # number of the last change; events scheduled for earlier changes are ignored
 
     def share(self, now: int) -> float:
@@ -84,7 +84,7 @@
             while self.recent_starts[0][0] <= now - self.rule.window_us:
                 self.window_work_us -= self.recent_starts.popleft()[1]
             budget = self.rule.multiple * share * self.cores * CAPACITY * self.rule.window_us
-            self.worst_push = max(self.worst_push, self.window_work_us / budget)
+            self.max_start_budget_use = max(self.max_start_budget_use, self.window_work_us / budget)
         return self.count
 
     def stop(self, now: int, number: int) -> None:
--- a/slipbay/emulator/fleet_model.py
+++ b/slipbay/emulator/fleet_model.py
@@ -54,9 +54,9 @@
 class Account:
     """Counts of what clients and engines observed."""
 
-    worth: float = 0.0  # utility of all requests
+    requested_utility: float = 0.0  # utility of all requests
     in_time: float = 0.0  # utility of the answers, reduced for those after the latency objective
-    came: Counter[int] = field(default_factory=Counter)  # requests by class
+    received: Counter[int] = field(default_factory=Counter)  # requests by class
     good: Counter[int] = field(default_factory=Counter)
     late: Counter[int] = field(default_factory=Counter)
     refused: Counter[int] = field(default_factory=Counter)
@@ -69,7 +69,7 @@
     @property
     def service(self) -> float:
         """Fraction of the requested utility that clients received."""
-        return self.in_time / self.worth if self.worth else 1.0
+        return self.in_time / self.requested_utility if self.requested_utility else 1.0
 
     def quantile(self, fraction: float) -> int:
         """Return a quantile of the sampled threads per engine."""
@@ -138,7 +138,7 @@
         self.engines: dict[bytes, EngineModel] = {}
         self.incarnation_numbers = [0] * routers
         self.routers: list[Controller | None] = [None] * routers
-        self.asked: dict[int, tuple[int, float, int]] = {}  # by request: class, work in us, arrival time
+        self.requests: dict[int, tuple[int, float, int]] = {}  # by request: class, work in us, arrival time
         self.out: defaultdict[tuple[int, int, int], tuple[bytes, int]] = defaultdict(lambda: (b"", 0))
         self.sent: Counter[tuple[int, int]] = Counter()
         self.terms: dict[tuple[int, int], int] = {}
@@ -246,17 +246,17 @@
         spread = sqrt(log(1 + traffic.cv**2))
         work = traffic.work_us * exp(self.traffic.gauss(0, spread) - spread * spread / 2)
         me = self.traffic.choices(running, [self.weights[m] for m in running])[0]
-        query = len(self.asked) + 1
-        self.asked[query] = kind, work, self.now
-        self.account.came[kind] += 1
-        self.account.worth += traffic.spec.utility
+        query = len(self.requests) + 1
+        self.requests[query] = kind, work, self.now
+        self.account.received[kind] += 1
+        self.account.requested_utility += traffic.spec.utility
         estimate_us = int(work * exp(self.traffic.gauss(0, 0.1)))
         self._deliver_event(
             me, QueryArrived(query, kind, traffic.spec.deadline_us, estimate_us, group=float(query % 17))
         )
 
     def _dispatch(self, me: int, query: int, name: bytes) -> None:
-        kind, work, _ = self.asked[query]
+        kind, work, _ = self.requests[query]
         threads = self.mix[kind].spec.threads
         attempt = self.sent[me, query]
         self.sent[me, query] += 1
@@ -290,7 +290,7 @@
         attempt_on_engine = self.out.pop((me, query, attempt), None)
         if attempt_on_engine is None:
             return  # the router was killed
-        kind, work, since = self.asked[query]
+        kind, work, since = self.requests[query]
         spec = self.mix[kind].spec
         good = outcome is Outcome.OK
         if good:
@@ -310,7 +310,7 @@
             self.event_queue.at(self.now + 1_000, lambda: self._deliver_event(me, event))
 
     def _refused(self, query: int) -> None:
-        self.account.refused[self.asked[query][0]] += 1
+        self.account.refused[self.requests[query][0]] += 1
         ready_engines = [e for n, e in self.engines.items() if self.entries[n].state is EngineState.READY]
         idle_cores = sum(max(0.0, e.cores * e.share(self.now) - e.threads) for e in ready_engines)
         self.account.idle_refused += idle_cores > 0.1 * sum(
--- a/slipbay/emulator/restart_model.py
+++ b/slipbay/emulator/restart_model.py
@@ -30,13 +30,13 @@
 
 
 @dataclass
-class Seen:
+class Observations:
     """Counts of what clients and engines observed, by intervals of 100 ms.
 
     A request counts in the interval in which its client first sent it.
     """
 
-    asked: Counter[int] = field(default_factory=Counter)
+    requests: Counter[int] = field(default_factory=Counter)
     good: Counter[int] = field(default_factory=Counter)
     sends: Counter[int] = field(default_factory=Counter)
     connects: Counter[int] = field(default_factory=Counter)
@@ -44,18 +44,22 @@
     threads: Counter[int] = field(default_factory=Counter)  # maximum on one engine
     warmup_us: list[int] = field(default_factory=list)  # time of incarnations until full service
     bytes: Counter[int] = field(default_factory=Counter)  # bytes sent over the peer channel, by router
-    news: list[int] = field(default_factory=list)  # ages in us of peer estimates when they were adopted
-    stale: int = 0  # number of them above the age that the collector assumed or the maximum age of all fields
-
-    def part(self, since: int, until: int) -> float:
+    report_ages_us: list[int] = field(
+        default_factory=list
+    )  # ages in us of peer estimates when they were adopted
+    stale_reports: int = (
+        0  # number of them above the age that the collector assumed or the maximum age of all fields
+    )
+
+    def served_fraction(self, since: int, until: int) -> float:
         """Return the fraction of the received requests that were served in time."""
         span = range(since // INTERVAL_US, until // INTERVAL_US)
-        return sum(self.good[n] for n in span) / max(1, sum(self.asked[n] for n in span))
+        return sum(self.good[n] for n in span) / max(1, sum(self.requests[n] for n in span))
 
     def full_after(self, ready: int, end: int, least: float) -> float | None:
         """Return the seconds from ``ready`` until a second starts whose served fraction reaches ``least``."""
         for at in range(ready, end - SECOND, INTERVAL_US):
-            if self.part(at, at + SECOND) >= least:
+            if self.served_fraction(at, at + SECOND) >= least:
                 return (at - ready) / SECOND
         return None
 
@@ -107,7 +111,7 @@
         self.disks = disks
         self.plan = plan
         self.perfect = perfect
-        self.seen = Seen()
+        self.observed = Observations()
         self.current_incarnations: list[RouterIncarnation | None] = [None] * routers
         self.original_request: dict[int, int] = {}  # retried request: the request that its client first sent
         self.router_of: dict[int, int] = {}  # request: the router that received it
@@ -155,7 +159,7 @@
                     PeerReport(self.saved_estimates[me], 0, self.now - self.killed_us[me] + SNAPSHOT_US),
                 )
         slot = machine.limits.list_slot() if machine is not None else 0
-        self.seen.calls[(self.now + slot) // INTERVAL_US] += 1
+        self.observed.calls[(self.now + slot) // INTERVAL_US] += 1
         if self.perfect and me in self.saved_estimates:
             self._restore_all_estimates(me)
         if mux is not None:
@@ -185,7 +189,7 @@
                 lambda me=me: self.start(me),  # type: ignore[misc]
             )
 
-    def renew(self, names: Iterable[bytes]) -> None:
+    def replace_engines(self, names: Iterable[bytes]) -> None:
         """Replace the process of each engine by a cold one.
 
         Its attempts fail, and all running routers are notified.
@@ -227,8 +231,8 @@
         assert current is not None and current.machine is not None
         for source in current.machine.collector.sources:
             age = self.now - self.first_reported_us[source, me, self.incarnation_numbers[me]]
-            self.seen.news.append(age)
-            self.seen.stale += age > current.machine.collector.oldest_report_us or age > max(
+            self.observed.report_ages_us.append(age)
+            self.observed.stale_reports += age > current.machine.collector.oldest_report_us or age > max(
                 astuple(current.machine.plan.ages)
             )
         self._deliver_event(me, merged.estimates)
@@ -238,7 +242,7 @@
     def _on_phase_change(self, me: int, phase: Phase) -> None:
         current = self.current_incarnations[me]
         if phase is Phase.FULL and current is not None and current.machine is not None:
-            self.seen.warmup_us.append(self.now - current.machine.started)
+            self.observed.warmup_us.append(self.now - current.machine.started)
 
     # Peer channel
 
@@ -260,7 +264,7 @@
 
     def _transmit(self, me: int, sends: list[Send]) -> None:
         for to, data in sends:
-            self.seen.bytes[me] += len(data)
+            self.observed.bytes[me] += len(data)
             if self.random.random() >= self.loss:
                 self.event_queue.at(
                     self.now + self.random.randrange(2_000, 25_000),
@@ -299,7 +303,7 @@
     def _deliver_event(self, me: int, event: Event) -> None:
         if isinstance(event, QueryArrived):
             self.router_of[event.query] = me
-            self.seen.asked[self.now // INTERVAL_US] += event.query not in self.original_request
+            self.observed.requests[self.now // INTERVAL_US] += event.query not in self.original_request
             wait = self._retry_delay(me, event)
             if wait is not None:
                 self._schedule_retry(event.query, wait)
@@ -340,19 +344,19 @@
 
     def _schedule_retry(self, query: int, wait: int) -> None:
         """Have the client retry after ``wait`` us at any router, as a new request."""
-        kind, work, since = self.asked[query]
+        kind, work, since = self.requests[query]
         original_request = self.original_request.get(query, query)
         self.retries[original_request] += 1
         if self.retries[original_request] > MAX_RETRIES:
             super()._refused(query)
             return
-        retry = len(self.asked) + 1
-        self.asked[retry], self.original_request[retry] = (kind, work, since), original_request
+        retry = len(self.requests) + 1
+        self.requests[retry], self.original_request[retry] = (kind, work, since), original_request
         self.event_queue.at(self.now + wait, lambda: self._retry(retry))
 
     def _retry(self, query: int) -> None:
         running = [me for me, router in enumerate(self.routers) if router is not None]
-        kind, work, _ = self.asked[query]
+        kind, work, _ = self.requests[query]
         if running:
             self._deliver_event(
                 self.random.choice(running),
@@ -370,7 +374,9 @@
             if outcome is Outcome.OK:
                 current.open.pop(query, None)
         super()._end(me, query, attempt, outcome)
-        self.seen.good[self.asked[query][2] // INTERVAL_US] += sum(self.account.good.values()) - good_before
+        self.observed.good[self.requests[query][2] // INTERVAL_US] += (
+            sum(self.account.good.values()) - good_before
+        )
 
     # Connections
 
@@ -380,8 +386,10 @@
         if current.idle[name]:
             current.idle[name] -= 1
         else:
-            self.seen.connects[self.now // INTERVAL_US] += 1
-        self.seen.sends[self.now // INTERVAL_US] += 1
+            self.observed.connects[self.now // INTERVAL_US] += 1
+        self.observed.sends[self.now // INTERVAL_US] += 1
         super()._dispatch(me, query, name)
         threads = self.engines[name].threads
-        self.seen.threads[self.now // INTERVAL_US] = max(self.seen.threads[self.now // INTERVAL_US], threads)
+        self.observed.threads[self.now // INTERVAL_US] = max(
+            self.observed.threads[self.now // INTERVAL_US], threads
+        )
--- a/tests/cold_starts.py
+++ b/tests/cold_starts.py
@@ -192,7 +192,7 @@
         super()._dispatch(me, query, name)
         start = self.starts.get(name)
         if start is not None and self.now < start.started_at + self.rule.ramp_us:
-            units = self.mix[self.asked[query][0]].work_us / self.checker.mean_work_us
+            units = self.mix[self.requests[query][0]].work_us / self.checker.mean_work_us
             start.arrivals.append(
                 Arrival(self.now, units, me, (me, name, start.started_at) in self.notified_starts)
             )
--- a/tests/exchange_models.py
+++ b/tests/exchange_models.py
@@ -614,8 +614,8 @@
 
     def dispatch(self) -> None:
         """The first is ours, and gets less of the engine with each other one."""
-        query = len(self.tier.asked) + 1
-        self.tier.asked[query] = 0, 50_000.0, self.tier.now
+        query = len(self.tier.requests) + 1
+        self.tier.requests[query] = 0, 50_000.0, self.tier.now
         self.act(Dispatch(query, self.name))
         self.sent = self.tier.sent[0, 1]
 
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -269,12 +269,15 @@
     tier = RestartModel(12, 8, seed=seed, plan=WarmupPlan() if on else None, disks=on)
     dead = tier.now + 15 * SECOND
     ready = dead + 3 * SECOND // 10
-    tier.event_queue.at(dead - SECOND, lambda: tier.renew(sorted(tier.engines)[::2]))
+    tier.event_queue.at(dead - SECOND, lambda: tier.replace_engines(sorted(tier.engines)[::2]))
     tier.event_queue.at(dead, lambda: tier.restart(range(12), ready - dead, SECOND // 2))
     tier.load(19, 0.9)
     tier.until(tier.now + 4 * SECOND)
-    assert max(engine.worst_push for engine in tier.engines.values()) < 1  # none falls
-    return (tier.seen.part(ready, ready + 3 * SECOND), tier.seen.peaks(ready, ready + 3 * SECOND)["connects"])
+    assert max(engine.max_start_budget_use for engine in tier.engines.values()) < 1  # none falls
+    return (
+        tier.observed.served_fraction(ready, ready + 3 * SECOND),
+        tier.observed.peaks(ready, ready + 3 * SECOND)["connects"],
+    )
 
 
 def test_among_cold_engines_a_restarted_fleet_serves_more_by_what_it_learned_on_fewer_connections() -> None:
@@ -288,8 +291,8 @@
     tier = RestartModel(20, 12, seed=2, plan=WarmupPlan(), loss=0.2)
     tier.event_queue.at(tier.now + 4 * SECOND, lambda: tier.restart(range(14), 200_000, SECOND // 2))
     tier.load(6, 0.5)
-    assert len(tier.seen.news) > 14
-    assert not tier.seen.stale
+    assert len(tier.observed.report_ages_us) > 14
+    assert not tier.observed.stale_reports
 
 
 def controller() -> Controller:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -231,7 +231,9 @@
     tier.until(tier.now + 25 * SECOND)
     assert tier.account.quantile(0.99) <= 2 * engine_table.THREADS_PER_CORE * CORES
     assert tier.account.service >= 0.94
-    assert max(e.worst_push for e in tier.engines.values()) < 0.8  # of the budget of any cold engine
+    assert (
+        max(e.max_start_budget_use for e in tier.engines.values()) < 0.8
+    )  # of the budget of any cold engine
 
 
 def test_under_pressure_a_router_finds_the_only_engine_with_free_threads() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -326,7 +326,7 @@
     """
     tier = FleetModel(3, engines)
     tier.load(2, 0.7 * 8 / engines)
-    queries_before = tier.account.came.total()
+    queries_before = tier.account.received.total()
     with cProfile.Profile() as profile:
         tier.load(4, 0.7 * 8 / engines)
     calls = sum(
@@ -334,7 +334,7 @@
         for entry in profile.getstats()
         if isinstance(entry.code, CodeType) and "slipbay/policy" in entry.code.co_filename
     )
-    assert calls < max_calls * (tier.account.came.total() - queries_before)
+    assert calls < max_calls * (tier.account.received.total() - queries_before)
 
 
 def test_capacity_of_a_cold_engine_grows_linearly_over_its_ramp() -> None:
