--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -38,7 +38,7 @@
     """Run for some seconds; return the admissions, at all routers or at some, as a fraction of the quota."""
     since = fleet.now
     fleet.run(seconds)
-    return len(fleet.asked["q"].admitted(since, at=at)) / rate / seconds
+    return len(fleet.request_logs["q"].admitted(since, at=at)) / rate / seconds
 
 
 def run_fleet(size: int, load: float, seed: int, burst_s: float, wardens: int) -> str:
@@ -56,7 +56,7 @@
     healthy_use = measured(fleet, rate, 20)
     bytes_mean = (sum(fleet.routers.network.bytes_from.values()) - before) / size / 20
     spreads = [
-        fleet.asked["q"].apart(started + second * SECOND, started + (second + 10) * SECOND)
+        fleet.request_logs["q"].rate_spread(started + second * SECOND, started + (second + 10) * SECOND)
         for second in range(0, 11, 2)
     ]
     worst_spread, expected_spread = max(spreads, key=lambda pair: pair[0] - pair[1])
@@ -86,7 +86,7 @@
     fleet.routers.kill(range(size))
     fleet.routers.start()
     restart_s = until_back(fleet, rate)
-    worst = worst_burst(fleet.asked["q"].admitted(), rate)
+    worst = worst_burst(fleet.request_logs["q"].admitted(), rate)
     bound = plan.quotas[0].burst + excess(plan, plan.quotas[0], size)
     return (
         f"{size:4} routers, seed {seed}, load {load:g}: use {healthy_use:.3f}, "
@@ -129,7 +129,7 @@
         fleet.routers.start([me])
         rest = every_s - 0.2 - (LINGER_US / SECOND if is_graceful else 0)
         used.append(during_shutdown + 0.2 * down + rest * measured(fleet, rate, rest))
-    worst = worst_burst(fleet.asked["q"].admitted(), rate)
+    worst = worst_burst(fleet.request_logs["q"].admitted(), rate)
     bound = rate + excess(plan, plan.quotas[0], size)
     assert worst <= bound, f"{worst} of {bound}"
     return (
@@ -177,7 +177,9 @@
     since = fleet.now
     fleet.run(seconds)
     bytes_s = [(fleet.routers.network.bytes_from[me] - before.get(me, 0)) / seconds for me in range(size)]
-    use = sum(len(requests.admitted(since)) for requests in fleet.asked.values()) / 100 / count / seconds
+    use = (
+        sum(len(requests.admitted(since)) for requests in fleet.request_logs.values()) / 100 / count / seconds
+    )
     return (
         f"{size:4} routers, {count} tenants: {sum(bytes_s) / size:.0f} bytes/s a router, at most "
         f"{max(bytes_s):.0f}; use {use:.2f}"
--- a/slipbay/emulator/quota.py
+++ b/slipbay/emulator/quota.py
@@ -73,7 +73,7 @@
             if len(found) >= least
         }
 
-    def apart(self, since: int, until: int, least: int = 200) -> tuple[float, float]:
+    def rate_spread(self, since: int, until: int, least: int = 200) -> tuple[float, float]:
         """Return the spread of the admitted fractions of routers, and the spread expected by chance.
 
         The latter is the mean over normal draws with the binomial variance of the counts, as if each request
@@ -119,7 +119,7 @@
         self.news = news
         self.routers = self._build(seed, conditions, drift_ppm)
         self.random = Random(seed)
-        self.asked = {name: RequestLog() for name in demands}
+        self.request_logs = {name: RequestLog() for name in demands}
         self.routers.start()
         for name in demands:
             for me in range(size):
@@ -213,7 +213,7 @@
             if is_admitted:
                 account.record_admission(None)
                 account.open -= 1
-            self.asked[name].log.append((self.now, me, is_admitted))
+            self.request_logs[name].log.append((self.now, me, is_admitted))
 
 
 def zipf(size: int, total: float, exponent: float = 1.0) -> list[float]:
--- a/tests/quota_histories.py
+++ b/tests/quota_histories.py
@@ -111,7 +111,7 @@
                 if machine is not None:
                     machine.set_running_routers(fleet.routers.clock(router), random.randint(1, size))
         fleet.run(random.choice([0.05, 0.3, 1.0, 2.5, 4.0]))
-    worst = worst_burst(fleet.asked["q"].admitted(), quota.rate * quota.soft)
+    worst = worst_burst(fleet.request_logs["q"].admitted(), quota.rate * quota.soft)
     return fleet, worst, quota.burst * quota.soft + excess(plan, quota, size)
 
 
@@ -134,7 +134,7 @@
         fleet.run(random.uniform(0.05, 0.5))
     since = fleet.now
     fleet.run(4)
-    admitted = fleet.asked["q"].admitted
+    admitted = fleet.request_logs["q"].admitted
     return (
         worst_burst(admitted(), RATE),
         BURST + excess(old, old.quotas[0], size),
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -136,7 +136,7 @@
 
     @property
     def admitted(self) -> list[int]:
-        return self.asked["q"].admitted()
+        return self.request_logs["q"].admitted()
 
     def repair(self) -> None:
         """Repair all faults: heal the network, and continue or start all routers."""
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -361,7 +361,7 @@
 ) -> None:
     fleet, worst, bound = history(size, seed, 20, news=more.pop("news", 0), plan=plan_of(**more))
     assert worst <= bound + 1e-6
-    assert len(fleet.asked["q"].admitted()) > 100
+    assert len(fleet.request_logs["q"].admitted()) > 100
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -384,7 +384,7 @@
         fleet.routers.start([0])
     fleet.demands["q"] = [2 * RATE, 2 * RATE]
     fleet.run(6)
-    return worst_burst(fleet.asked["q"].admitted(), RATE)
+    return worst_burst(fleet.request_logs["q"].admitted(), RATE)
 
 
 def _fill_bucket(self: QuotaAccount) -> None:
@@ -458,7 +458,7 @@
 def measure_use(fleet: QuotaFleet, seconds: float, at: set[int] | None = None, rate: float = RATE) -> float:
     since = fleet.now
     fleet.run(seconds)
-    return len(fleet.asked["q"].admitted(since, at=at)) / rate / seconds
+    return len(fleet.request_logs["q"].admitted(since, at=at)) / rate / seconds
 
 
 def holds_only_own_base_share(fleet: QuotaFleet, router: int) -> bool:
@@ -481,7 +481,7 @@
     fleet.run(12)
     since = fleet.now
     assert measure_use(fleet, 10, rate=rate) >= use
-    difference, random_difference = fleet.asked["q"].apart(since, fleet.now)
+    difference, random_difference = fleet.request_logs["q"].rate_spread(since, fleet.now)
     assert 0 < difference <= random_difference + (0.1 if size == 12 else 0.25)
     fleet.demands["q"] = demand[size // 2 :] + demand[: size // 2]
     fleet.run(1)
@@ -571,7 +571,7 @@
     since = fleet.now
     assert measure_use(fleet, 4) >= 1.8
     for side in (set(range(4)), set(range(4, 8))):
-        assert len(fleet.asked["q"].admitted(since, at=side)) >= 0.9 * RATE * 4
+        assert len(fleet.request_logs["q"].admitted(since, at=side)) >= 0.9 * RATE * 4
 
 
 def test_messages_for_two_hundred_tenants_stay_within_the_byte_budget() -> None:
