--- a/slipbay/emulator/channel_fleet.py
+++ b/slipbay/emulator/channel_fleet.py
@@ -110,7 +110,7 @@
             self.stopped.add(me)
             self._unread[me] = []
 
-    def go_on(self, me: int) -> None:
+    def resume(self, me: int) -> None:
         """Resume a stopped process as on SIGCONT: it reads the buffered datagrams and runs its due ticks."""
         if me in self.stopped:
             self.stopped.discard(me)
@@ -118,7 +118,7 @@
                 self._deliver(me, sender, data)
             self._schedule_tick(me)
 
-    def party(self, me: int, kind: int) -> ChannelEndpoint | None:
+    def endpoint(self, me: int, kind: int) -> ChannelEndpoint | None:
         """Return the endpoint of a router for a frame kind; None if the router does not run."""
         mux = self.muxes[me]
         return mux.parties.get(kind) if mux is not None else None
@@ -127,7 +127,7 @@
         """Return the numbers of the routers that are neither killed nor stopped."""
         return [me for me, mux in enumerate(self.muxes) if mux is not None and me not in self.stopped]
 
-    def say(self, me: int, kind: int, sends: list[Send]) -> None:
+    def send(self, me: int, kind: int, sends: list[Send]) -> None:
         """Send messages of an endpoint outside of its ticks, as ``UdpLink.send`` does."""
         mux = self.muxes[me]
         if mux is not None:
--- a/slipbay/emulator/membership_model.py
+++ b/slipbay/emulator/membership_model.py
@@ -90,7 +90,7 @@
         self.stopped.add(me)
         self._unread[me] = []
 
-    def go_on(self, me: int) -> None:
+    def resume(self, me: int) -> None:
         """Resume a stopped process as on SIGCONT.
 
         Its clock did not stop, and it reads the datagrams that arrived in the meantime.
--- a/slipbay/emulator/quota.py
+++ b/slipbay/emulator/quota.py
@@ -155,7 +155,7 @@
 
     def machine(self, me: int) -> BorrowingStateMachine | None:
         """Return the quota state machine of a router; None if the router does not run."""
-        endpoint = self.routers.party(me, FrameKind.QUOTA)
+        endpoint = self.routers.endpoint(me, FrameKind.QUOTA)
         assert endpoint is None or isinstance(endpoint, BorrowingStateMachine)
         return endpoint
 
--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -471,9 +471,9 @@
     routers.start()
     routers.run(3.0)
     for me in range(size):
-        party = routers.party(me, interfaces.FrameKind.LIVES)
+        party = routers.endpoint(me, interfaces.FrameKind.LIVES)
         assert isinstance(party, witnesses.StoreWitnesses)
-        routers.say(me, interfaces.FrameKind.LIVES, party.begin(Random(me).randbytes(16), me + 1))
+        routers.send(me, interfaces.FrameKind.LIVES, party.begin(Random(me).randbytes(16), me + 1))
     routers.run(9.0)
     routers.kill([1])
     routers.start([1])
--- a/tests/contracts/test_channel_contract.py
+++ b/tests/contracts/test_channel_contract.py
@@ -99,7 +99,7 @@
         self.mux = [cast(Multiplexer, mux) for mux in self.routers.muxes]
 
     def say(self, me: int, to: int, body: bytes) -> None:
-        self.routers.say(me, FrameKind.QUOTA, [(to, body)])
+        self.routers.send(me, FrameKind.QUOTA, [(to, body)])
 
     def raw(self, me: int, to: int, data: bytes) -> None:
         self.routers.network.send(me, to, data)
--- a/tests/quota_histories.py
+++ b/tests/quota_histories.py
@@ -73,7 +73,7 @@
                 routers.stop(router)
         case "go on":
             for router in list(routers.stopped):
-                routers.go_on(router)
+                routers.resume(router)
         case "leap":
             for router in chosen:
                 if fleet.now - jumped_at_us.get(router, 0) > 1_800_000:  # at most one jump per lease
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -176,7 +176,7 @@
     routers = ChannelFleet(4, make, drift_ppm=500, key=KEY)
     routers.start()
     routers.run(0.5)
-    heard = [cast(Echo, routers.party(me, FrameKind.QUOTA)).heard for me in range(4)]
+    heard = [cast(Echo, routers.endpoint(me, FrameKind.QUOTA)).heard for me in range(4)]
     assert [sorted(h) for h in heard] == [[(n, bytes([n])) for n in range(4) if n != me] for me in range(4)]
     routers.kill([3])
     routers.stop(2)
@@ -185,7 +185,7 @@
         each.clear()
     routers.run(1.0)
     assert heard[0] == heard[1] == heard[2] == []
-    routers.go_on(2)
+    routers.resume(2)
     assert sorted(heard[2]) == [(0, b"\0"), (1, b"\1")]
 
 
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -144,7 +144,7 @@
         routers.network.heal()
         routers.network.conditions = LinkConditions()
         for router in list(routers.stopped):
-            routers.go_on(router)
+            routers.resume(router)
         routers.start([router for router in range(self.size) if routers.muxes[router] is None])
 
     def check(self) -> list[str]:
@@ -165,7 +165,7 @@
         """Return the routers that are not in full service or do not see the whole fleet."""
         found = []
         for router in range(self.size):
-            machine = self.routers.party(router, FrameKind.COMEBACK)
+            machine = self.routers.endpoint(router, FrameKind.COMEBACK)
             view = self.routers.views[router]
             assert isinstance(machine, WarmupStateMachine)
             assert view is not None
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -174,7 +174,7 @@
     fleet.stop(7)
     fleet.run(5)
     assert all(view.table.state(7) is MemberState.GONE for view in fleet.views() if view.me != 7)
-    fleet.go_on(7)
+    fleet.resume(7)
     stopped = fleet.members[7]
     assert stopped is not None
     assert len(stopped.living) == 24
@@ -249,12 +249,12 @@
             case _:
                 fleet.network.heal()
                 for me in list(fleet.stopped):
-                    fleet.go_on(me)
+                    fleet.resume(me)
         fleet.run(1)
         assert all(sent - before.get(me, 0) <= 1_000 for me, sent in fleet.network.bytes_from.items())
     fleet.network.heal()
     for me in list(fleet.stopped):
-        fleet.go_on(me)
+        fleet.resume(me)
     assert fleet.until_settled(10) <= 10
     assert all(
         len(view.table.members) <= size and len(view.updates.pending) <= size for view in fleet.views()
--- a/tests/test_witnesses.py
+++ b/tests/test_witnesses.py
@@ -72,7 +72,7 @@
         routers = self.routers
         routers.network.heal()
         routers.start([0])
-        witnesses = cast(StoreWitnesses, routers.party(0, FrameKind.LIVES))
+        witnesses = cast(StoreWitnesses, routers.endpoint(0, FrameKind.LIVES))
         for _ in range(10):
             if not witnesses.is_decided:
                 routers.run(0.1)
@@ -88,7 +88,7 @@
             routers.network.cut([0], range(1, SIZE))
         self.identity = store_generation.next_identity(self.identity, status, 0, self.random.randbytes(16))
         self.sequence += 1
-        routers.say(0, FrameKind.LIVES, witnesses.begin(self.identity.store_id, self.identity.generation))
+        routers.send(0, FrameKind.LIVES, witnesses.begin(self.identity.store_id, self.identity.generation))
         for _ in range(self.random.randrange(6)):
             routers.run(self.random.choice((0.0, 0.5)) * self.random.random())
             if witnesses.is_open:
@@ -101,7 +101,7 @@
         if settle:
             routers.run(1.5)
         if closes:
-            routers.say(0, FrameKind.LIVES, witnesses.close(self.sequence))
+            routers.send(0, FrameKind.LIVES, witnesses.close(self.sequence))
         routers.run(self.random.random() * 0.01)
         routers.kill([0])
 
@@ -186,7 +186,7 @@
         parts={FrameKind.LIVES: 0.083, FrameKind.VIEW: 0.9},
     )
     routers.start()
-    found = [cast(StoreWitnesses, routers.party(me, FrameKind.LIVES)) for me in range(SIZE)]
+    found = [cast(StoreWitnesses, routers.endpoint(me, FrameKind.LIVES)) for me in range(SIZE)]
     for witnesses, mux in zip(found, routers.muxes, strict=True):
         assert mux is not None
         mux.unsent[FrameKind.LIVES] = witnesses.unsent
@@ -196,7 +196,7 @@
         for me, witnesses in enumerate(found):
             if witnesses.is_decided and me not in begun:
                 begun.add(me)
-                routers.say(me, FrameKind.LIVES, witnesses.begin(bytes([me]) * 8, 1))
+                routers.send(me, FrameKind.LIVES, witnesses.begin(bytes([me]) * 8, 1))
     assert min_s < elapsed_s < max_s
 
 
