--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -71,15 +71,15 @@
     fleet.run(5)
     killed = range(size * 7 // 10)
     fleet.kill(killed)
-    settled = {"7 in 10 killed": fleet.until_settled(30)}
+    settled = {"7 in 10 killed": fleet.run_until_converged(30)}
     for number in killed:
         fleet.start(number)
-    settled["their return"] = fleet.until_settled(30)
+    settled["their return"] = fleet.run_until_converged(30)
     fleet.run(5)
     fleet.network.cut(range(0, size, 2), range(1, size, 2))
     fleet.run(8)
     fleet.network.heal()
-    settled["a healed cut"] = fleet.until_settled(30)
+    settled["a healed cut"] = fleet.run_until_converged(30)
     return settled
 
 
@@ -95,7 +95,7 @@
     for number in range(kills):
         detection_s += detection(fleet, number)
         fleet.start(number)
-        fleet.until_settled(10)
+        fleet.run_until_converged(10)
     cpu = time.process_time() - cpu_start_s
     return Row(
         size,
--- a/slipbay/emulator/membership_model.py
+++ b/slipbay/emulator/membership_model.py
@@ -138,17 +138,17 @@
         """Return the state machines of the running members."""
         return [member for member in self.members if member is not None]
 
-    def settled(self) -> bool:
+    def is_converged(self) -> bool:
         """Return whether the alive members in each view are exactly the running ones."""
         numbers = self.running
         return all(member.living == numbers for member in self.views())
 
-    def until_settled(self, timeout_s: float) -> float:
+    def run_until_converged(self, timeout_s: float) -> float:
         """Run until all views are correct; return the seconds that it took, or infinity on timeout."""
         start = self.now
         end = self.now + int(timeout_s * SECOND)
         while self.now < end:
-            if self.settled():
+            if self.is_converged():
                 return (self.now - start) / SECOND
             self.event_queue.until(self.now + 50_000)
         return float("inf")
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -121,22 +121,22 @@
 ) -> None:
     fleet = MembershipModel(size, seed, conditions=LOSSY)
     fleet.run(20)
-    assert fleet.settled()
+    assert fleet.is_converged()
     fleet.kill([size // 2])
     fleet.run(3)
-    assert fleet.settled()
+    assert fleet.is_converged()
     fleet.start(size // 2)
-    assert fleet.until_settled(5) <= 5
+    assert fleet.run_until_converged(5) <= 5
 
 
 def test_seven_in_ten_die_and_return_as_new_processes() -> None:
     fleet = MembershipModel(24, 4, conditions=LOSSY)
     fleet.run(3)
     fleet.kill(range(17))
-    assert fleet.until_settled(5) <= 5
+    assert fleet.run_until_converged(5) <= 5
     for me in range(17):
         fleet.start(me)
-    assert fleet.until_settled(5) <= 5
+    assert fleet.run_until_converged(5) <= 5
 
 
 @pytest.mark.parametrize("speaks", [True, False])
@@ -165,7 +165,7 @@
     for view in fleet.views():
         assert view.living == list(even if view.me % 2 == 0 else odd)
     fleet.network.heal()
-    assert fleet.until_settled(5) <= 5
+    assert fleet.run_until_converged(5) <= 5
 
 
 def test_a_stopped_router_accuses_nobody_and_rejoins_at_once() -> None:
@@ -178,7 +178,7 @@
     stopped = fleet.members[7]
     assert stopped is not None
     assert len(stopped.living) == 24
-    assert fleet.until_settled(5) <= 5
+    assert fleet.run_until_converged(5) <= 5
 
 
 def test_a_one_way_cut_is_bridged_by_indirect_probes() -> None:
@@ -186,7 +186,7 @@
     fleet.run(2)
     fleet.network.cut([0], [1], both=False)
     fleet.run(20)
-    assert fleet.settled()
+    assert fleet.is_converged()
 
 
 def test_a_router_that_leaves_is_held_left() -> None:
@@ -195,7 +195,7 @@
     fleet.leave(3)
     fleet.run(0.7)
     assert sum(view.table.state(3) is MemberState.LEFT for view in fleet.views() if view.me != 3) >= 10
-    assert fleet.until_settled(5) <= 5
+    assert fleet.run_until_converged(5) <= 5
 
 
 def test_late_datagrams_of_an_earlier_process_do_not_revive_it() -> None:
@@ -217,14 +217,14 @@
         fleet._deliver(0, 2, data)
     assert fleet.views()[0].table.state(2) is MemberState.GONE
     fleet.start(2)
-    assert fleet.until_settled(5) <= 5
+    assert fleet.run_until_converged(5) <= 5
     new = fleet.members[2]
     assert new is not None
     for data in old:
         fleet._deliver(0, 2, data)
     assert fleet.views()[0].table.members[2].start_id == new.start_id
     fleet.run(3)
-    assert fleet.settled()
+    assert fleet.is_converged()
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -255,7 +255,7 @@
     fleet.network.heal()
     for me in list(fleet.stopped):
         fleet.resume(me)
-    assert fleet.until_settled(10) <= 10
+    assert fleet.run_until_converged(10) <= 10
     assert all(
         len(view.table.members) <= size and len(view.updates.pending) <= size for view in fleet.views()
     )
