--- a/slipbay/emulator/network.py
+++ b/slipbay/emulator/network.py
@@ -14,14 +14,14 @@
 class LinkConditions:
     """Delay, loss and duplication of all links.
 
-    ``loss`` and ``double`` (duplication) are fractions of all messages. Each message has a random delay
+    ``loss`` and ``duplication`` are fractions of all messages. Each message has a random delay
     between the two bounds in us, so messages can arrive out of order.
     """
 
-    least_us: int = 2_000
-    most_us: int = 25_000
+    min_delay_us: int = 2_000
+    max_delay_us: int = 25_000
     loss: float = 0.0
-    double: float = 0.0
+    duplication: float = 0.0
 
 
 class Network:
@@ -62,8 +62,8 @@
         conditions = self.conditions
         if (source, target) in self.cuts or self.random.random() < conditions.loss:
             return
-        for _ in range(1 + (conditions.double > 0 and self.random.random() < conditions.double)):
-            delay_us = conditions.least_us + int(
-                self.random.random() * (conditions.most_us - conditions.least_us)
+        for _ in range(1 + (conditions.duplication > 0 and self.random.random() < conditions.duplication)):
+            delay_us = conditions.min_delay_us + int(
+                self.random.random() * (conditions.max_delay_us - conditions.min_delay_us)
             )
             self.event_queue.at(self.event_queue.now + delay_us, lambda: self.deliver(target, source, data))
--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -428,7 +428,7 @@
 
 def play_view() -> Recorder:
     """One router dies, one leaves in order, one is new; messages are lost and doubled."""
-    model = MembershipModel(7, 3, conditions=LinkConditions(loss=0.1, double=0.1), zones=2, key=KEY)
+    model = MembershipModel(7, 3, conditions=LinkConditions(loss=0.1, duplication=0.1), zones=2, key=KEY)
     recorder = Recorder(model.network)
     model.run(2.0)
     model.kill([2])
--- a/tests/contracts/test_channel_contract.py
+++ b/tests/contracts/test_channel_contract.py
@@ -109,7 +109,7 @@
 
     def blow(self, loss: float, double: float) -> None:
         self.routers.network.conditions.loss = loss
-        self.routers.network.conditions.double = double
+        self.routers.network.conditions.duplication = double
 
     def cut(self, me: int, to: int) -> None:
         self.routers.network.cut([me], [to], both=False)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -30,7 +30,7 @@
 from slipbay.policy.gossip_codec import HEAD as DECISIONS_HEAD
 from slipbay.policy.gossip_codec import ITEM as DECISIONS_ITEM
 
-LOSSY = LinkConditions(loss=0.1, double=0.05)
+LOSSY = LinkConditions(loss=0.1, duplication=0.05)
 BYTE = st.integers(0, 255)
 SHORT = st.integers(0, 2**16 - 1)
 LONG = st.integers(0, 2**32 - 1)
@@ -232,7 +232,7 @@
     """Random histories of deaths, returns, stops and cuts."""
     random = Random(seed)
     size = 10
-    fleet = MembershipModel(size, seed, conditions=LinkConditions(loss=0.2, double=0.1))
+    fleet = MembershipModel(size, seed, conditions=LinkConditions(loss=0.2, duplication=0.1))
     for _ in range(25):
         before = dict(fleet.network.bytes_from)
         match random.randrange(5):
--- a/tests/test_witnesses.py
+++ b/tests/test_witnesses.py
@@ -122,7 +122,9 @@
     """Run scenarios until one violates the rule; returns how many stores were current, and the requests."""
     current = requests = 0
     for seed in range(scenarios):
-        scenario = Scenario(seed, witness_type, LinkConditions(most_us=300_000, loss=0.2, double=0.2))
+        scenario = Scenario(
+            seed, witness_type, LinkConditions(max_delay_us=300_000, loss=0.2, duplication=0.2)
+        )
         scenario.routers.start(range(1, SIZE))
         for _ in range(12):
             scenario.step()
