--- a/slipbay/emulator/engines.py
+++ b/slipbay/emulator/engines.py
@@ -58,7 +58,7 @@
         self.recent_starts: deque[tuple[int, float]] = deque()
         self.window_work_us = 0.0  # work in us received within the window
         self.max_start_budget_use = 0.0  # largest fraction of the slow-start budget that any window used
-        self.wanted = 0  # number of the last change; events scheduled for earlier changes are ignored
+        self.change_number = 0  # number of the last change; events scheduled for earlier changes are ignored
 
     def share(self, now: int) -> float:
         """Return the fraction of its full rate that the engine has now."""
--- a/slipbay/emulator/fleet_model.py
+++ b/slipbay/emulator/fleet_model.py
@@ -272,15 +272,15 @@
 
     def _schedule_completion(self, name: bytes) -> None:
         engine = self.engines[name]
-        engine.wanted += 1
-        wanted = engine.wanted
+        engine.change_number += 1
+        change_number = engine.change_number
         end = engine.next_end(self.now)
         if end is not None:
-            self.event_queue.at(end, lambda: self._complete_attempts(name, wanted))
+            self.event_queue.at(end, lambda: self._complete_attempts(name, change_number))
 
-    def _complete_attempts(self, name: bytes, wanted: int) -> None:
+    def _complete_attempts(self, name: bytes, change_number: int) -> None:
         engine = self.engines[name]
-        if engine.wanted == wanted:
+        if engine.change_number == change_number:
             completed = engine.ended(self.now)
             self._schedule_completion(name)
             for run in completed:
--- a/tests/cold_starts.py
+++ b/tests/cold_starts.py
@@ -141,7 +141,7 @@
         new = EngineModel(self.cores, self.now, self.rule)
         # discard the pending events of the old process
         new.count = old.count
-        new.wanted = old.wanted + 1
+        new.change_number = old.change_number + 1
         self.engines[name] = new
         self.entries[name] = replace(self.entries[name], ready_at_us=self.now)
         self._list(self.entries[name])
