--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -47,7 +47,7 @@
     leaving = list(fleet.engines)[: engines * 6 // 10]
     for name in leaving:
         fleet.drain(name)
-        fleet.add_engine(born=fleet.now)
+        fleet.add_engine(started_us=fleet.now)
         fleet.load(7 / len(leaving), level)
     fleet.load(max(1.0, seconds - 13), level)
     return fleet
@@ -62,7 +62,7 @@
         if step % 2 == 0:
             for name in leaving[step * len(leaving) // 10 : (step + 2) * len(leaving) // 10]:
                 fleet.drain(name)
-                fleet.add_engine(born=fleet.now)
+                fleet.add_engine(started_us=fleet.now)
         group = range(step * routers // 10, (step + 1) * routers // 10)
         for me in group:
             fleet.kill(me)
--- a/slipbay/emulator/engines.py
+++ b/slipbay/emulator/engines.py
@@ -45,9 +45,9 @@
     Times are integers in us and never decrease.
     """
 
-    def __init__(self, cores: int, born: int, rule: ColdRule) -> None:
+    def __init__(self, cores: int, started_us: int, rule: ColdRule) -> None:
         self.cores = cores
-        self.born = born
+        self.started_us = started_us
         self.rule = rule
         self.runs: dict[int, Run] = {}
         self.updated_us = 0
@@ -62,9 +62,9 @@
 
     def share(self, now: int) -> float:
         """Return the fraction of its full rate that the engine has now."""
-        if not self.born:
+        if not self.started_us:
             return 1.0
-        return min(1.0, self.rule.share + (1 - self.rule.share) * (now - self.born) / self.rule.ramp_us)
+        return min(1.0, self.rule.share + (1 - self.rule.share) * (now - self.started_us) / self.rule.ramp_us)
 
     def start(self, now: int, run: Run, usual: float) -> int:
         """Start an attempt and return its number.
--- a/slipbay/emulator/fleet_model.py
+++ b/slipbay/emulator/fleet_model.py
@@ -145,7 +145,7 @@
         self.weights = [1 / (rank + 1) ** skew for rank in range(routers)]
         self.random.shuffle(self.weights)
         for _ in range(engines):
-            self.add_engine(born=0)
+            self.add_engine(started_us=0)
         for me in range(routers):
             self.start(me)
         self.event_queue.at(self.event_queue.now, self._sample_threads)
@@ -157,11 +157,11 @@
 
     # Engines
 
-    def add_engine(self, born: int) -> bytes:
-        """Add an engine that starts at ``born`` and notify all running routers; return its address."""
+    def add_engine(self, started_us: int) -> bytes:
+        """Add an engine that starts at ``started_us`` and notify all running routers; return its address."""
         name = bytes([127, 0, len(self.entries) // 250, len(self.entries) % 250, 32, 251])
-        self.entries[name] = EngineEntry(name, zone=len(self.entries) % self.zones, ready_at_us=born)
-        self.engines[name] = EngineModel(self.cores, born, self.rule)
+        self.entries[name] = EngineEntry(name, zone=len(self.entries) % self.zones, ready_at_us=started_us)
+        self.engines[name] = EngineModel(self.cores, started_us, self.rule)
         self._list(self.entries[name])
         return name
 
--- a/tests/cold_starts.py
+++ b/tests/cold_starts.py
@@ -117,10 +117,10 @@
 
     # Engines
 
-    def add_engine(self, born: int) -> bytes:
-        name = super().add_engine(born)
-        if born:
-            self.starts[name] = Start(name, born, self.cores)
+    def add_engine(self, started_us: int) -> bytes:
+        name = super().add_engine(started_us)
+        if started_us:
+            self.starts[name] = Start(name, started_us, self.cores)
         return name
 
     def stop_engine(self, name: bytes) -> None:
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -146,7 +146,7 @@
         tier.kill(me)
     tier.load(3, 0.9)
     tier.drain(next(iter(tier.entries)))
-    tier.add_engine(born=tier.now)
+    tier.add_engine(started_us=tier.now)
     for me in range(5):
         tier.start(me)
     tier.load(4, 0.9)
