--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -27,7 +27,7 @@
 ) -> FleetModel:
     """Five of eight routers are killed after a fifth of the time."""
     fleet = FleetModel(routers, engines, seed=seed, skew=0.5)
-    fleet.deaf = not has_gossip
+    fleet.drops_gossip = not has_gossip
     fleet.load(seconds / 5, level)
     for me in range(routers * 5 // 8):
         fleet.kill(me)
@@ -47,7 +47,7 @@
     leaving = list(fleet.engines)[: engines * 6 // 10]
     for name in leaving:
         fleet.drain(name)
-        fleet.add_engine(born=fleet.now)
+        fleet.add_engine(started_us=fleet.now)
         fleet.load(7 / len(leaving), level)
     fleet.load(max(1.0, seconds - 13), level)
     return fleet
@@ -62,7 +62,7 @@
         if step % 2 == 0:
             for name in leaving[step * len(leaving) // 10 : (step + 2) * len(leaving) // 10]:
                 fleet.drain(name)
-                fleet.add_engine(born=fleet.now)
+                fleet.add_engine(started_us=fleet.now)
         group = range(step * routers // 10, (step + 1) * routers // 10)
         for me in group:
             fleet.kill(me)
@@ -88,10 +88,10 @@
     cpu_start_s = time.process_time()
     fleet = SCENARIOS[scenario](routers, engines, level, seed, seconds)
     fleet.until(fleet.now + 25 * SECOND)
-    account, request_count = fleet.account, max(1, sum(fleet.account.came.values()))
+    account, request_count = fleet.account, max(1, sum(fleet.account.received.values()))
     cpu_s = time.process_time() - cpu_start_s
-    by_class = " ".join(f"{account.good[k] / max(1, account.came[k]):.2f}" for k in range(len(fleet.mix)))
-    budget_use = max(e.worst_push for e in fleet.engines.values())
+    by_class = " ".join(f"{account.good[k] / max(1, account.received[k]):.2f}" for k in range(len(fleet.mix)))
+    budget_use = max(e.max_start_budget_use for e in fleet.engines.values())
     rejected = sum(account.refused.values()) / request_count
     idle = account.idle_refused / request_count
     return (
--- a/slipbay/emulator/channel_fleet.py
+++ b/slipbay/emulator/channel_fleet.py
@@ -37,7 +37,7 @@
         make: EndpointFactory,
         seed: int = 1,
         *,
-        weather: LinkConditions | None = None,
+        conditions: LinkConditions | None = None,
         skew_us: int = 200_000,
         drift_ppm: int = 0,
         key: bytes = b"",
@@ -54,11 +54,11 @@
         self.parts = parts
         self.view = view
         self.random = Random(seed)
-        self.agenda = EventQueue(EPOCH)
-        self.network = Network(self.agenda, self.random, self._deliver, weather)
+        self.event_queue = EventQueue(EPOCH)
+        self.network = Network(self.event_queue, self.random, self._deliver, conditions)
         self.offsets = [self.random.randint(-skew_us, skew_us) for _ in range(size)]
         self.drifts_ppm = [self.random.randint(-drift_ppm, drift_ppm) for _ in range(size)]
-        self.lives = [0] * size
+        self.incarnation_numbers = [0] * size
         self.muxes: list[Multiplexer | None] = [None] * size
         self.views: list[MembershipStateMachine | None] = [None] * size
         self.fullest = [0] * size  # maximum bytes that the router sent in any second of true time
@@ -71,7 +71,7 @@
     @property
     def now(self) -> int:
         """True time in us."""
-        return self.agenda.now
+        return self.event_queue.now
 
     def clock(self, me: int) -> int:
         """Return the time of the router's own clock."""
@@ -85,7 +85,7 @@
     def start(self, numbers: Iterable[int] | None = None) -> None:
         """Start new incarnations of the given routers, or of all."""
         for me in range(self.size) if numbers is None else numbers:
-            self.lives[me] += 1
+            self.incarnation_numbers[me] += 1
             incarnation = self.random.randrange(2**16)
             now = self.clock(me)
             mux = self.muxes[me] = Multiplexer(
@@ -110,7 +110,7 @@
             self.stopped.add(me)
             self._unread[me] = []
 
-    def go_on(self, me: int) -> None:
+    def resume(self, me: int) -> None:
         """Resume a stopped process as on SIGCONT: it reads the buffered datagrams and runs its due ticks."""
         if me in self.stopped:
             self.stopped.discard(me)
@@ -118,7 +118,7 @@
                 self._deliver(me, sender, data)
             self._schedule_tick(me)
 
-    def party(self, me: int, kind: int) -> ChannelEndpoint | None:
+    def endpoint(self, me: int, kind: int) -> ChannelEndpoint | None:
         """Return the endpoint of a router for a frame kind; None if the router does not run."""
         mux = self.muxes[me]
         return mux.endpoints.get(kind) if mux is not None else None
@@ -127,7 +127,7 @@
         """Return the numbers of the routers that are neither killed nor stopped."""
         return [me for me, mux in enumerate(self.muxes) if mux is not None and me not in self.stopped]
 
-    def say(self, me: int, kind: int, sends: list[Send]) -> None:
+    def send(self, me: int, kind: int, sends: list[Send]) -> None:
         """Send messages of an endpoint outside of its ticks, as ``UdpLink.send`` does."""
         mux = self.muxes[me]
         if mux is not None:
@@ -136,7 +136,7 @@
 
     def run(self, seconds: float) -> None:
         """Run the simulation for some seconds."""
-        self.agenda.until(self.now + int(seconds * SECOND))
+        self.event_queue.until(self.now + int(seconds * SECOND))
 
     def _clock_at(self, me: int, true_us: int) -> int:
         return true_us + self.offsets[me] + (true_us - EPOCH) * self.drifts_ppm[me] // SECOND
@@ -185,7 +185,7 @@
         if due is not None:
             self._tick_number[me] += 1
             number = self._tick_number[me]
-            self.agenda.at(
+            self.event_queue.at(
                 max(self._true_time(me, due), self.now + MIN_TICK_INTERVAL_US), lambda: self._tick(me, number)
             )
 
--- a/slipbay/emulator/engines.py
+++ b/slipbay/emulator/engines.py
@@ -45,9 +45,9 @@
     Times are integers in us and never decrease.
     """
 
-    def __init__(self, cores: int, born: int, rule: ColdRule) -> None:
+    def __init__(self, cores: int, started_us: int, rule: ColdRule) -> None:
         self.cores = cores
-        self.born = born
+        self.started_us = started_us
         self.rule = rule
         self.runs: dict[int, Run] = {}
         self.updated_us = 0
@@ -57,14 +57,14 @@
         self.alive = True
         self.recent_starts: deque[tuple[int, float]] = deque()
         self.window_work_us = 0.0  # work in us received within the window
-        self.worst_push = 0.0  # largest fraction of the slow-start budget that any window used
-        self.wanted = 0  # number of the last change; events scheduled for earlier changes are ignored
+        self.max_start_budget_use = 0.0  # largest fraction of the slow-start budget that any window used
+        self.change_number = 0  # number of the last change; events scheduled for earlier changes are ignored
 
     def share(self, now: int) -> float:
         """Return the fraction of its full rate that the engine has now."""
-        if not self.born:
+        if not self.started_us:
             return 1.0
-        return min(1.0, self.rule.share + (1 - self.rule.share) * (now - self.born) / self.rule.ramp_us)
+        return min(1.0, self.rule.share + (1 - self.rule.share) * (now - self.started_us) / self.rule.ramp_us)
 
     def start(self, now: int, run: Run, usual: float) -> int:
         """Start an attempt and return its number.
@@ -84,7 +84,7 @@
             while self.recent_starts[0][0] <= now - self.rule.window_us:
                 self.window_work_us -= self.recent_starts.popleft()[1]
             budget = self.rule.multiple * share * self.cores * CAPACITY * self.rule.window_us
-            self.worst_push = max(self.worst_push, self.window_work_us / budget)
+            self.max_start_budget_use = max(self.max_start_budget_use, self.window_work_us / budget)
         return self.count
 
     def stop(self, now: int, number: int) -> None:
--- a/slipbay/emulator/fleet_model.py
+++ b/slipbay/emulator/fleet_model.py
@@ -54,9 +54,9 @@
 class Account:
     """Counts of what clients and engines observed."""
 
-    worth: float = 0.0  # utility of all requests
+    requested_utility: float = 0.0  # utility of all requests
     in_time: float = 0.0  # utility of the answers, reduced for those after the latency objective
-    came: Counter[int] = field(default_factory=Counter)  # requests by class
+    received: Counter[int] = field(default_factory=Counter)  # requests by class
     good: Counter[int] = field(default_factory=Counter)
     late: Counter[int] = field(default_factory=Counter)
     refused: Counter[int] = field(default_factory=Counter)
@@ -69,7 +69,7 @@
     @property
     def service(self) -> float:
         """Fraction of the requested utility that clients received."""
-        return self.in_time / self.worth if self.worth else 1.0
+        return self.in_time / self.requested_utility if self.requested_utility else 1.0
 
     def quantile(self, fraction: float) -> int:
         """Return a quantile of the sampled threads per engine."""
@@ -101,7 +101,7 @@
         rule: ColdRule | None = None,
         loss: float = 0.0,
     ) -> None:
-        self.agenda = EventQueue(SECOND)
+        self.event_queue = EventQueue(SECOND)
         self.random = Random(seed)
         self.mix = mix
         self.rule = rule or ColdRule()
@@ -132,36 +132,36 @@
             retry_window_us=10 * SECOND,
         )
         self.account = Account()
-        self.deaf = False
+        self.drops_gossip = False
         self.is_sampling = False
         self.entries: dict[bytes, EngineEntry] = {}
         self.engines: dict[bytes, EngineModel] = {}
-        self.lives = [0] * routers
+        self.incarnation_numbers = [0] * routers
         self.routers: list[Controller | None] = [None] * routers
-        self.asked: dict[int, tuple[int, float, int]] = {}  # by request: class, work in us, arrival time
+        self.requests: dict[int, tuple[int, float, int]] = {}  # by request: class, work in us, arrival time
         self.out: defaultdict[tuple[int, int, int], tuple[bytes, int]] = defaultdict(lambda: (b"", 0))
         self.sent: Counter[tuple[int, int]] = Counter()
         self.terms: dict[tuple[int, int], int] = {}
         self.weights = [1 / (rank + 1) ** skew for rank in range(routers)]
         self.random.shuffle(self.weights)
         for _ in range(engines):
-            self.add_engine(born=0)
+            self.add_engine(started_us=0)
         for me in range(routers):
             self.start(me)
-        self.agenda.at(self.agenda.now, self._sample_threads)
+        self.event_queue.at(self.event_queue.now, self._sample_threads)
 
     @property
     def now(self) -> int:
         """The simulated time in us."""
-        return self.agenda.now
+        return self.event_queue.now
 
     # Engines
 
-    def add_engine(self, born: int) -> bytes:
-        """Add an engine that starts at ``born`` and notify all running routers; return its address."""
+    def add_engine(self, started_us: int) -> bytes:
+        """Add an engine that starts at ``started_us`` and notify all running routers; return its address."""
         name = bytes([127, 0, len(self.entries) // 250, len(self.entries) % 250, 32, 251])
-        self.entries[name] = EngineEntry(name, zone=len(self.entries) % self.zones, ready_at_us=born)
-        self.engines[name] = EngineModel(self.cores, born, self.rule)
+        self.entries[name] = EngineEntry(name, zone=len(self.entries) % self.zones, ready_at_us=started_us)
+        self.engines[name] = EngineModel(self.cores, started_us, self.rule)
         self._list(self.entries[name])
         return name
 
@@ -172,18 +172,18 @@
 
     def _list(self, entry: EngineEntry) -> None:
         for me in range(len(self.routers)):
-            self._tell(me, EngineList(ListKind.DELTA, (entry,)))
+            self._deliver_event(me, EngineList(ListKind.DELTA, (entry,)))
 
     # Routers
 
     def start(self, me: int) -> None:
         """Start a new incarnation of a router."""
-        self.lives[me] += 1
+        self.incarnation_numbers[me] += 1
         self.routers[me] = Controller(
             replace(self.settings, router_number=me, zone=me % self.zones),
-            self.seed * 1_000_003 + me * 1009 + self.lives[me],
+            self.seed * 1_000_003 + me * 1009 + self.incarnation_numbers[me],
         )
-        self._tell(me, EngineList(ListKind.CACHED, tuple(self.entries.values())))
+        self._deliver_event(me, EngineList(ListKind.CACHED, tuple(self.entries.values())))
 
     def kill(self, me: int) -> None:
         """Kill a router. Its attempts run for 2 s more, until the engines detect the closed connections."""
@@ -191,7 +191,7 @@
         for key, (name, number) in list(self.out.items()):
             if key[0] == me:
                 del self.out[key]
-                self.agenda.at(
+                self.event_queue.at(
                     self.now + 2 * SECOND,
                     lambda name=name, number=number: self._stop(name, number),  # type: ignore[misc]
                 )
@@ -200,15 +200,15 @@
         self.engines[name].stop(self.now, number)
         self._schedule_completion(name)
 
-    def _tell(self, me: int, event: Event) -> None:
+    def _deliver_event(self, me: int, event: Event) -> None:
         router = self.routers[me]
-        incarnation = self.lives[me]
+        incarnation = self.incarnation_numbers[me]
         if router is None:
             return
         for action in router.handle(self.now, [event]):
             match action:
                 case SetTimer(token, at):
-                    self.agenda.at(at, lambda t=token: self._fire(me, incarnation, t))  # type: ignore[misc]
+                    self.event_queue.at(at, lambda t=token: self._fire(me, incarnation, t))  # type: ignore[misc]
                 case SendGossip(body, to):
                     self._send(me, body, to)
                 case UpdateAttempt(query, priority):
@@ -224,17 +224,17 @@
                     raise AssertionError("a request failed in a model that has no failing engines")
 
     def _fire(self, me: int, incarnation: int, token: int) -> None:
-        if incarnation == self.lives[me]:
-            self._tell(me, TimerFired(token))
+        if incarnation == self.incarnation_numbers[me]:
+            self._deliver_event(me, TimerFired(token))
 
     def _send(self, me: int, body: bytes, to: int | None) -> None:
         for other in range(len(self.routers)) if to is None else [to]:
             if other != me:
                 self.account.gossip_messages += 1
-                if not self.deaf and self.random.random() >= self.loss:
-                    self.agenda.at(
+                if not self.drops_gossip and self.random.random() >= self.loss:
+                    self.event_queue.at(
                         self.now + self.random.randrange(2_000, 25_000),
-                        lambda o=other: self._tell(o, PeerMessage(me, body)),  # type: ignore[misc]
+                        lambda o=other: self._deliver_event(o, PeerMessage(me, body)),  # type: ignore[misc]
                     )
 
     # Requests
@@ -246,17 +246,17 @@
         spread = sqrt(log(1 + traffic.cv**2))
         work = traffic.work_us * exp(self.traffic.gauss(0, spread) - spread * spread / 2)
         me = self.traffic.choices(running, [self.weights[m] for m in running])[0]
-        query = len(self.asked) + 1
-        self.asked[query] = kind, work, self.now
-        self.account.came[kind] += 1
-        self.account.worth += traffic.spec.utility
+        query = len(self.requests) + 1
+        self.requests[query] = kind, work, self.now
+        self.account.received[kind] += 1
+        self.account.requested_utility += traffic.spec.utility
         estimate_us = int(work * exp(self.traffic.gauss(0, 0.1)))
-        self._tell(
+        self._deliver_event(
             me, QueryArrived(query, kind, traffic.spec.deadline_us, estimate_us, group=float(query % 17))
         )
 
     def _dispatch(self, me: int, query: int, name: bytes) -> None:
-        kind, work, _ = self.asked[query]
+        kind, work, _ = self.requests[query]
         threads = self.mix[kind].spec.threads
         attempt = self.sent[me, query]
         self.sent[me, query] += 1
@@ -272,15 +272,15 @@
 
     def _schedule_completion(self, name: bytes) -> None:
         engine = self.engines[name]
-        engine.wanted += 1
-        wanted = engine.wanted
+        engine.change_number += 1
+        change_number = engine.change_number
         end = engine.next_end(self.now)
         if end is not None:
-            self.agenda.at(end, lambda: self._complete_attempts(name, wanted))
+            self.event_queue.at(end, lambda: self._complete_attempts(name, change_number))
 
-    def _complete_attempts(self, name: bytes, wanted: int) -> None:
+    def _complete_attempts(self, name: bytes, change_number: int) -> None:
         engine = self.engines[name]
-        if engine.wanted == wanted:
+        if engine.change_number == change_number:
             completed = engine.ended(self.now)
             self._schedule_completion(name)
             for run in completed:
@@ -290,7 +290,7 @@
         attempt_on_engine = self.out.pop((me, query, attempt), None)
         if attempt_on_engine is None:
             return  # the router was killed
-        kind, work, since = self.asked[query]
+        kind, work, since = self.requests[query]
         spec = self.mix[kind].spec
         good = outcome is Outcome.OK
         if good:
@@ -305,12 +305,12 @@
             query, attempt, attempt_on_engine[0], outcome, 0, good, int(work) if good else None
         )
         if good:
-            self._tell(me, event)
+            self._deliver_event(me, event)
         else:
-            self.agenda.at(self.now + 1_000, lambda: self._tell(me, event))
+            self.event_queue.at(self.now + 1_000, lambda: self._deliver_event(me, event))
 
     def _refused(self, query: int) -> None:
-        self.account.refused[self.asked[query][0]] += 1
+        self.account.refused[self.requests[query][0]] += 1
         ready_engines = [e for n, e in self.engines.items() if self.entries[n].state is EngineState.READY]
         idle_cores = sum(max(0.0, e.cores * e.share(self.now) - e.threads) for e in ready_engines)
         self.account.idle_refused += idle_cores > 0.1 * sum(
@@ -324,11 +324,11 @@
             self.account.thread_samples += [
                 e.threads for n, e in self.engines.items() if self.entries[n].state is EngineState.READY
             ]
-        self.agenda.at(self.now + SECOND // 10, self._sample_threads)
+        self.event_queue.at(self.now + SECOND // 10, self._sample_threads)
 
     def until(self, when: int) -> None:
         """Run the simulation until the time ``when``."""
-        self.agenda.until(when)
+        self.event_queue.until(when)
 
     def load(self, seconds: float, level: float) -> None:
         """Send a Poisson stream of client requests for ``seconds``.
--- a/slipbay/emulator/membership_model.py
+++ b/slipbay/emulator/membership_model.py
@@ -25,7 +25,7 @@
         size: int,
         seed: int = 1,
         *,
-        weather: LinkConditions | None = None,
+        conditions: LinkConditions | None = None,
         timing: Timing | None = None,
         zones: int = 1,
         skew_us: int = 200_000,
@@ -37,10 +37,10 @@
         self.timing = timing
         self.key = key
         self.random = Random(seed)
-        self.agenda = EventQueue(EPOCH)
-        self.network = Network(self.agenda, self.random, self._deliver, weather)
+        self.event_queue = EventQueue(EPOCH)
+        self.network = Network(self.event_queue, self.random, self._deliver, conditions)
         self.offsets = [self.random.randrange(2 * skew_us + 1) - skew_us for _ in range(size)]
-        self.lives = [0] * size
+        self.incarnation_numbers = [0] * size
         self.members: list[MembershipStateMachine | None] = [None] * size
         self.stopped: set[int] = set()
         self._unread: dict[int, list[tuple[int, bytes]]] = {}  # datagrams that a stopped process has not read
@@ -50,11 +50,11 @@
     @property
     def now(self) -> int:
         """True time in us."""
-        return self.agenda.now
+        return self.event_queue.now
 
     def start(self, me: int) -> None:
         """Start a new incarnation of a member; its first tick is at a random time within 250 ms."""
-        self.lives[me] += 1
+        self.incarnation_numbers[me] += 1
         incarnation = self.random.randrange(2**16)
         now = self.now + self.offsets[me]
         self.members[me] = MembershipStateMachine(
@@ -67,8 +67,8 @@
             timing=self.timing,
             keys=MessageKeys(self.key),
         )
-        start_count = self.lives[me]
-        self.agenda.at(self.now + self.random.randrange(250_000), lambda: self._tick(me, start_count))
+        start_count = self.incarnation_numbers[me]
+        self.event_queue.at(self.now + self.random.randrange(250_000), lambda: self._tick(me, start_count))
 
     def kill(self, numbers: Iterable[int]) -> None:
         """Kill members; their unread datagrams are lost."""
@@ -83,14 +83,14 @@
         if member is not None:
             for to, data in member.leave(self.now + self.offsets[me]):
                 self.network.send(me, to, data)
-            self.agenda.at(self.now + 700_000, lambda: self.kill([me]))
+            self.event_queue.at(self.now + 700_000, lambda: self.kill([me]))
 
     def stop(self, me: int) -> None:
         """Stop a member's process as on SIGSTOP."""
         self.stopped.add(me)
         self._unread[me] = []
 
-    def go_on(self, me: int) -> None:
+    def resume(self, me: int) -> None:
         """Resume a stopped process as on SIGCONT.
 
         Its clock did not stop, and it reads the datagrams that arrived in the meantime.
@@ -111,7 +111,7 @@
 
     def _tick(self, me: int, start_count: int) -> None:
         member = self.members[me]
-        if start_count == self.lives[me] and member is not None:
+        if start_count == self.incarnation_numbers[me] and member is not None:
             due = self.now + 50_000
             if me not in self.stopped:
                 offset = self.offsets[me]
@@ -119,7 +119,7 @@
                 if due <= self.now:  # a message since the schedule may have moved the next tick
                     self._run_tick(me)
                     due = member.next_tick() - offset
-            self.agenda.at(max(due, self.now + 10_000), lambda: self._tick(me, start_count))
+            self.event_queue.at(max(due, self.now + 10_000), lambda: self._tick(me, start_count))
 
     def _run_tick(self, me: int) -> None:
         member = self.members[me]
@@ -138,21 +138,21 @@
         """Return the state machines of the running members."""
         return [member for member in self.members if member is not None]
 
-    def settled(self) -> bool:
+    def is_converged(self) -> bool:
         """Return whether the alive members in each view are exactly the running ones."""
         numbers = self.running
         return all(member.live_numbers == numbers for member in self.views())
 
-    def until_settled(self, timeout_s: float) -> float:
+    def run_until_converged(self, timeout_s: float) -> float:
         """Run until all views are correct; return the seconds that it took, or infinity on timeout."""
         start = self.now
         end = self.now + int(timeout_s * SECOND)
         while self.now < end:
-            if self.settled():
+            if self.is_converged():
                 return (self.now - start) / SECOND
-            self.agenda.until(self.now + 50_000)
+            self.event_queue.until(self.now + 50_000)
         return float("inf")
 
     def run(self, seconds: float) -> None:
         """Run the simulation for some seconds."""
-        self.agenda.until(self.now + int(seconds * SECOND))
+        self.event_queue.until(self.now + int(seconds * SECOND))
--- a/slipbay/emulator/network.py
+++ b/slipbay/emulator/network.py
@@ -14,14 +14,14 @@
 class LinkConditions:
     """Delay, loss and duplication of all links.
 
-    ``loss`` and ``double`` (duplication) are fractions of all messages. Each message has a random delay
+    ``loss`` and ``duplication`` are fractions of all messages. Each message has a random delay
     between the two bounds in us, so messages can arrive out of order.
     """
 
-    least_us: int = 2_000
-    most_us: int = 25_000
+    min_delay_us: int = 2_000
+    max_delay_us: int = 25_000
     loss: float = 0.0
-    double: float = 0.0
+    duplication: float = 0.0
 
 
 class Network:
@@ -29,15 +29,15 @@
 
     def __init__(
         self,
-        agenda: EventQueue,
+        event_queue: EventQueue,
         random: Random,
         deliver: Callable[[int, int, bytes], None],
-        weather: LinkConditions | None = None,
+        conditions: LinkConditions | None = None,
     ) -> None:
-        self.agenda = agenda
+        self.event_queue = event_queue
         self.random = random
         self.deliver = deliver
-        self.weather = weather or LinkConditions()
+        self.conditions = conditions or LinkConditions()
         self.cuts: set[tuple[int, int]] = set()  # pairs of sender and receiver whose messages are dropped
         self.bytes_from: Counter[int] = Counter()
         self.messages = 0
@@ -59,9 +59,11 @@
         """Send a datagram, which may be dropped, delayed or duplicated."""
         self.messages += 1
         self.bytes_from[source] += len(data)
-        weather = self.weather
-        if (source, target) in self.cuts or self.random.random() < weather.loss:
+        conditions = self.conditions
+        if (source, target) in self.cuts or self.random.random() < conditions.loss:
             return
-        for _ in range(1 + (weather.double > 0 and self.random.random() < weather.double)):
-            delay_us = weather.least_us + int(self.random.random() * (weather.most_us - weather.least_us))
-            self.agenda.at(self.agenda.now + delay_us, lambda: self.deliver(target, source, data))
+        for _ in range(1 + (conditions.duplication > 0 and self.random.random() < conditions.duplication)):
+            delay_us = conditions.min_delay_us + int(
+                self.random.random() * (conditions.max_delay_us - conditions.min_delay_us)
+            )
+            self.event_queue.at(self.event_queue.now + delay_us, lambda: self.deliver(target, source, data))
--- a/slipbay/emulator/quota.py
+++ b/slipbay/emulator/quota.py
@@ -73,7 +73,7 @@
             if len(found) >= least
         }
 
-    def apart(self, since: int, until: int, least: int = 200) -> tuple[float, float]:
+    def rate_spread(self, since: int, until: int, least: int = 200) -> tuple[float, float]:
         """Return the spread of the admitted fractions of routers, and the spread expected by chance.
 
         The latter is the mean over normal draws with the binomial variance of the counts, as if each request
@@ -108,7 +108,7 @@
         demands: dict[str, Sequence[float]],
         seed: int = 1,
         *,
-        weather: LinkConditions | None = None,
+        conditions: LinkConditions | None = None,
         drift_ppm: int = 500,
         news: int = 0,
         make: Callable[[int, int, QuotaPlan, Random, int], BorrowingStateMachine] = BorrowingStateMachine,
@@ -117,9 +117,9 @@
         self.plans = [plan] * size
         self._make = make
         self.news = news
-        self.routers = self._build(seed, weather, drift_ppm)
+        self.routers = self._build(seed, conditions, drift_ppm)
         self.random = Random(seed)
-        self.asked = {name: RequestLog() for name in demands}
+        self.request_logs = {name: RequestLog() for name in demands}
         self.routers.start()
         for name in demands:
             for me in range(size):
@@ -127,12 +127,12 @@
         if news:
             self._send_other_kinds()
 
-    def _build(self, seed: int, weather: LinkConditions | None, drift_ppm: int) -> ChannelFleet:
+    def _build(self, seed: int, conditions: LinkConditions | None, drift_ppm: int) -> ChannelFleet:
         return ChannelFleet(
             self.size,
             self._parties,
             seed,
-            weather=weather,
+            conditions=conditions,
             drift_ppm=drift_ppm,
             parts=CHANNEL_SHARES if self.news else None,
         )
@@ -155,7 +155,7 @@
 
     def machine(self, me: int) -> BorrowingStateMachine | None:
         """Return the quota state machine of a router; None if the router does not run."""
-        endpoint = self.routers.party(me, FrameKind.QUOTA)
+        endpoint = self.routers.endpoint(me, FrameKind.QUOTA)
         assert endpoint is None or isinstance(endpoint, BorrowingStateMachine)
         return endpoint
 
@@ -189,7 +189,7 @@
                     room = min(size, mux.available_bytes(now, kind))
                     if room >= MIN_FILL_BYTES and mux.spend_unframed(now, kind, room):
                         self.routers.sent(me, room)
-        self.routers.agenda.at(self.now + FILL_INTERVAL_US, self._send_other_kinds)
+        self.routers.event_queue.at(self.now + FILL_INTERVAL_US, self._send_other_kinds)
 
     def run(self, seconds: float) -> None:
         """Run the simulation for some seconds."""
@@ -198,7 +198,7 @@
     def _schedule_request(self, name: str, me: int) -> None:
         rate = self.demands[name][me]
         wait = self.random.expovariate(rate) if rate > 0 else 0.2
-        self.routers.agenda.at(
+        self.routers.event_queue.at(
             self.now + max(1, int(wait * SECOND)), lambda: self._send_request(name, me, rate > 0)
         )
 
@@ -213,7 +213,7 @@
             if is_admitted:
                 account.record_admission(None)
                 account.open -= 1
-            self.asked[name].log.append((self.now, me, is_admitted))
+            self.request_logs[name].log.append((self.now, me, is_admitted))
 
 
 def zipf(size: int, total: float, exponent: float = 1.0) -> list[float]:
--- a/slipbay/emulator/restart_model.py
+++ b/slipbay/emulator/restart_model.py
@@ -30,13 +30,13 @@
 
 
 @dataclass
-class Seen:
+class Observations:
     """Counts of what clients and engines observed, by intervals of 100 ms.
 
     A request counts in the interval in which its client first sent it.
     """
 
-    asked: Counter[int] = field(default_factory=Counter)
+    requests: Counter[int] = field(default_factory=Counter)
     good: Counter[int] = field(default_factory=Counter)
     sends: Counter[int] = field(default_factory=Counter)
     connects: Counter[int] = field(default_factory=Counter)
@@ -44,18 +44,22 @@
     threads: Counter[int] = field(default_factory=Counter)  # maximum on one engine
     warmup_us: list[int] = field(default_factory=list)  # time of incarnations until full service
     bytes: Counter[int] = field(default_factory=Counter)  # bytes sent over the peer channel, by router
-    news: list[int] = field(default_factory=list)  # ages in us of peer estimates when they were adopted
-    stale: int = 0  # number of them above the age that the collector assumed or the maximum age of all fields
-
-    def part(self, since: int, until: int) -> float:
+    report_ages_us: list[int] = field(
+        default_factory=list
+    )  # ages in us of peer estimates when they were adopted
+    stale_reports: int = (
+        0  # number of them above the age that the collector assumed or the maximum age of all fields
+    )
+
+    def served_fraction(self, since: int, until: int) -> float:
         """Return the fraction of the received requests that were served in time."""
         span = range(since // INTERVAL_US, until // INTERVAL_US)
-        return sum(self.good[n] for n in span) / max(1, sum(self.asked[n] for n in span))
+        return sum(self.good[n] for n in span) / max(1, sum(self.requests[n] for n in span))
 
     def full_after(self, ready: int, end: int, least: float) -> float | None:
         """Return the seconds from ``ready`` until a second starts whose served fraction reaches ``least``."""
         for at in range(ready, end - SECOND, INTERVAL_US):
-            if self.part(at, at + SECOND) >= least:
+            if self.served_fraction(at, at + SECOND) >= least:
                 return (at - ready) / SECOND
         return None
 
@@ -107,7 +111,7 @@
         self.disks = disks
         self.plan = plan
         self.perfect = perfect
-        self.seen = Seen()
+        self.observed = Observations()
         self.current_incarnations: list[RouterIncarnation | None] = [None] * routers
         self.original_request: dict[int, int] = {}  # retried request: the request that its client first sent
         self.router_of: dict[int, int] = {}  # request: the router that received it
@@ -127,7 +131,7 @@
 
     def start(self, me: int) -> None:
         """Start a new incarnation of a router, with a warm-up if there is a plan."""
-        number = self.lives[me] + 1
+        number = self.incarnation_numbers[me] + 1
         seed = self.random.randrange(2**60)
         machine = mux = None
         if self.plan is not None:
@@ -155,7 +159,7 @@
                     PeerReport(self.saved_estimates[me], 0, self.now - self.killed_us[me] + SNAPSHOT_US),
                 )
         slot = machine.limits.list_slot() if machine is not None else 0
-        self.seen.calls[(self.now + slot) // INTERVAL_US] += 1
+        self.observed.calls[(self.now + slot) // INTERVAL_US] += 1
         if self.perfect and me in self.saved_estimates:
             self._restore_all_estimates(me)
         if mux is not None:
@@ -180,12 +184,12 @@
         for me in chosen:
             self.kill(me)
         for me in chosen:
-            self.agenda.at(
+            self.event_queue.at(
                 self.now + after_us + self.traffic.randrange(spread_us + 1),
                 lambda me=me: self.start(me),  # type: ignore[misc]
             )
 
-    def renew(self, names: Iterable[bytes]) -> None:
+    def replace_engines(self, names: Iterable[bytes]) -> None:
         """Replace the process of each engine by a cold one.
 
         Its attempts fail, and all running routers are notified.
@@ -195,7 +199,7 @@
             new = EngineModel(self.cores, self.now, self.rule)
             # invalidates the events that are scheduled for the old process
             new.count = old.count
-            new.wanted = old.wanted + 1
+            new.change_number = old.change_number + 1
             self.engines[name] = new
             self.entries[name] = replace(self.entries[name], ready_at_us=self.now)
             self._list(self.entries[name])
@@ -205,7 +209,7 @@
 
     def _restore_all_estimates(self, me: int) -> None:
         """Give a new incarnation all estimates of the one before it."""
-        self._tell(me, self.saved_estimates[me])
+        self._deliver_event(me, self.saved_estimates[me])
         router, (started, charges) = self.routers[me], self.saved_charges[me]
         assert router is not None
         router.uptime.started_us = started
@@ -216,7 +220,7 @@
         router = self.routers[me]
         assert router is not None
         self.first_reported_us.setdefault(
-            (me, self.requesting_router, self.lives[self.requesting_router]), now
+            (me, self.requesting_router, self.incarnation_numbers[self.requesting_router]), now
         )
         return router.estimates(now, GROUPS), sum(
             at > now - self.settings.retry_window_us for at, _ in router.retry_budget().retries
@@ -226,25 +230,25 @@
         current = self.current_incarnations[me]
         assert current is not None and current.machine is not None
         for source in current.machine.collector.sources:
-            age = self.now - self.first_reported_us[source, me, self.lives[me]]
-            self.seen.news.append(age)
-            self.seen.stale += age > current.machine.collector.oldest_report_us or age > max(
+            age = self.now - self.first_reported_us[source, me, self.incarnation_numbers[me]]
+            self.observed.report_ages_us.append(age)
+            self.observed.stale_reports += age > current.machine.collector.oldest_report_us or age > max(
                 astuple(current.machine.plan.ages)
             )
-        self._tell(me, merged.estimates)
+        self._deliver_event(me, merged.estimates)
         if merged.retries:
-            self._tell(me, RetryBudgetRestored((), ((self.now, float(merged.retries)),)))
+            self._deliver_event(me, RetryBudgetRestored((), ((self.now, float(merged.retries)),)))
 
     def _on_phase_change(self, me: int, phase: Phase) -> None:
         current = self.current_incarnations[me]
         if phase is Phase.FULL and current is not None and current.machine is not None:
-            self.seen.warmup_us.append(self.now - current.machine.started_us)
+            self.observed.warmup_us.append(self.now - current.machine.started_us)
 
     # Peer channel
 
     def _tick(self, me: int, incarnation: int) -> None:
         current = self.current_incarnations[me]
-        if current is None or current.mux is None or incarnation != self.lives[me]:
+        if current is None or current.mux is None or incarnation != self.incarnation_numbers[me]:
             return
         self._transmit(me, current.mux.tick(self.now))
         self._schedule_tick(me)
@@ -255,14 +259,14 @@
         due = current.mux.next_tick()
         if due is not None and due != current.due:
             current.due = due
-            incarnation = self.lives[me]
-            self.agenda.at(max(due, self.now + 1_000), lambda: self._tick(me, incarnation))
+            incarnation = self.incarnation_numbers[me]
+            self.event_queue.at(max(due, self.now + 1_000), lambda: self._tick(me, incarnation))
 
     def _transmit(self, me: int, sends: list[Send]) -> None:
         for to, data in sends:
-            self.seen.bytes[me] += len(data)
+            self.observed.bytes[me] += len(data)
             if self.random.random() >= self.loss:
-                self.agenda.at(
+                self.event_queue.at(
                     self.now + self.random.randrange(2_000, 25_000),
                     lambda to=to, data=data: self._receive(me, to, data),  # type: ignore[misc]
                 )
@@ -277,11 +281,15 @@
     def _update_connection_limits(self, me: int, incarnation: int) -> None:
         """Send the decisions their current connection limits."""
         current = self.current_incarnations[me]
-        if current is not None and current.machine is not None and incarnation == self.lives[me]:
+        if (
+            current is not None
+            and current.machine is not None
+            and incarnation == self.incarnation_numbers[me]
+        ):
             new_limits = current.machine.limits.connection_limits(self.now)
-            self._tell(me, new_limits)
+            self._deliver_event(me, new_limits)
             if new_limits.limit_connections:
-                self.agenda.at(
+                self.event_queue.at(
                     self.now + LIMIT_UPDATE_US, lambda: self._update_connection_limits(me, incarnation)
                 )
 
@@ -292,17 +300,17 @@
         if any(router is not None for router in self.routers):
             super().ask(kind)
 
-    def _tell(self, me: int, event: Event) -> None:
+    def _deliver_event(self, me: int, event: Event) -> None:
         if isinstance(event, QueryArrived):
             self.router_of[event.query] = me
-            self.seen.asked[self.now // INTERVAL_US] += event.query not in self.original_request
+            self.observed.requests[self.now // INTERVAL_US] += event.query not in self.original_request
             wait = self._retry_delay(me, event)
             if wait is not None:
                 self._schedule_retry(event.query, wait)
                 return
         if self.perfect:
             self._set_actual_threads(me)
-        super()._tell(me, event)
+        super()._deliver_event(me, event)
 
     def _set_actual_threads(self, me: int) -> None:
         router = self.routers[me]
@@ -336,21 +344,21 @@
 
     def _schedule_retry(self, query: int, wait: int) -> None:
         """Have the client retry after ``wait`` us at any router, as a new request."""
-        kind, work, since = self.asked[query]
+        kind, work, since = self.requests[query]
         original_request = self.original_request.get(query, query)
         self.retries[original_request] += 1
         if self.retries[original_request] > MAX_RETRIES:
             super()._refused(query)
             return
-        retry = len(self.asked) + 1
-        self.asked[retry], self.original_request[retry] = (kind, work, since), original_request
-        self.agenda.at(self.now + wait, lambda: self._retry(retry))
+        retry = len(self.requests) + 1
+        self.requests[retry], self.original_request[retry] = (kind, work, since), original_request
+        self.event_queue.at(self.now + wait, lambda: self._retry(retry))
 
     def _retry(self, query: int) -> None:
         running = [me for me, router in enumerate(self.routers) if router is not None]
-        kind, work, _ = self.asked[query]
+        kind, work, _ = self.requests[query]
         if running:
-            self._tell(
+            self._deliver_event(
                 self.random.choice(running),
                 QueryArrived(
                     query, kind, self.mix[kind].spec.deadline_us, int(work), group=float(query % 17)
@@ -366,7 +374,9 @@
             if outcome is Outcome.OK:
                 current.open.pop(query, None)
         super()._end(me, query, attempt, outcome)
-        self.seen.good[self.asked[query][2] // INTERVAL_US] += sum(self.account.good.values()) - good_before
+        self.observed.good[self.requests[query][2] // INTERVAL_US] += (
+            sum(self.account.good.values()) - good_before
+        )
 
     # Connections
 
@@ -376,8 +386,10 @@
         if current.idle[name]:
             current.idle[name] -= 1
         else:
-            self.seen.connects[self.now // INTERVAL_US] += 1
-        self.seen.sends[self.now // INTERVAL_US] += 1
+            self.observed.connects[self.now // INTERVAL_US] += 1
+        self.observed.sends[self.now // INTERVAL_US] += 1
         super()._dispatch(me, query, name)
         threads = self.engines[name].threads
-        self.seen.threads[self.now // INTERVAL_US] = max(self.seen.threads[self.now // INTERVAL_US], threads)
+        self.observed.threads[self.now // INTERVAL_US] = max(
+            self.observed.threads[self.now // INTERVAL_US], threads
+        )
--- a/tests/cold_starts.py
+++ b/tests/cold_starts.py
@@ -117,10 +117,10 @@
 
     # Engines
 
-    def add_engine(self, born: int) -> bytes:
-        name = super().add_engine(born)
-        if born:
-            self.starts[name] = Start(name, born, self.cores)
+    def add_engine(self, started_us: int) -> bytes:
+        name = super().add_engine(started_us)
+        if started_us:
+            self.starts[name] = Start(name, started_us, self.cores)
         return name
 
     def stop_engine(self, name: bytes) -> None:
@@ -141,7 +141,7 @@
         new = EngineModel(self.cores, self.now, self.rule)
         # discard the pending events of the old process
         new.count = old.count
-        new.wanted = old.wanted + 1
+        new.change_number = old.change_number + 1
         self.engines[name] = new
         self.entries[name] = replace(self.entries[name], ready_at_us=self.now)
         self._list(self.entries[name])
@@ -149,28 +149,28 @@
     def send_full_lists(self) -> None:
         """Send the full list to each router now."""
         for me in range(len(self.routers)):
-            self._tell(me, EngineList(ListKind.FULL, tuple(self.entries.values())))
+            self._deliver_event(me, EngineList(ListKind.FULL, tuple(self.entries.values())))
 
     def _list(self, entry: EngineEntry) -> None:
         for me in range(len(self.routers)):
             delta = EngineList(ListKind.DELTA, (entry,))
             if self.lag_us[me]:
-                run = self.lives[me]
-                self.agenda.at(
+                run = self.incarnation_numbers[me]
+                self.event_queue.at(
                     self.now + self.lag_us[me],
                     lambda me=me, run=run, delta=delta: self._receive_list(me, run, delta),  # type: ignore[misc]
                 )
             else:
-                self._tell(me, delta)
+                self._deliver_event(me, delta)
 
     def _receive_list(self, me: int, run: int, delta: EngineList) -> None:
-        if run == self.lives[me]:  # a restarted router started with a newer list
-            self._tell(me, delta)
+        if run == self.incarnation_numbers[me]:  # a restarted router started with a newer list
+            self._deliver_event(me, delta)
 
-    def _tell(self, me: int, event: Event) -> None:
+    def _deliver_event(self, me: int, event: Event) -> None:
         if isinstance(event, EngineList):
             self.notified_starts |= {(me, entry.engine, entry.ready_at_us) for entry in event.entries}
-        super()._tell(me, event)
+        super()._deliver_event(me, event)
 
     # Between routers
 
@@ -187,12 +187,12 @@
             attempt = self.sent[me, query]
             self.sent[me, query] += 1
             event = AttemptEnded(query, attempt, name, Outcome.CONNECT_FAILED)
-            self.agenda.at(self.now + REFUSED_US, lambda: self._tell(me, event))
+            self.event_queue.at(self.now + REFUSED_US, lambda: self._deliver_event(me, event))
             return
         super()._dispatch(me, query, name)
         start = self.starts.get(name)
         if start is not None and self.now < start.started_at + self.rule.ramp_us:
-            units = self.mix[self.asked[query][0]].work_us / self.checker.mean_work_us
+            units = self.mix[self.requests[query][0]].work_us / self.checker.mean_work_us
             start.arrivals.append(
                 Arrival(self.now, units, me, (me, name, start.started_at) in self.notified_starts)
             )
--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -429,7 +429,7 @@
 
 def simulate_membership() -> Recorder:
     """One router crashes, one leaves, one starts; messages are lost and duplicated."""
-    model = MembershipModel(7, 3, weather=LinkConditions(loss=0.1, double=0.1), zones=2, key=KEY)
+    model = MembershipModel(7, 3, conditions=LinkConditions(loss=0.1, duplication=0.1), zones=2, key=KEY)
     recorder = Recorder(model.network)
     model.run(2.0)
     model.kill([2])
@@ -446,7 +446,7 @@
         "fuel": [40.0, 10.0, 5.0, 0.0, 0.0, 1.0],
         "air": [0.0, 0.0, 9.0, 1.0, 0.0, 0.0],
     }
-    fleet_model = QuotaFleet(6, quota_plan(), demands, 5, weather=LinkConditions(loss=0.05))
+    fleet_model = QuotaFleet(6, quota_plan(), demands, 5, conditions=LinkConditions(loss=0.05))
     recorder = Recorder(fleet_model.routers.network)
     fleet_model.run(4.0)
     fleet_model.routers.kill([0])
@@ -467,14 +467,14 @@
             interfaces.FrameKind.LIVES: witnesses.StoreWitnesses(me, size, incarnation, now),
         }
 
-    routers = ChannelFleet(size, endpoints, 9, weather=LinkConditions(loss=0.05), key=KEY)
+    routers = ChannelFleet(size, endpoints, 9, conditions=LinkConditions(loss=0.05), key=KEY)
     recorder = Recorder(routers.network)
     routers.start()
     routers.run(3.0)
     for me in range(size):
-        endpoint = routers.party(me, interfaces.FrameKind.LIVES)
+        endpoint = routers.endpoint(me, interfaces.FrameKind.LIVES)
         assert isinstance(endpoint, witnesses.StoreWitnesses)
-        routers.say(me, interfaces.FrameKind.LIVES, endpoint.begin(Random(me).randbytes(16), me + 1))
+        routers.send(me, interfaces.FrameKind.LIVES, endpoint.begin(Random(me).randbytes(16), me + 1))
     routers.run(9.0)
     routers.kill([1])
     routers.start([1])
--- a/tests/contracts/test_channel_contract.py
+++ b/tests/contracts/test_channel_contract.py
@@ -94,12 +94,12 @@
     def __init__(self) -> None:
         self.routers = ChannelFleet(SIZE, lambda me, life, now: make_endpoints(), key=KEY)
         old = self.routers.network
-        self.routers.network = self.network(old.agenda, old.random, old.deliver)
+        self.routers.network = self.network(old.event_queue, old.random, old.deliver)
         self.routers.start()
         self.mux = [cast(Multiplexer, mux) for mux in self.routers.muxes]
 
     def send_message(self, me: int, to: int, body: bytes) -> None:
-        self.routers.say(me, FrameKind.QUOTA, [(to, body)])
+        self.routers.send(me, FrameKind.QUOTA, [(to, body)])
 
     def send_raw(self, me: int, to: int, data: bytes) -> None:
         self.routers.network.send(me, to, data)
@@ -108,8 +108,8 @@
         self.routers.network.send(99, to, data)
 
     def set_faults(self, loss: float, double: float) -> None:
-        self.routers.network.weather.loss = loss
-        self.routers.network.weather.double = double
+        self.routers.network.conditions.loss = loss
+        self.routers.network.conditions.duplication = double
 
     def cut(self, me: int, to: int) -> None:
         self.routers.network.cut([me], [to], both=False)
--- a/tests/exchange_models.py
+++ b/tests/exchange_models.py
@@ -621,12 +621,12 @@
 
     def act(self, action: Action) -> None:
         self.actions = [action]
-        self.tier._tell(0, TimerFired(0))
+        self.tier._deliver_event(0, TimerFired(0))
 
     def dispatch(self) -> None:
         """Dispatch a query. The first is the attempt under test; each further one slows it down."""
-        query = len(self.tier.asked) + 1
-        self.tier.asked[query] = 0, 50_000.0, self.tier.now
+        query = len(self.tier.requests) + 1
+        self.tier.requests[query] = 0, 50_000.0, self.tier.now
         self.act(Dispatch(query, self.engine_name))
         self.sent = self.tier.sent[0, 1]
 
--- a/tests/quota_histories.py
+++ b/tests/quota_histories.py
@@ -73,7 +73,7 @@
                 routers.stop(router)
         case "go on":
             for router in list(routers.stopped):
-                routers.go_on(router)
+                routers.resume(router)
         case "leap":
             for router in chosen:
                 if fleet.now - jumped_at_us.get(router, 0) > 1_800_000:  # at most one jump per lease
@@ -81,7 +81,7 @@
                     routers.jump(router, CLOCKS.jump_us)
         case "weather":
             latency_us = random.choice([20_000, 100_000, 800_000])
-            routers.network.weather = LinkConditions(
+            routers.network.conditions = LinkConditions(
                 2_000, latency_us, random.choice([0.0, 0.1, 0.3]), random.choice([0.0, 0.3])
             )
         case "demand":
@@ -111,7 +111,7 @@
                 if machine is not None:
                     machine.set_running_routers(fleet.routers.clock(router), random.randint(1, size))
         fleet.run(random.choice([0.05, 0.3, 1.0, 2.5, 4.0]))
-    worst = worst_burst(fleet.asked["q"].admitted(), quota.rate * quota.soft)
+    worst = worst_burst(fleet.request_logs["q"].admitted(), quota.rate * quota.soft)
     return fleet, worst, quota.burst * quota.soft + excess(plan, quota, size)
 
 
@@ -134,7 +134,7 @@
         fleet.run(random.uniform(0.05, 0.5))
     since = fleet.now
     fleet.run(4)
-    admitted = fleet.asked["q"].admitted
+    admitted = fleet.request_logs["q"].admitted
     return (
         worst_burst(admitted(), RATE),
         BURST + excess(old, old.quotas[0], size),
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -178,7 +178,7 @@
     routers = ChannelFleet(4, make, drift_ppm=500, key=KEY)
     routers.start()
     routers.run(0.5)
-    received = [cast(Echo, routers.party(me, FrameKind.QUOTA)).received for me in range(4)]
+    received = [cast(Echo, routers.endpoint(me, FrameKind.QUOTA)).received for me in range(4)]
     assert [sorted(router_messages) for router_messages in received] == [
         [(n, bytes([n])) for n in range(4) if n != me] for me in range(4)
     ]
@@ -189,7 +189,7 @@
         messages.clear()
     routers.run(1.0)
     assert received[0] == received[1] == received[2] == []
-    routers.go_on(2)
+    routers.resume(2)
     assert sorted(received[2]) == [(0, b"\0"), (1, b"\1")]
 
 
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -280,14 +280,16 @@
     fleet = RestartModel(12, 8, seed=seed, plan=WarmupPlan() if enabled else None, disks=enabled)
     killed_at = fleet.now + 15 * SECOND
     restarted_at = killed_at + 3 * SECOND // 10
-    fleet.agenda.at(killed_at - SECOND, lambda: fleet.renew(sorted(fleet.engines)[::2]))
-    fleet.agenda.at(killed_at, lambda: fleet.restart(range(12), restarted_at - killed_at, SECOND // 2))
+    fleet.event_queue.at(killed_at - SECOND, lambda: fleet.replace_engines(sorted(fleet.engines)[::2]))
+    fleet.event_queue.at(killed_at, lambda: fleet.restart(range(12), restarted_at - killed_at, SECOND // 2))
     fleet.load(19, 0.9)
     fleet.until(fleet.now + 4 * SECOND)
-    assert max(engine.worst_push for engine in fleet.engines.values()) < 1  # no engine fails under the load
+    assert (
+        max(engine.max_start_budget_use for engine in fleet.engines.values()) < 1
+    )  # no engine fails under the load
     return (
-        fleet.seen.part(restarted_at, restarted_at + 3 * SECOND),
-        fleet.seen.peaks(restarted_at, restarted_at + 3 * SECOND)["connects"],
+        fleet.observed.served_fraction(restarted_at, restarted_at + 3 * SECOND),
+        fleet.observed.peaks(restarted_at, restarted_at + 3 * SECOND)["connects"],
     )
 
 
@@ -301,10 +303,10 @@
 
 def test_estimates_are_no_older_than_counted_when_seven_in_ten_restart() -> None:
     fleet = RestartModel(20, 12, seed=2, plan=WarmupPlan(), loss=0.2)
-    fleet.agenda.at(fleet.now + 4 * SECOND, lambda: fleet.restart(range(14), 200_000, SECOND // 2))
+    fleet.event_queue.at(fleet.now + 4 * SECOND, lambda: fleet.restart(range(14), 200_000, SECOND // 2))
     fleet.load(6, 0.5)
-    assert len(fleet.seen.news) > 14
-    assert not fleet.seen.stale
+    assert len(fleet.observed.report_ages_us) > 14
+    assert not fleet.observed.stale_reports
 
 
 def controller() -> Controller:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -30,7 +30,7 @@
 from slipbay.policy.gossip_codec import HEAD as DECISIONS_HEAD
 from slipbay.policy.gossip_codec import ITEM as DECISIONS_ITEM
 
-LOSSY = LinkConditions(loss=0.1, double=0.05)
+LOSSY = LinkConditions(loss=0.1, duplication=0.05)
 BYTE = st.integers(0, 255)
 SHORT = st.integers(0, 2**16 - 1)
 LONG = st.integers(0, 2**32 - 1)
@@ -117,24 +117,24 @@
 
 @pytest.mark.parametrize(("size", "seed"), [(3, 1), (24, 1), (24, 2), (60, 3)])
 def test_all_declare_a_killed_router_gone_within_3_s_and_no_running_one(size: int, seed: int) -> None:
-    fleet = MembershipModel(size, seed, weather=LOSSY)
+    fleet = MembershipModel(size, seed, conditions=LOSSY)
     fleet.run(20)
-    assert fleet.settled()
+    assert fleet.is_converged()
     fleet.kill([size // 2])
     fleet.run(3)
-    assert fleet.settled()
+    assert fleet.is_converged()
     fleet.start(size // 2)
-    assert fleet.until_settled(5) <= 5
+    assert fleet.run_until_converged(5) <= 5
 
 
 def test_seven_in_ten_routers_are_killed_and_restarted() -> None:
-    fleet = MembershipModel(24, 4, weather=LOSSY)
+    fleet = MembershipModel(24, 4, conditions=LOSSY)
     fleet.run(3)
     fleet.kill(range(17))
-    assert fleet.until_settled(5) <= 5
+    assert fleet.run_until_converged(5) <= 5
     for me in range(17):
         fleet.start(me)
-    assert fleet.until_settled(5) <= 5
+    assert fleet.run_until_converged(5) <= 5
 
 
 @pytest.mark.parametrize("sends_gossip", [True, False])
@@ -154,7 +154,7 @@
 
 
 def test_a_partition_by_zone_heals_and_each_side_has_its_own_members_alive() -> None:
-    fleet = MembershipModel(16, 5, weather=LOSSY, zones=2)
+    fleet = MembershipModel(16, 5, conditions=LOSSY, zones=2)
     even = range(0, 16, 2)
     odd = range(1, 16, 2)
     fleet.run(3)
@@ -163,39 +163,39 @@
     for view in fleet.views():
         assert view.live_numbers == list(even if view.local_number % 2 == 0 else odd)
     fleet.network.heal()
-    assert fleet.until_settled(5) <= 5
+    assert fleet.run_until_converged(5) <= 5
 
 
 def test_a_suspended_router_accuses_no_other_and_rejoins_at_once() -> None:
-    fleet = MembershipModel(24, 6, weather=LOSSY)
+    fleet = MembershipModel(24, 6, conditions=LOSSY)
     fleet.run(5)
     fleet.stop(7)
     fleet.run(5)
     assert all(view.table.state(7) is MemberState.GONE for view in fleet.views() if view.local_number != 7)
-    fleet.go_on(7)
+    fleet.resume(7)
     stopped = fleet.members[7]
     assert stopped is not None
     assert len(stopped.live_numbers) == 24
-    assert fleet.until_settled(5) <= 5
+    assert fleet.run_until_converged(5) <= 5
 
 
 def test_indirect_probes_bridge_a_link_that_fails_in_one_direction() -> None:
-    fleet = MembershipModel(12, 7, weather=LOSSY)
+    fleet = MembershipModel(12, 7, conditions=LOSSY)
     fleet.run(2)
     fleet.network.cut([0], [1], both=False)
     fleet.run(20)
-    assert fleet.settled()
+    assert fleet.is_converged()
 
 
 def test_a_router_that_announces_its_shutdown_is_left() -> None:
-    fleet = MembershipModel(12, 8, weather=LOSSY)
+    fleet = MembershipModel(12, 8, conditions=LOSSY)
     fleet.run(2)
     fleet.leave(3)
     fleet.run(0.7)
     assert (
         sum(view.table.state(3) is MemberState.LEFT for view in fleet.views() if view.local_number != 3) >= 10
     )
-    assert fleet.until_settled(5) <= 5
+    assert fleet.run_until_converged(5) <= 5
 
 
 def test_late_datagrams_of_an_earlier_process_do_not_revive_it() -> None:
@@ -218,14 +218,14 @@
         fleet._deliver(0, 2, data)
     assert fleet.views()[0].table.state(2) is MemberState.GONE
     fleet.start(2)
-    assert fleet.until_settled(5) <= 5
+    assert fleet.run_until_converged(5) <= 5
     new = fleet.members[2]
     assert new is not None
     for data in old:
         fleet._deliver(0, 2, data)
     assert fleet.views()[0].table.members[2].start_id == new.start_id
     fleet.run(3)
-    assert fleet.settled()
+    assert fleet.is_converged()
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -233,7 +233,7 @@
     """Random histories of kills, restarts, suspensions and partitions."""
     random = Random(seed)
     size = 10
-    fleet = MembershipModel(size, seed, weather=LinkConditions(loss=0.2, double=0.1))
+    fleet = MembershipModel(size, seed, conditions=LinkConditions(loss=0.2, duplication=0.1))
     for _ in range(25):
         before = dict(fleet.network.bytes_from)
         match random.randrange(5):
@@ -250,13 +250,13 @@
             case _:
                 fleet.network.heal()
                 for me in list(fleet.stopped):
-                    fleet.go_on(me)
+                    fleet.resume(me)
         fleet.run(1)
         assert all(sent - before.get(me, 0) <= 1_000 for me, sent in fleet.network.bytes_from.items())
     fleet.network.heal()
     for me in list(fleet.stopped):
-        fleet.go_on(me)
-    assert fleet.until_settled(10) <= 10
+        fleet.resume(me)
+    assert fleet.run_until_converged(10) <= 10
     assert all(
         len(view.table.members) <= size and len(view.updates.pending) <= size for view in fleet.views()
     )
@@ -291,7 +291,7 @@
 
 def test_equal_seeds_give_equal_bytes() -> None:
     def run_fleet() -> tuple[int, dict[int, int]]:
-        fleet = MembershipModel(12, 11, weather=LOSSY)
+        fleet = MembershipModel(12, 11, conditions=LOSSY)
         fleet.run(3)
         fleet.kill([4])
         fleet.run(3)
--- a/tests/test_witnesses.py
+++ b/tests/test_witnesses.py
@@ -48,10 +48,12 @@
 class Scenario:
     """Router 0 is restarted repeatedly; its store is modelled as the set of requests that it records."""
 
-    def __init__(self, seed: int, witness_type: type[StoreWitnesses], weather: LinkConditions | None) -> None:
+    def __init__(
+        self, seed: int, witness_type: type[StoreWitnesses], conditions: LinkConditions | None
+    ) -> None:
         self.random = Random(seed)
         self.witness_type = witness_type
-        self.routers = ChannelFleet(SIZE, self._make, seed, weather=weather)
+        self.routers = ChannelFleet(SIZE, self._make, seed, conditions=conditions)
         self.identity: StoreIdentity | None = None
         self.stored = set[int]()
         self.sequence = 0
@@ -70,7 +72,7 @@
         routers = self.routers
         routers.network.heal()
         routers.start([0])
-        witnesses = cast(StoreWitnesses, routers.party(0, FrameKind.LIVES))
+        witnesses = cast(StoreWitnesses, routers.endpoint(0, FrameKind.LIVES))
         for _ in range(10):
             if not witnesses.is_decided:
                 routers.run(0.1)
@@ -86,7 +88,7 @@
             routers.network.cut([0], range(1, SIZE))
         self.identity = store_generation.next_identity(self.identity, status, 0, self.random.randbytes(16))
         self.sequence += 1
-        routers.say(0, FrameKind.LIVES, witnesses.begin(self.identity.store_id, self.identity.generation))
+        routers.send(0, FrameKind.LIVES, witnesses.begin(self.identity.store_id, self.identity.generation))
         for _ in range(self.random.randrange(6)):
             routers.run(self.random.choice((0.0, 0.5)) * self.random.random())
             if witnesses.is_open:
@@ -99,7 +101,7 @@
         if settle:
             routers.run(1.5)
         if closes:
-            routers.say(0, FrameKind.LIVES, witnesses.close(self.sequence))
+            routers.send(0, FrameKind.LIVES, witnesses.close(self.sequence))
         routers.run(self.random.random() * 0.01)
         routers.kill([0])
 
@@ -120,7 +122,9 @@
     """Run scenarios until one violates the rule; returns how many stores were current, and the requests."""
     current = requests = 0
     for seed in range(scenarios):
-        scenario = Scenario(seed, witness_type, LinkConditions(most_us=300_000, loss=0.2, double=0.2))
+        scenario = Scenario(
+            seed, witness_type, LinkConditions(max_delay_us=300_000, loss=0.2, duplication=0.2)
+        )
         scenario.routers.start(range(1, SIZE))
         for _ in range(12):
             scenario.step()
@@ -184,7 +188,7 @@
         parts={FrameKind.LIVES: 0.083, FrameKind.VIEW: 0.9},
     )
     routers.start()
-    found = [cast(StoreWitnesses, routers.party(me, FrameKind.LIVES)) for me in range(SIZE)]
+    found = [cast(StoreWitnesses, routers.endpoint(me, FrameKind.LIVES)) for me in range(SIZE)]
     for witnesses, mux in zip(found, routers.muxes, strict=True):
         assert mux is not None
         mux.drop_handlers[FrameKind.LIVES] = witnesses.unsent
@@ -194,7 +198,7 @@
         for me, witnesses in enumerate(found):
             if witnesses.is_decided and me not in begun:
                 begun.add(me)
-                routers.say(me, FrameKind.LIVES, witnesses.begin(bytes([me]) * 8, 1))
+                routers.send(me, FrameKind.LIVES, witnesses.begin(bytes([me]) * 8, 1))
     assert min_s < elapsed_s < max_s
 
 
