--- a/slipbay/backends/http.py
+++ b/slipbay/backends/http.py
@@ -39,7 +39,7 @@
         self._config = config
         self.timers = timers
         self.now = now
-        self.exact = now  # the current time, which may be later than the time of this turn of the loop
+        self.exact_now = now  # the current time, which may be later than the time of this turn of the loop
         self._connector = connector
         self._sockets = sockets
         self.call_soon = connector.loop.call_soon
--- a/slipbay/backends/http_connection.py
+++ b/slipbay/backends/http_connection.py
@@ -77,7 +77,7 @@
 
     def finish_call(self, response: http1.Response) -> None:
         """End the call: release the connection if the response permits reuse, else close it."""
-        if response.keep:
+        if response.keep_alive:
             self.release()
         else:
             self.close()
--- a/slipbay/backends/http_exchange.py
+++ b/slipbay/backends/http_exchange.py
@@ -53,7 +53,7 @@
 
     timers: Timers
     now: Callable[[], int]
-    exact: Callable[[], int]
+    exact_now: Callable[[], int]
     """The current time, which may be later than the time of this turn of the loop."""
     classes: tuple[str, ...]
 
@@ -172,7 +172,7 @@
         connection.call(
             request, lambda response: self._responded(connection, response), self._interrupted, caller=self
         )
-        self._last_call_us = self._backend.exact()  # the process may have been stopped during this turn
+        self._last_call_us = self._backend.exact_now()  # the process may have been stopped during this turn
         if self._check_timer is None or self._page_count:  # pages arrive long before the timer of a poll
             if self._check_timer is not None:
                 self._check_timer.cancel()
@@ -354,7 +354,7 @@
 
     def _poll_next(self, connection: HttpConnection, response: http1.Response) -> None:
         """Send the next poll, on the same connection if it stays open and no data followed the answer."""
-        if response.keep and not connection.is_stale():
+        if response.keep_alive and not connection.is_stale():
             self._poll(connection)
         else:
             connection.close()
--- a/slipbay/router.py
+++ b/slipbay/router.py
@@ -112,7 +112,7 @@
 
     def _make_http_backend(self, sockets: SocketBudget) -> HttpBackend:
         backend = HttpBackend(self.config, self.timers, self.connector, sockets, self.clock.now)
-        backend.exact = self.clock.exact
+        backend.exact_now = self.clock.exact
         self.dispatcher.backends.append(backend)
         return backend
 
--- a/slipbay/wire/http1.py
+++ b/slipbay/wire/http1.py
@@ -35,10 +35,10 @@
     status: int
     headers: dict[str, str]  # names in lower case
     body: bytes
-    keep: bool = True  # the connection can be used for further calls
+    keep_alive: bool = True  # the connection can be used for further calls
 
     def has_same_content(self, other: Response) -> bool:
-        """Whether both have the same status, headers and body; ``keep`` may differ."""
+        """Whether both have the same status, headers and body; ``keep_alive`` may differ."""
         return (self.status, self.headers, self.body) == (other.status, other.headers, other.body)
 
 
@@ -63,19 +63,19 @@
         self._interim_bytes = 0  # bytes of interim responses before the final one
 
     def feed(self, data: bytes) -> Response | None:
-        """The response once it is complete. If further data follows, ``keep`` is false: that data belongs to
-        no call, and would be taken for the response to the next one."""
+        """The response once it is complete. If data follows it, ``keep_alive`` is false: that data belongs
+        to no call, and would be taken for the response to the next one."""
         self._data += data
         if (response := self._parse()) is None:
             return None
-        return replace(response, keep=False) if self._data else response
+        return replace(response, keep_alive=False) if self._data else response
 
     def _parse(self) -> Response | None:
         while self._head is None or self._head[0] < OK:  # after an interim response the final one follows
             self._head = None
             if not self._read_head():
                 return None
-        status, headers, keep = self._head
+        status, headers, keep_alive = self._head
         if status in (NO_CONTENT, NOT_MODIFIED):
             body: bytes | None = b""
         elif "transfer-encoding" in headers:
@@ -86,7 +86,7 @@
             return None
         self._head = None
         self._interim_bytes = 0
-        return Response(status, headers, body, keep)
+        return Response(status, headers, body, keep_alive)
 
     def _read_head(self) -> bool:
         end = self._data.find(b"\r\n\r\n", max(0, self._scanned_bytes - 3))
@@ -116,8 +116,8 @@
                 raise MalformedResponseError("invalid header line")
             headers[name.lower()] = value.strip()
         connection = headers.get("connection", "").lower()
-        keep = connection != "close" if version == "HTTP/1.1" else connection == "keep-alive"
-        self._head = int(status), headers, keep
+        keep_alive = connection != "close" if version == "HTTP/1.1" else connection == "keep-alive"
+        self._head = int(status), headers, keep_alive
         return True
 
     def _read_fixed_length(self, headers: dict[str, str]) -> bytes | None:
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -53,7 +53,7 @@
 
 def test_parsers_return_the_expected_messages() -> None:
     found = [response for one in RESPONSES for response in parse_all(http1.ResponseParser, one, [])]
-    assert [(r.status, r.body, r.keep) for r in found] == [
+    assert [(r.status, r.body, r.keep_alive) for r in found] == [
         (202, b"", True),
         (204, b"", True),
         (200, b"a\tb\tc", False),
