--- a/slipbay/cli/rig.py
+++ b/slipbay/cli/rig.py
@@ -34,20 +34,20 @@
     Exit code 0 if no rule was broken, 1 if one was, 2 for an error in the script.
     """
     from slipbay.rig.report import table
-    from slipbay.rig.runner import play
+    from slipbay.rig.runner import run_scenario
     from slipbay.rig.scenario import read
 
     try:
-        report = play(read(script))
+        report = run_scenario(read(script))
     except ConfigError as problem:
         fail(str(problem))
     for line in report.timeline:
         click.echo(line)
     for what, count in sorted(report.outcomes.items()):
         click.echo(f"{what:<24} {count}")
-    for line in table(report.stretches):
+    for line in table(report.intervals):
         click.echo(line)
-    click.echo(f"most threads on an engine {report.most_threads}, further attempts {report.extras}")
+    click.echo(f"most threads on an engine {report.max_threads}, further attempts {report.extra_attempts}")
     if report.starved > MAX_STARVED_FRACTION:
         click.echo(
             f"the machine kept the rig from running for {report.starved:.0%} of the time; "
--- a/slipbay/policy/queue_bounds.py
+++ b/slipbay/policy/queue_bounds.py
@@ -1,8 +1,8 @@
 """The bound on the queued cost of each class.
 
 Source: "A Predictive-Reactive Method for Improving the Robustness of Real-Time Data Services" (the paper).
-Each second the bound becomes a prediction of the delay (Eq. 8 of the paper) plus a PI correction. Times are
-in microseconds.
+Each second, the bound is set to the queued cost for which the mean delay is predicted to meet its target
+(Eq. 8 of the paper), plus the correction of a PI controller. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -18,10 +18,11 @@
 
 PROPORTIONAL_GAIN = 4.93  # the paper's K_P
 INTEGRAL_GAIN = 5.36  # the paper's K_I
-PLANT_GAIN = 0.0142  # s of delay per unit of backlog in steady state (Eq. 10 of the paper), in local units
+# s of delay per unit of backlog in steady state (Eq. 10 of the paper), in the units of this module
+PLANT_GAIN = 0.0142
 # target for the mean delay, as a share of the objective; at 1, half the answers are late
 OBJECTIVE_SHARE = 0.7
-MAX_QUEUED_QUERIES = 64  # queries; the paper's max-data is this times the largest cost
+MAX_QUEUED_QUERIES = 64  # queries; the paper's max-data is this number times the largest cost
 COST_LIMIT_DECREASE = 0.6  # factor of the cost limit at a reset after rejections of light queries
 COST_LIMIT_INCREASE = 1.15  # factor of the cost limit at other resets
 COST_LIMIT_DIVISOR = 4.0  # the cost limit is never below the mean cost of the class divided by this
@@ -102,8 +103,8 @@
         """
         if not class_state.drain_rate:
             return
-        drained = class_state.finished_cost if class_state.queue else potential_rate
-        rate = class_state.drain_rate + SAMPLE_WEIGHT * (drained - class_state.drain_rate)
+        current_rate = class_state.finished_cost if class_state.queue else potential_rate
+        rate = class_state.drain_rate + SAMPLE_WEIGHT * (current_rate - class_state.drain_rate)
         class_state.drain_rate = max(rate, class_state.mean_cost)
 
     def _update_correction(self, class_state: ClassState) -> None:
@@ -126,8 +127,8 @@
 
     def _correction_limit(self, class_state: ClassState) -> float:
         objective_us = class_state.latency_objective(class_state.mean_cost)
-        drained = class_state.drain_rate / SECOND * objective_us
-        return min(MAX_QUEUED_QUERIES * class_state.largest_cost, drained)
+        drained_cost = class_state.drain_rate / SECOND * objective_us
+        return min(MAX_QUEUED_QUERIES * class_state.largest_cost, drained_cost)
 
     def _update_cost_limit(self, class_state: ClassState) -> None:
         """Lower the cost limit while light queries are rejected; a single rejection is not evidence."""
--- a/slipbay/policy/selection.py
+++ b/slipbay/policy/selection.py
@@ -143,7 +143,7 @@
     def _limit_candidates(
         self, query: Query, allowed: list[Engine], unhealthy: set[Engine], context: _ChoiceContext
     ) -> list[Engine]:
-        """A subset of engines: all routers see the same load reports and would all select the same engine."""
+        """A subset of the engines: with the same load reports, all routers would select the same engine."""
         sampled = self._sample_engines(query, allowed, context.is_under_pressure)
         # capacity below 1: only a few routers may use a cold engine, so it stays a candidate
         return [
@@ -200,27 +200,27 @@
         """
         spec = query.class_state.spec
         router_count = self.engines.router_count
-        # below 1: cold, and the slow start has room
+        # below 1: the engine is cold, and its slow start has room (see ``is_allowed``)
         capacity = engine.capacity(context.now_us, self.settings)
         threads = context.threads_on(engine)
-        room = THREADS_PER_CORE * engine.cores * self._relative_speed(engine, capacity)
+        max_threads = THREADS_PER_CORE * engine.cores * self._relative_speed(engine, capacity)
         if not context.has_peer_loads:
-            room /= router_count
-        is_at_capacity = threads >= room
+            max_threads /= router_count
+        is_at_capacity = threads >= max_threads
         # slow start limits cold engines already
         if not is_at_capacity and context.has_peer_loads and capacity == 1:
             added_threads = engine.threads - engine.threads_at_report + spec.threads
-            free = (room - engine.peer_threads - engine.threads_at_report) / router_count
-            is_at_capacity = added_threads > free + engine.lottery_draw * spec.threads
+            free_share = (max_threads - engine.peer_threads - engine.threads_at_report) / router_count
+            is_at_capacity = added_threads > free_share + engine.lottery_draw * spec.threads
         if not is_at_capacity:
             return False
-        may_exceed = self.priorities.may_exceed_bound and threads < HIGH_PRIORITY_THREAD_FACTOR * room
+        may_exceed = self.priorities.may_exceed_bound and threads < HIGH_PRIORITY_THREAD_FACTOR * max_threads
         return not (
             (context.has_peer_loads or may_exceed) and query.class_state is self.priorities.highest_class()
         )
 
     def _rank(self, query: Query, engine: Engine, health: int, context: _ChoiceContext) -> Rank:
-        """Sort key of the engine for the query, best engine first."""
+        """Sort key; ``health`` is -1 for a probe request, 0 for a healthy engine, 1 for an unhealthy one."""
         spec = query.class_state.spec
         capacity = engine.capacity(context.now_us, self.settings)
         load_conflicts = 0
--- a/slipbay/quota/borrow_requests.py
+++ b/slipbay/quota/borrow_requests.py
@@ -147,10 +147,10 @@
         even_share = self._quotas.even_share
         share = self._demand.local_report(account)[1]
         for lender, held in account.shares.borrowed.items():
-            if held.amount < MIN_BORROWED_FRACTION * even_share or not held.lease.valid(now):
+            if held.amount < MIN_BORROWED_FRACTION * even_share or not held.lease.is_valid(now):
                 continue
             age = now - held.requested_at
-            is_due = now >= held.requested_at + held.lease.length * RENEWAL_FRACTION and age > RETRY_US
+            is_due = now >= held.requested_at + held.lease.length_us * RENEWAL_FRACTION and age > RETRY_US
             returned = min(held.amount, max(0, surplus if is_due else surplus - kept_surplus))
             if (
                 is_due
@@ -263,7 +263,7 @@
             account.advance(now)
             borrowed_share = account.shares.borrowed.get(lender)
             # An amount of 0 is returned again, as an earlier message may be lost.
-            if borrowed_share is not None and borrowed_share.lease.valid(now):
+            if borrowed_share is not None and borrowed_share.lease.is_valid(now):
                 self._choice.avoid(key, lender, now + AVOID_LENDER_US)
                 self._requested_more_at_us.pop(key, None)
                 requests.setdefault(lender, {})[key] = BorrowEntry(key, 0, 0, 0.0, 0.0)
@@ -274,7 +274,7 @@
         requests: Requests = {}
         for key, account in self._quotas.accounts.items():
             for lender, borrowed_share in account.shares.borrowed.items():
-                if borrowed_share.amount and borrowed_share.lease.valid(now):
+                if borrowed_share.amount and borrowed_share.lease.is_valid(now):
                     requests.setdefault(lender, {})[key] = BorrowEntry(key, 0, 0, 0.0, 0.0)
         return requests
 
@@ -323,4 +323,4 @@
 
 
 def _kept_units(now: int, borrowed_share: BorrowedShare | None) -> int:
-    return borrowed_share.amount if borrowed_share is not None and borrowed_share.lease.valid(now) else 0
+    return borrowed_share.amount if borrowed_share is not None and borrowed_share.lease.is_valid(now) else 0
--- a/slipbay/quota/leases/granter.py
+++ b/slipbay/quota/leases/granter.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from slipbay.peer_channel.leases import ClockBounds, GrantedLease, wait_after_start
+from slipbay.peer_channel.leases import ClockBounds, GrantedLease, startup_wait_us
 from slipbay.quota.shares import is_later_tag
 
 NO_ROUTER = 2**16 - 1
@@ -28,7 +28,7 @@
     def __init__(self, clocks: ClockBounds, started_us: int, max_lease_us: int) -> None:
         """``max_lease_us`` is the longest lease that any incarnation of this router may have granted."""
         self.clocks = clocks
-        self.waits_until_us = started_us + wait_after_start(max_lease_us, clocks)
+        self.waits_until_us = started_us + startup_wait_us(max_lease_us, clocks)
         self.records: dict[int, LeaseRecord] = {}
 
     def grant(self, now: int, owner: int, holder: tuple[int, int], tag: int, lease_us: int) -> bool:
@@ -41,7 +41,7 @@
         if record is not None and record.holder == holder and not is_later_tag(tag, record.tag):
             return False
         grant = GrantedLease(now, lease_us)
-        if record is not None and not record.grant.over(now, self.clocks):
+        if record is not None and not record.grant.has_ended(now, self.clocks):
             if record.holder != holder:
                 return False
             grant = max(record.grant, grant, key=self._ends_us)
@@ -49,7 +49,7 @@
         return True
 
     def _ends_us(self, grant: GrantedLease) -> int:
-        return grant.granted + self.clocks.surely(grant.length)
+        return grant.granted_us + self.clocks.safe_wait_us(grant.length_us)
 
     def release(self, owner: int, holder: tuple[int, int], tag: int) -> None:
         """Drop a lease that its holder released. A message older than the holder's latest request is
@@ -71,6 +71,6 @@
         if now < self.waits_until_us:
             return NO_ROUTER, self.waits_until_us - now
         record = self.records.get(owner)
-        if record is None or record.grant.over(now, self.clocks):
+        if record is None or record.grant.has_ended(now, self.clocks):
             return NO_ROUTER, 0
         return record.holder[0], self._ends_us(record.grant) - now
--- a/slipbay/quota/leases/takeover.py
+++ b/slipbay/quota/leases/takeover.py
@@ -95,7 +95,7 @@
         if now < self._takeover_from_us[owner] + delay_us:
             return False
         record = granter.records.get(owner)
-        if record is not None and not record.grant.over(now, granter.clocks):
+        if record is not None and not record.grant.has_ended(now, granter.clocks):
             return False
         silence_us = OWNER_SILENCE_LEASES * lease_us if record is None else lease_us // 4
         return now - self._last_received_us.get(owner, -silence_us) >= silence_us
--- a/slipbay/quota/shares.py
+++ b/slipbay/quota/shares.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from slipbay.peer_channel.leases import ClockBounds, GrantedLease, HeldLease, wait_after_start
+from slipbay.peer_channel.leases import ClockBounds, GrantedLease, HeldLease, startup_wait_us
 
 SHARE_UNITS = 60_000  # share units in a quota
 FOREVER = 2**62
@@ -44,7 +44,9 @@
 
     def outstanding(self, now: int, clocks: ClockBounds) -> int:
         """Return the maximum amount that the borrower may use now."""
-        return max((amount for amount, granted in self.grants if not granted.over(now, clocks)), default=0)
+        return max(
+            (amount for amount, granted in self.grants if not granted.has_ended(now, clocks)), default=0
+        )
 
 
 def base_shares(router_count: int, holders: int, reserve: float, first: int) -> list[int]:
@@ -85,7 +87,7 @@
         self.clocks = clocks
         self.base = base
         self.reserve = reserve
-        self.waits_until_us = started_us + wait_after_start(max_lease_us, clocks)
+        self.waits_until_us = started_us + startup_wait_us(max_lease_us, clocks)
         self.bases: dict[int, BaseShare] = {}  # by owner
         if base > reserve:
             self.bases[SELF] = BaseShare(base - reserve, self.waits_until_us, FOREVER)
@@ -141,18 +143,18 @@
             until_us = min(until_us, self._drop_ended_grants(now))
             usable_units = max(0, usable_units - self.lent_out(now))
         for borrowed_share in self.borrowed.values():
-            if borrowed_share.amount and borrowed_share.lease.valid(now):
+            if borrowed_share.amount and borrowed_share.lease.is_valid(now):
                 usable_units += borrowed_share.amount
-                until_us = min(until_us, borrowed_share.lease.ends)
+                until_us = min(until_us, borrowed_share.lease.ends_us)
         return usable_units, until_us
 
     def _drop_ended_grants(self, now: int) -> int:
         """Drop grants that have ended. Return when the next of the remaining grants ends."""
         until_us = FOREVER
         for lent in self.lent.values():
-            lent.grants = [grant for grant in lent.grants if not grant[1].over(now, self.clocks)]
+            lent.grants = [grant for grant in lent.grants if not grant[1].has_ended(now, self.clocks)]
             for _, granted in lent.grants:
-                until_us = min(until_us, granted.granted + self.clocks.surely(granted.length))
+                until_us = min(until_us, granted.granted_us + self.clocks.safe_wait_us(granted.length_us))
         return until_us
 
     # As a borrower
@@ -164,7 +166,7 @@
         Returns the amount that the request may report as kept.
         """
         borrowed_share = self.borrowed.setdefault(lender, BorrowedShare())
-        borrowed_share.amount = min(borrowed_share.amount, kept) if borrowed_share.lease.valid(now) else 0
+        borrowed_share.amount = min(borrowed_share.amount, kept) if borrowed_share.lease.is_valid(now) else 0
         borrowed_share.tag = tag
         borrowed_share.requested_at = now
         borrowed_share.pending = True
@@ -201,7 +203,7 @@
         lent.grants = [
             (min(amount, kept), granted)
             for amount, granted in lent.grants
-            if not granted.over(now, self.clocks)
+            if not granted.has_ended(now, self.clocks)
         ]
         return True
 
@@ -215,7 +217,7 @@
         Only base shares count that are leased to this router until the borrower's lease has surely ended, and
         none before all shares that an earlier incarnation lent have ended.
         """
-        end = now + self.clocks.surely(lease_us)
+        end = now + self.clocks.safe_wait_us(lease_us)
         lasting = sum(
             base.amount for base in self.bases.values() if base.starts_us <= now and end <= base.ends_us
         )
@@ -225,7 +227,7 @@
         """Return when all lent shares have surely ended."""
         return max(
             (
-                granted.granted + self.clocks.surely(granted.length)
+                granted.granted_us + self.clocks.safe_wait_us(granted.length_us)
                 for lent in self.lent.values()
                 for amount, granted in lent.grants
                 if amount
@@ -240,10 +242,13 @@
         new request, and its borrower ignores the reply.
         """
         for borrower, lent in list(self.lent.items()):
-            if all(granted.over(now, self.clocks) for _, granted in lent.grants):
+            if all(granted.has_ended(now, self.clocks) for _, granted in lent.grants):
                 del self.lent[borrower]
         for lender, borrowed_share in list(self.borrowed.items()):
-            if not borrowed_share.lease.valid(now) and now - borrowed_share.requested_at > REPLY_TIMEOUT_US:
+            if (
+                not borrowed_share.lease.is_valid(now)
+                and now - borrowed_share.requested_at > REPLY_TIMEOUT_US
+            ):
                 del self.borrowed[lender]
 
 
--- a/slipbay/rig/checker.py
+++ b/slipbay/rig/checker.py
@@ -1,4 +1,4 @@
-"""The verdict on a play, from what clients and engines saw."""
+"""Checks the rules of a run by what clients and engines observed."""
 
 from __future__ import annotations
 
@@ -13,95 +13,101 @@
 from slipbay.quota.guarantees import excess
 from slipbay.quota.plan import QuotaPlan
 from slipbay.quota.plan_check import check, check_change
-from slipbay.rig.engines import HOLD_S, UNASKED_S, Book
+from slipbay.rig.engines import LONG_POLL_S, UNREQUESTED_TIMEOUT_S, ExecutionLog
 from slipbay.rig.platform import CLASSES, SURVEY
-from slipbay.rig.report import Wish
+from slipbay.rig.report import ClientRequest
 from slipbay.rig.scenario import Scenario
 from slipbay.scatter_gather.config_schema import ScatterTable
 
 Span = tuple[float, float]
-"""Of a request that was admitted: when its client asked, and when it first ran; it was admitted between."""
+"""When the client sent a request and when an engine first started it: its admission lies between the two."""
 
-GIVEN_UP_S = 1.0  # after an answer, when nobody asks for a part that is not in it
-SETTLE_S = 1.0  # after a router was told of another plan, when it surely goes by it
+ABANDON_GRACE_S = 1.0  # s after an answer, when no router requests a part that is not in it
+PLAN_APPLY_S = 1.0  # s after a router received another plan, when it certainly applies it
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One attempt of a client; times in s from when all routers were up."""
+    """One attempt of a client; times in s from when all routers are ready."""
 
     txn: str
     service_class: str
     tenant: str
     router: int
-    life: int
+    incarnation: int
     asked: float
     ended: float
-    outcome: str  # served, refused, failed, cut: its router died; unreached: it took no connection
-    later_s: float | None = None
-    repeat: bool = False
-    runs: int = 0  # how often engines had begun it when the answer came
+    outcome: str  # served, refused, failed, cut (its router ended) or unreached (no connection was accepted)
+    retry_after_s: float | None = None
+    is_repeat: bool = False
+    runs: int = 0  # how often engines had started it when the answer arrived
     present: tuple[int, ...] = ()  # groups in the answer to a scattered query
 
 
 @dataclass(frozen=True, slots=True)
-class Bound:
-    """What the plan of a quota allows: in any t seconds that begin at ``since`` or later ``most + rate x t``
-    requests."""
+class QuotaBound:
+    """What the plan of a quota allows.
+
+    In any t seconds that begin at ``since`` or later, it admits at most ``max_excess + rate x t`` requests.
+    """
 
     quota: str
-    tenants: tuple[str, ...]  # none: all
+    tenants: tuple[str, ...]  # empty: all
     classes: tuple[str, ...]
     rate: float
-    most: float
+    max_excess: float
     since: float = 0.0
 
-    def worst(self, verdict: Verdict) -> float:
-        """The most by which any window surely passed ``rate x t``."""
-        return worst(
-            [span for span in verdict.spans(self.tenants, self.classes) if span[0] >= self.since], self.rate
+    def measured_excess(self, run_report: RunReport) -> float:
+        """Return the largest proven excess of any window over ``rate x t``."""
+        return max_window_excess(
+            [span for span in run_report.spans(self.tenants, self.classes) if span[0] >= self.since],
+            self.rate,
         )
 
 
 @dataclass
-class Verdict:
-    """What clients and engines saw."""
+class RunReport:
+    """What clients and engines observed in a run, and the rules that were broken."""
 
     timeline: list[str] = field(default_factory=list)
     answers: list[Answer] = field(default_factory=list)
-    wishes: list[Wish] = field(default_factory=list)
+    client_requests: list[ClientRequest] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
-    stretches: list[dict[str, Any]] = field(default_factory=list)  # see report.stretches
-    seconds: list[dict[str, Any]] = field(default_factory=list)  # service by second, class and tenant
-    most_threads: int = 0
-    extras: int = 0
-    settled_s: float | None = None  # how long views took to be right after the load
-    starved: float = 0.0  # part of the load's time in which the machine kept the rig from running
-    book: Book = field(default_factory=Book)
-    began: float = 0.0  # when all routers were up, by the book's clock
-    quotas: list[dict[str, Any]] = field(default_factory=list)  # bounds, and the worst window of each
-    survey: ScatterTable | None = None  # how queries were scattered
-    fullest: int = 0  # bytes that any life of a router sent in any second
+    intervals: list[dict[str, Any]] = field(default_factory=list)  # see report.intervals
+    seconds: list[dict[str, Any]] = field(default_factory=list)
+    max_threads: int = 0
+    extra_attempts: int = 0
+    settled_s: float | None = None  # how long after the load the membership views took to become correct
+    starved: float = 0.0  # fraction of the load's duration in which the host kept the rig from running
+    execution_log: ExecutionLog = field(default_factory=ExecutionLog)
+    began: float = 0.0  # when all routers were ready, by the clock of the execution log
+    quotas: list[dict[str, Any]] = field(default_factory=list)  # bound and worst window of each quota
+    survey: ScatterTable | None = None  # how queries are scattered
+    max_bytes_in_second: int = 0  # most bytes that one router process sent in any second
 
     @property
     def good(self) -> bool:
+        """Whether no rule was broken."""
         return not self.faults
 
     @property
     def outcomes(self) -> Counter[str]:
-        """Answers by class and outcome: "lookup served", ..."""
+        """Number of answers by class and outcome: "lookup served", ..."""
         return Counter(f"{answer.service_class} {answer.outcome}" for answer in self.answers)
 
     def served(self, name: str) -> float:
-        """Part of the requests of a class that were served, of all that were answered."""
+        """Return the fraction of a class's answered requests that were served."""
         all_of = [answer.outcome == "served" for answer in self.answers if answer.service_class == name]
         return sum(all_of) / len(all_of) if all_of else 1.0
 
     def spans(self, tenants: Sequence[str] = (), classes: Sequence[str] = ()) -> list[Span]:
-        """Of requests that ran, of some tenants and classes or of all; of scattered queries those parts that
-        cost a token."""
+        """Return the admission spans of requests that ran, of some tenants and classes or of all.
+
+        Of scattered queries it returns those parts that cost a token.
+        """
         first: dict[str, float] = {}
-        for at, _, txn in self.book.begun:
+        for at, _, txn in self.execution_log.starts:
             first.setdefault(txn, at - self.began)
         asked: dict[str, float] = {}
         for answer in self.answers:
@@ -118,53 +124,68 @@
         return [(at, first[txn]) for txn, at in asked.items()]
 
     def _parts(self, query: str) -> list[str]:
-        """Names of the parts of a scattered query that ran."""
+        """Return the request names of those parts of a scattered query that ran."""
         groups = self.survey.groups if self.survey is not None else ()
-        return [self.book.part_of[query, group] for group in groups if (query, group) in self.book.part_of]
+        return [
+            self.execution_log.part_names[query, group]
+            for group in groups
+            if (query, group) in self.execution_log.part_names
+        ]
 
-    def unwanted(self, cancels: bool) -> list[str]:
-        """Parts that were given up and were not called off. ``cancels``: whether every word of a router to an
-        engine surely came there."""
+    def uncancelled_parts(self, cancels: bool) -> list[str]:
+        """Return faults for parts that a router abandoned and did not cancel.
+
+        ``cancels`` tells whether every message of a router to an engine certainly arrived.
+        """
         found = []
-        book = self.book
+        execution_log = self.execution_log
         for answer in self.answers:
             if answer.service_class != SURVEY or answer.outcome not in ("served", "failed", "refused"):
                 continue
             ended = self.began + answer.ended
             for name in self._parts(answer.txn):
-                part = book.parts[name]
-                slack = book.held_up(ended)
+                part = execution_log.parts[name]
+                delayed_s = execution_log.host_delay_s(ended)
                 if part.group in answer.present:
                     continue
-                late = book.asked.get(name, ended) - ended - slack
-                if late > HOLD_S + GIVEN_UP_S:
-                    found.append(f"parts: {name} of {answer.txn} is asked for {late:.2f} s after the answer")
-                if cancels and part.dropped is not None and part.dropped - ended - slack > UNASKED_S:
+                lateness_s = execution_log.last_requested_s.get(name, ended) - ended - delayed_s
+                if lateness_s > LONG_POLL_S + ABANDON_GRACE_S:
+                    found.append(
+                        f"parts: {name} of {answer.txn} is asked for {lateness_s:.2f} s after the answer"
+                    )
+                if (
+                    cancels
+                    and part.cancelled_s is not None
+                    and part.cancelled_s - ended - delayed_s > UNREQUESTED_TIMEOUT_S
+                ):
                     found.append(f"parts: {name} of {answer.txn} was given up and not called off")
         return found
 
     def as_json(self) -> dict[str, Any]:
+        """Return the report as a JSON object."""
         return {
             "good": self.good,
             "faults": self.faults,
             "timeline": self.timeline,
             "outcomes": dict(sorted(self.outcomes.items())),
-            "stretches": self.stretches,
+            "stretches": self.intervals,
             "seconds": self.seconds,
-            "most_threads": self.most_threads,
-            "extras": self.extras,
+            "most_threads": self.max_threads,
+            "extras": self.extra_attempts,
             "quotas": self.quotas,
-            "fullest_second": self.fullest,
+            "fullest_second": self.max_bytes_in_second,
             "settled_s": self.settled_s,
             "starved": round(self.starved, 3),
         }
 
 
-def gathered(book: Book, query: str, survey: ScatterTable, result: dict[str, Any]) -> list[str]:
-    """What is wrong with the answer to a scattered query, by what engines ran for it."""
+def check_scattered_answer(
+    execution_log: ExecutionLog, query: str, survey: ScatterTable, result: dict[str, Any]
+) -> list[str]:
+    """Check the answer to a scattered query against what engines ran for it, and return the faults."""
     try:
-        told = result["parts"]
-        asked, present, missing = (list(told[key]) for key in ("asked", "present", "missing"))
+        parts_reply = result["parts"]
+        asked, present, missing = (list(parts_reply[key]) for key in ("asked", "present", "missing"))
         rows = base64.b64decode(result["data"]).splitlines(keepends=True)
     except (KeyError, TypeError, ValueError) as problem:
         return [f"parts: no word of them to {query}: {problem!r}"]
@@ -176,117 +197,142 @@
     if len(rows) < survey.curve[0][0] * len(survey.groups) - 1e-9:
         faults.append(f"parts: {query} is answered with {len(rows)}, which is below the least")
     for group, row in zip(present, rows, strict=False):
-        part = book.parts.get(row.split(b"\t")[0].decode("utf-8", "replace"))
+        part = execution_log.parts.get(row.split(b"\t")[0].decode("utf-8", "replace"))
         if part is None or (part.query, part.group) != (query, group) or row not in part.rows:
             faults.append(f"parts: {query} has for group {group} what no engine made for it: {row!r}")
     return faults
 
 
-def worst(spans: Sequence[Span], rate: float) -> float:
-    """The most by which what was surely admitted in any window passed ``rate x t``: a request counts where
-    it was asked for and ran within it."""
+def max_window_excess(spans: Sequence[Span], rate: float) -> float:
+    """Return the largest number of requests by which certainly admitted requests of any window exceed ``rate
+    x t``.
+
+    A request counts where the client sent it and an engine started it within the window.
+    """
     ended = sorted((ran, asked) for asked, ran in spans)
-    most = 0.0
+    max_excess = 0.0
     for begin in {asked for asked, _ in spans}:
         count = 0
         for ran, asked in ended:
             if asked >= begin:
                 count += 1
-                most = max(most, count - rate * (ran - begin))
-    return most
+                max_excess = max(max_excess, count - rate * (ran - begin))
+    return max_excess
 
 
-def bounds(script: Scenario) -> list[Bound]:
-    """What a script's plans of quotas promise: over all of the play that of the largest, and once all
-    routers were told of the last plan what that allows. Plans that routers refuse count for nothing."""
+def quota_bounds(script: Scenario) -> list[QuotaBound]:
+    """Return the bounds that a scenario's quota plans guarantee.
+
+    Over the whole run the largest plan holds, and once all routers have received the last plan, that plan's
+    bounds hold. Plans that routers reject are left out.
+    """
 
     def plan(text: str) -> QuotaPlan | None:
         table = tomllib.loads(text)
         return convert(table, QuotaPlan, "quota") if table.pop("enabled", False) else None
 
-    now = plan(script.quota) if script.quota else None
-    if now is None:
+    current_plan = plan(script.quota) if script.quota else None
+    if current_plan is None:
         return []
-    plans = [now]
-    told = set(range(script.routers))
-    settled = 0.0
+    plans = [current_plan]
+    informed_routers = set(range(script.routers))
+    applied_s = 0.0
     for action in sorted(script.do, key=lambda action: action.at):
         if action.what == "reload" and action.file == "quota":
             try:
-                new = plan(action.text)
-                if new is None:
+                new_plan = plan(action.text)
+                if new_plan is None:
                     continue
-                check_change(now, check(new, [tenant.name for tenant in script.load.sources], list(CLASSES)))
+                check_change(
+                    current_plan,
+                    check(new_plan, [tenant.name for tenant in script.load.sources], list(CLASSES)),
+                )
             except (ConfigError, ValueError):
                 continue
-            if new != now:
-                now = new
-                told = set()
-                plans.append(new)
-            told |= set(action.routers)
-            settled = action.at + SETTLE_S
-    found = [_bound(name, plans, script.routers) for name in {q.name: 0 for p in plans for q in p.quotas}]
-    if len(plans) > 1 and len(told) == script.routers:
-        found += [_bound(quota.name, [now], script.routers, settled) for quota in now.quotas]
+            if new_plan != current_plan:
+                current_plan = new_plan
+                informed_routers = set()
+                plans.append(new_plan)
+            informed_routers |= set(action.routers)
+            applied_s = action.at + PLAN_APPLY_S
+    found = [
+        _largest_bound(name, plans, script.routers) for name in {q.name: 0 for p in plans for q in p.quotas}
+    ]
+    if len(plans) > 1 and len(informed_routers) == script.routers:
+        found += [
+            _largest_bound(quota.name, [current_plan], script.routers, applied_s)
+            for quota in current_plan.quotas
+        ]
     return found
 
 
-def _bound(name: str, plans: Sequence[QuotaPlan], routers: int, since: float = 0.0) -> Bound:
-    """Of the largest of some plans."""
-    held = [(plan, quota) for plan in plans for quota in plan.quotas if quota.name == name]
-    quota = held[-1][1]
-    return Bound(
+def _largest_bound(name: str, plans: Sequence[QuotaPlan], routers: int, since: float = 0.0) -> QuotaBound:
+    """Return the largest bound of a quota over some plans."""
+    candidates = [(plan, quota) for plan in plans for quota in plan.quotas if quota.name == name]
+    quota = candidates[-1][1]
+    return QuotaBound(
         name,
         tuple(quota.tenants),
         tuple(quota.classes),
-        max(quota.rate * quota.soft for _, quota in held),
-        max(quota.burst * quota.soft + excess(plan, quota, routers) for plan, quota in held),
+        max(quota.rate * quota.soft for _, quota in candidates),
+        max(quota.burst * quota.soft + excess(plan, quota, routers) for plan, quota in candidates),
         since,
     )
 
 
-def judge(verdict: Verdict, lives: int, bounds: Sequence[Bound] = (), cancels: bool = True) -> None:
-    """The rules that only the whole play shows; ``lives`` is how many processes there were, ``cancels``: see
-    ``Verdict.unwanted``."""
-    for bound in bounds:
-        found = bound.worst(verdict)
-        verdict.quotas.append(
+def check_rules(
+    run_report: RunReport, process_count: int, quota_bounds: Sequence[QuotaBound] = (), cancels: bool = True
+) -> None:
+    """Check the rules that can only be checked after the whole run.
+
+    ``process_count`` is the number of router processes; ``cancels``: see ``RunReport.uncancelled_parts``.
+    """
+    for bound in quota_bounds:
+        found = bound.measured_excess(run_report)
+        run_report.quotas.append(
             {
                 "quota": bound.quota,
                 "since": bound.since,
                 "rate": bound.rate,
-                "bound": round(bound.most, 2),
+                "bound": round(bound.max_excess, 2),
                 "worst": round(found, 2),
             }
         )
-        if found > bound.most:
-            verdict.faults.append(
+        if found > bound.max_excess:
+            run_report.faults.append(
                 f"quota: {bound.quota} passed {bound.rate:g} x t by {found:.1f} from "
-                f"{bound.since:g} s on, bound {bound.most:.1f}"
+                f"{bound.since:g} s on, bound {bound.max_excess:.1f}"
             )
-    book = verdict.book
-    verdict.faults += book.faults
-    verdict.most_threads = book.most_threads
-    verdict.extras = sum(count - 1 for count in book.runs.values() if count > 1)
-    taken = sum(
-        answer.outcome != "unreached" and answer.service_class != SURVEY for answer in verdict.answers
-    ) + len(book.parts)
-    verdict.faults += verdict.unwanted(cancels)[:10]
-    if verdict.extras > 1.15 * (5 * lives + 0.2 * taken) + lives:
-        verdict.faults.append(f"ration: {verdict.extras} further attempts for {taken} requests")
-    last = {answer.txn: answer for answer in verdict.answers}  # a repeat may run what was refused before
-    verdict.faults += [
+    execution_log = run_report.execution_log
+    run_report.faults += execution_log.faults
+    run_report.max_threads = execution_log.max_threads
+    run_report.extra_attempts = sum(count - 1 for count in execution_log.runs.values() if count > 1)
+    accepted = sum(
+        answer.outcome != "unreached" and answer.service_class != SURVEY for answer in run_report.answers
+    ) + len(execution_log.parts)
+    run_report.faults += run_report.uncancelled_parts(cancels)[:10]
+    if run_report.extra_attempts > 1.15 * (5 * process_count + 0.2 * accepted) + process_count:
+        run_report.faults.append(
+            f"ration: {run_report.extra_attempts} further attempts for {accepted} requests"
+        )
+    # a repeated attempt may run a request that was rejected before
+    last = {answer.txn: answer for answer in run_report.answers}
+    run_report.faults += [
         f"refused though it ran: {answer.txn}"
-        for answer in verdict.answers
+        for answer in run_report.answers
         if answer.outcome == "refused"
         and answer.service_class == "ticket-load"
-        and (answer.runs or (last[answer.txn] is answer and book.runs[answer.txn]))
+        and (answer.runs or (last[answer.txn] is answer and execution_log.runs[answer.txn]))
     ]
-    kept: dict[str, str] = {}
-    for answer in verdict.answers:
-        if answer.outcome == "served" and answer.service_class == "ticket-load" and not book.runs[answer.txn]:
-            verdict.faults.append(f"served though it never ran: {answer.txn}")
+    final_outcomes: dict[str, str] = {}
+    for answer in run_report.answers:
+        if (
+            answer.outcome == "served"
+            and answer.service_class == "ticket-load"
+            and not execution_log.runs[answer.txn]
+        ):
+            run_report.faults.append(f"served though it never ran: {answer.txn}")
         if answer.outcome in ("served", "failed"):
-            before = kept.setdefault(answer.txn, answer.outcome)
-            if before == "served" and answer.outcome != before:
-                verdict.faults.append(f"served, then failed under the same key: {answer.txn}")
+            earlier = final_outcomes.setdefault(answer.txn, answer.outcome)
+            if earlier == "served" and answer.outcome != earlier:
+                run_report.faults.append(f"served, then failed under the same key: {answer.txn}")
--- a/tests/compat/test_configuration.py
+++ b/tests/compat/test_configuration.py
@@ -23,7 +23,7 @@
 from slipbay.config.model import Config, LossConfig, MysqlConfig, SpiffeConfig, StoreConfig
 from slipbay.config.router import load
 from slipbay.config.validation import ConfigError
-from slipbay.membership.settings import MembershipConfig, load_fleet
+from slipbay.membership.settings import MembershipConfig, load_membership
 from slipbay.peer_channel.settings import ChannelConfig, load_channel
 from slipbay.policy.settings import Effect, ServiceClass
 from slipbay.quota.plan import QuotaPlan
@@ -31,7 +31,7 @@
 from slipbay.scatter_gather.config_schema import ScatterGatherPlan
 from slipbay.scatter_gather.settings import load_gather
 from slipbay.warmup.plan import WarmupPlan as ComebackPlan
-from slipbay.warmup.settings import load_comeback
+from slipbay.warmup.settings import load_warmup
 
 DATA = Path(__file__).parent / "data" / "config"
 EXPECTED: dict[str, Any] = json.loads((DATA / "expected.json").read_text())
@@ -150,9 +150,9 @@
         "rate": settings.rate,
         "key": settings.key.decode(),
         "old key": settings.old_key.decode(),
-        "file of the keys": settings.keys_of,
+        "file of the keys": settings.key_source,
         "status": settings.status,
-        "parts": dict(settings.parts),
+        "parts": dict(settings.shares),
     }
 
 
@@ -212,18 +212,18 @@
 
 def gather_values(settings: ScatterGatherPlan) -> dict[str, object]:
     return {
-        "most_open": settings.most_open,
-        "most_mb": settings.most_bytes / MIB,
+        "most_open": settings.max_open,
+        "most_mb": settings.max_bytes / MIB,
         "scatter": [
             {
                 "class": item.service_class,
                 "parts": item.part_class,
                 "groups": item.groups,
-                "mark": item.mark,
+                "mark": item.placeholder,
                 "curve": item.curve,
                 "price_per_s": item.price_per_s,
                 "latest_ms": item.latest_us / 1000,
-                "cost": "one" if item.whole_cost else "parts",
+                "cost": "one" if item.is_charged_once else "parts",
             }
             for item in settings.scattered
         ],
@@ -245,7 +245,7 @@
     return {
         "listen": address_text(settings.listen),
         "schema": settings.schema,
-        "max_packet_bytes": settings.most_packet_bytes,
+        "max_packet_bytes": settings.max_packet_bytes,
         "idle_s": settings.idle_us / 1e6,
         "hint": settings.hint,
         "classes": {
@@ -357,12 +357,12 @@
 
 
 def read_comeback(config: Config, environment: Mapping[str, str]) -> dict[str, object] | None:
-    settings = load_comeback(config, environment, load_channel(config, environment))
+    settings = load_warmup(config, environment, load_channel(config, environment))
     return comeback_values(settings) if settings is not None else None
 
 
 def read_fleet(config: Config, environment: Mapping[str, str]) -> dict[str, object] | None:
-    settings = load_fleet(config, environment)
+    settings = load_membership(config, environment)
     return fleet_values(settings) if settings is not None else None
 
 
@@ -443,12 +443,15 @@
 def test_a_channel_without_keys_uses_those_of_membership_whose_rate_is_its_share_of_the_channel() -> None:
     environment = environment_for("fleet", DATA / "fleet-other.toml", "config-all.json")
     config = load(environment)
-    view = load_fleet(config, environment)
+    view = load_membership(config, environment)
     assert view is not None
     channel = load_channel(config, environment, view)
     assert channel is not None
     assert as_json(channel_values(channel)) == EXPECTED["channel-least.toml with fleet-other.toml"]
-    assert as_json(fleet_values(channel.within(view))) == EXPECTED["fleet-other.toml with channel-least.toml"]
+    assert (
+        as_json(fleet_values(channel.limit_membership(view)))
+        == EXPECTED["fleet-other.toml with channel-least.toml"]
+    )
 
 
 def test_a_quota_plan_that_is_not_enabled_can_be_read_on_request() -> None:
--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -164,7 +164,7 @@
 
 
 def latency_request() -> bytes:
-    return estimate_gossip.ASK
+    return estimate_gossip.REQUEST_BODY
 
 
 def channel_frame(kind: str, body: bytes) -> frame.Frame:
@@ -181,30 +181,30 @@
 
 def channel_datagram(kind: str, body: bytes) -> bytes:
     """The datagram that the channel sends for a message of an endpoint."""
-    [(_, data)] = multiplexer.Multiplexer(3, 8, 70_000, SECOND, key=KEY).own(
+    [(_, data)] = multiplexer.Multiplexer(3, 8, 70_000, SECOND, key=KEY).encode_messages(
         SECOND, interfaces.FrameKind[kind], [(5, body)]
     )
     return data
 
 
 def status_request(topic: str) -> bytes:
-    return status_pages.question(interfaces.FrameKind[topic] if topic else 0)
+    return status_pages.encode_request(interfaces.FrameKind[topic] if topic else 0)
 
 
 def status_topic(data: bytes) -> int | None:
-    return status_pages.topic(data)
+    return status_pages.requested_topic(data)
 
 
 def status_pages_of(status: dict[str, object]) -> list[bytes]:
-    return status_pages.pages(status)
+    return status_pages.encode_pages(status)
 
 
 def query_channel_status(port: int) -> dict[str, Any]:
-    return status_pages.ask(("127.0.0.1", port), status_pages.question(0), 5.0)
+    return status_pages.request_status(("127.0.0.1", port), status_pages.encode_request(0), 5.0)
 
 
 def query_view(port: int) -> dict[str, Any]:
-    return status_client.ask(("127.0.0.1", port), 5.0)
+    return status_client.request_status(("127.0.0.1", port), 5.0)
 
 
 def peers_of(threads: dict[bytes, int]) -> tuple[gossip.PeerLoads, list[records.Engine]]:
@@ -218,7 +218,7 @@
 
 
 def truncate(body: bytes, room: int) -> bytes:
-    return external_traffic.cut(body, room)
+    return external_traffic.truncate_gossip(body, room)
 
 
 def store_witnesses(me: int, incarnation: int) -> witnesses.StoreWitnesses:
@@ -237,10 +237,10 @@
 def latency_endpoint(me: int, size: int, now: int) -> estimate_gossip.EstimateGossip:
     """The latency gossip of a router that has seen some parts of one scattered class."""
     model = latency_model.LatencyModel(now)
-    key = model.family(now, "report").key(2, gather_interfaces.EngineCondition.USUAL)
+    key = model.class_latency(now, "report").group_latency(2, gather_interfaces.EngineCondition.USUAL)
     engine = model.engine(now, "10.0.0.1:80")
     for latency_us in (80_000, 90_000, 120_000, 900_000):
-        model.see(now, key, engine, 0, latency_us, latency_us < 500_000)
+        model.record(now, key, engine, 0, latency_us, latency_us < 500_000)
     return estimate_gossip.EstimateGossip(me, size, ["report"], model, now)
 
 
--- a/tests/kill_sweep.py
+++ b/tests/kill_sweep.py
@@ -162,7 +162,7 @@
     async def _wait_for_random_point(self) -> None:
         """Wait for a random number of events, or until the store is read, which is when recovery begins."""
         if self.random.random() < 0.25:
-            await self.router.read.wait()
+            await self.router.store_read.wait()
             return
         until = self._event_count + self.random.randrange(1, 12)
         while self._event_count < until:
@@ -193,7 +193,7 @@
     async def _try_once(self, attempt: Attempt, name: str, tries: int) -> bool:
         """Send a load once; False if it must be repeated, also because the connection was lost."""
         router = self.choose(name, tries)
-        await router.up.wait()
+        await router.listening.wait()
         self.result.tries += 1
         try:
             return await attempt(router, name, tries)
--- a/tests/quota_play.py
+++ b/tests/quota_play.py
@@ -16,7 +16,7 @@
 from slipbay.config.validation import convert
 from slipbay.quota.guarantees import excess
 from slipbay.quota.plan import Quota, QuotaPlan
-from slipbay.rig.checker import Verdict, worst
+from slipbay.rig.checker import RunReport, max_window_excess
 from slipbay.rig.runner import Rig
 from slipbay.rig.scenario import Scenario
 
@@ -33,11 +33,11 @@
 class Observations:
     """Observations of clients and engines in one run."""
 
-    def __init__(self, verdict: Verdict, started_s: float) -> None:
+    def __init__(self, verdict: RunReport, started_s: float) -> None:
         self.verdict = verdict
         self.asked = {answer.txn: (answer.asked, answer.router) for answer in verdict.answers}
         self.first_run_s: dict[str, float] = {}
-        for at, _, txn in verdict.book.begun:
+        for at, _, txn in verdict.execution_log.starts:
             self.first_run_s.setdefault(txn, at - started_s)
         self.outcomes = Counter(answer.outcome for answer in verdict.answers)
 
@@ -55,7 +55,7 @@
         A request is admitted after its client sent it and before it runs. So it counts only in windows that
         contain both times.
         """
-        return worst([span for span in self.verdict.spans() if span[0] >= since], rate)
+        return max_window_excess([span for span in self.verdict.spans() if span[0] >= since], rate)
 
 
 def run_scenario(
@@ -84,7 +84,7 @@
     }
     with tempfile.TemporaryDirectory() as directory:
         rig = Rig(convert(table, Scenario, "script"), Path(directory))
-        verdict = asyncio.run(rig.play())
+        verdict = asyncio.run(rig.execute())
         return Observations(verdict, rig.began), rig
 
 
--- a/tests/test_explore_quota.py
+++ b/tests/test_explore_quota.py
@@ -140,7 +140,7 @@
 
 
 def _over_without_drift(self: GrantedLease, now: int, clocks: ClockBounds) -> bool:
-    return now >= self.granted + self.length
+    return now >= self.granted_us + self.length_us
 
 
 def _skip_start_wait(max_lease_us: int, clocks: ClockBounds) -> int:
@@ -148,7 +148,7 @@
 
 
 def _count_last_grant_only(self: LentShare, now: int, clocks: ClockBounds) -> int:
-    return self.grants[-1][0] if self.grants and not self.grants[-1][1].over(now, clocks) else 0
+    return self.grants[-1][0] if self.grants and not self.grants[-1][1].has_ended(now, clocks) else 0
 
 
 def _accept_late_requests(self: Shares, now: int, borrower: tuple[int, int], tag: int, kept: int) -> bool:
@@ -185,8 +185,8 @@
 @pytest.mark.parametrize(
     ("target", "name", "fault"),
     [
-        (shares, "wait_after_start", _skip_start_wait),
-        (GrantedLease, "over", _over_without_drift),
+        (shares, "startup_wait_us", _skip_start_wait),
+        (GrantedLease, "has_ended", _over_without_drift),
         (LentShare, "outstanding", _count_last_grant_only),
         (Shares, "accept_request", _accept_late_requests),
         (Shares, "accept_reply", _accept_any_reply),
@@ -248,7 +248,7 @@
     """Counts the rest of a lease from now on, without the clock drift since the grant."""
     record = self.records.get(owner)
     if record is not None and record.holder == holder and shares.is_later_tag(tag, record.tag):
-        remaining_us = record.grant.granted + record.grant.length - now
+        remaining_us = record.grant.granted_us + record.grant.length_us - now
         self.records[owner] = LeaseRecord(holder, tag, GrantedLease(now, max(0, min(lease_us, remaining_us))))
 
 
@@ -270,8 +270,8 @@
         (LeaseGranter, "shorten", _accept_late_shorten, (1, *LATE_SHORTEN)),
         (LeaseGranter, "shorten", _restart_lease_count, (4, *BORROW_ALL, *LATE_SHORTEN[:2], LATE_SHORTEN[1])),
         (groups, "majority_votes", _half_of_votes, None),
-        (granter, "wait_after_start", _skip_start_wait, None),
-        (GrantedLease, "over", _over_without_drift, (4,)),
+        (granter, "startup_wait_us", _skip_start_wait, None),
+        (GrantedLease, "has_ended", _over_without_drift, (4,)),
         (Shares, "lendable", _lend_beyond_lease, (4, *BORROW_ALL)),
         (LeaseGranter, "grant", _grant_to_second_holder, None),
         (LeaseGranter, "release", _accept_late_release, (5, *LATE_RELEASE)),
