--- a/slipbay/backends/http_exchange.py
+++ b/slipbay/backends/http_exchange.py
@@ -1,6 +1,6 @@
 """One attempt on an engine over HTTP: the POST, the polls for its end, the pages of its result, the DELETE.
 
-docs/races.md lists the events that may occur between two of them.
+docs/races.md lists the events that may occur between two of these calls.
 """
 
 from __future__ import annotations
@@ -24,13 +24,15 @@
 from slipbay.wire import http1
 
 TRANSIT_US = 100_000  # bound on the network delays of a call and its answer, and on delays in the engine
-PAGE_TRANSIT_US = 40_000  # the same for a page: engines send pages immediately, and a client waits for many
-MIN_EARLY_POLL_US = 60_000  # shortest time without an answer to the POST after which a poll is sent beside it
-EARLY_POLL_DIVISOR = 12  # that time is the client's time limit divided by this, if longer
-RETRY_US = 250_000
+# The same bound for a page; it is short, as engines send pages immediately and a client waits for many pages
+PAGE_TRANSIT_US = 40_000
+MIN_EARLY_POLL_US = 60_000  # minimum wait for the answer to the POST before a poll on another connection
+# The wait is the client's time limit divided by this, if that is longer than MIN_EARLY_POLL_US
+EARLY_POLL_DIVISOR = 12
+RETRY_US = 250_000  # interval before a poll for an overdue answer or a failed DELETE is repeated
 
 MAX_IMMEDIATE_RETRIES = 3  # polls sent immediately after a malformed answer; later ones wait for the timer
-# A result has at most 48,000 bytes
+# A result with more bytes in all its pages is an error; engines limit a result to 48,000 bytes
 MAX_RESULT_BYTES = 64 * 1024
 MAX_PAGES = 1000
 MAX_PAGE_DIGITS = 6
@@ -40,7 +42,7 @@
     http1.SERVICE_UNAVAILABLE,
     http1.GATEWAY_TIMEOUT,
 )
-"""Statuses other than 200 with which an engine answers a call on a query."""
+"""Statuses other than 200 with which an engine answers a POST, a poll or a request for a page."""
 NOTE_KINDS = {"done": NoteKind.SHARE_DONE, "spills": NoteKind.SPILLS, "waits": NoteKind.WAITS}
 
 
@@ -87,8 +89,8 @@
         self._path = f"/obj/{attempt.request.name}"
         self._is_post_written = False  # the POST may have arrived complete
         self._answered = False  # the engine has answered a call, so it has received the POST
-        self._last_call_us = self._posted_us = 0  # when the last POST or poll, and the POST, were written, us
-        self._previous_call_us = 0  # when the call before the last one was written, us
+        self._last_call_us = self._posted_us = 0  # times when the last POST or poll and the POST were written
+        self._previous_call_us = 0  # time when the POST or poll before the last one was written
         self._is_polled_beside_post = False  # a poll was sent while the POST may be in transit
         self._post_connection: HttpConnection | None = None  # connection of the POST
         self._call_connection: HttpConnection | None = None  # connection of the current POST or poll
@@ -99,10 +101,10 @@
         self._check_timer: Timer | None = None
         # The engine closed the connection of the last call, as a crash does
         self._is_closed_by_engine = False
-        # A connection broke since the last answer: the process may be a new one
+        # A connection broke since the last answer: the engine may have restarted
         self._is_process_uncertain = False
         self._is_unknown_to_engine = False  # an engine that was unreachable answers that it has no such query
-        # A progress note that the policy has not received yet, and its idle connection
+        # A progress note that the policy has not received yet, and the connection on which it arrived
         self._held_answer: tuple[HttpConnection, http1.Response] | None = None
         self._failures = 0  # malformed answers and broken connections
         self._possible_duplicate: http1.Response | None = None  # an answer that may belong to another query
@@ -208,7 +210,7 @@
 
     def _poll_on_other_connection(self) -> None:
         if self._awaits_post_answer and not self._pool.idle:
-            return  # a poll beside the POST does not justify a new connection; in large fleets few are idle
+            return  # a poll during the POST does not justify a new connection: in large fleets few are idle
         if self._pending is None and not self._is_ended and not self._deleting:
             self._pending = self._pool.acquire(
                 self._poll, self._connect_failed, fresh=not self._may_post_be_open
@@ -250,7 +252,7 @@
         self._possible_duplicate = None
         is_unknown = response.status == http1.INTERNAL_SERVER_ERROR and connection is self._post_connection
         if earlier_answer is not None and is_unknown and earlier_answer.status != http1.OK:
-            response = earlier_answer  # the earlier answer was right: the engine rejected the query
+            response = earlier_answer  # the query is unknown to the engine, which rejected it earlier
         if self._is_invalid(response):
             log(
                 "engine",
@@ -267,7 +269,8 @@
             and not self._answered
             and connection is not self._post_connection
         ):
-            if self._pool.was_unreachable:  # it may still read the POST, until it must have dropped the query
+            if self._pool.was_unreachable:
+                # The engine may still read the POST, until QUERY_DROPPED_US after the previous call
                 self._last_call_us = self._previous_call_us
                 self._is_unknown_to_engine = True
                 connection.finish_call(response)
