--- a/slipbay/backends/http.py
+++ b/slipbay/backends/http.py
@@ -1,5 +1,5 @@
-"""Backend for HTTP engines: a connection pool for each engine, attempts, probes, and outcome queries for
-attempts of earlier incarnations."""
+"""Backend for HTTP engines: a connection pool for each engine, attempts, probes, and requests for the
+outcome of attempts that an earlier incarnation sent."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from slipbay.stream import Connector
 from slipbay.wire import http1
 
-SWEEP_US = 1_000_000
+SWEEP_US = 1_000_000  # interval between searches for expired connections and unused pools
 
 
 class HttpBackend:
@@ -39,7 +39,8 @@
         self._config = config
         self.timers = timers
         self.now = now
-        self.exact_now = now  # the current time, which may be later than the time of this turn of the loop
+        # The router replaces this with its exact clock, which may be later than ``now`` in a turn of the loop
+        self.exact_now = now
         self._connector = connector
         self._sockets = sockets
         self.call_soon = connector.loop.call_soon
@@ -61,7 +62,7 @@
                 self._pools[engine] = pool = Pool(
                     engine,
                     host.address,
-                    self._connection,
+                    self._create_connection,
                     self._connector,
                     self.timers,
                     self._sockets,
@@ -81,11 +82,12 @@
             self._ready_at_us[engine] = host.entry.ready_at_us
 
     @staticmethod
-    def _connection(pool: Pool[HttpConnection]) -> HttpConnection:
+    def _create_connection(pool: Pool[HttpConnection]) -> HttpConnection:
         return HttpConnection(pool)  # type: ignore[arg-type]
 
     def start(self, attempt: Attempt) -> Exchange | None:
-        """Start an attempt; it ends with ``MOOT`` if its engine was never listed."""
+        """Start an attempt and return its exchange. If the engine was never on the endpoint list, or
+        was removed long ago, the attempt ends with ``MOOT`` and there is no exchange."""
         pool = self._pools.get(attempt.engine)
         if pool is None:
             log("engine", "the engine was never listed", engine=attempt.engine)
@@ -94,7 +96,8 @@
         return HttpExchange(self, attempt, pool)
 
     def query_outcome(self, query: OutcomeQuery, until_us: int) -> None:
-        """Query the outcome of an attempt of an earlier incarnation; it is cancelled at ``until_us``."""
+        """Query the outcome of an attempt of an earlier incarnation; the exchange is stopped at
+        ``until_us``."""
         pool = self._pools.get(query.engine)
         if pool is None:
             query.finish(Outcome.RESET)
