--- a/slipbay/backends/mysql.py
+++ b/slipbay/backends/mysql.py
@@ -1,5 +1,5 @@
-"""Backend for MySQL engines: a connection pool for each engine, attempts, probes, and the ends of attempts of
-earlier incarnations."""
+"""Backend for MySQL engines: a connection pool for each engine, attempts, probes, and the termination of
+attempts that an earlier incarnation sent."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from slipbay.stream import Connector
 from slipbay.wire import mysql
 
-SWEEP_US = 1_000_000
+SWEEP_US = 1_000_000  # interval between searches for expired connections; default interval of pings
 
 
 class MysqlBackend:
-    """All MySQL engines: the listed engines that have an address in the configuration."""
+    """All MySQL engines that have an address in the configuration."""
 
     wire = WIRE
 
@@ -44,7 +44,7 @@
             self._pools[engine] = Pool(
                 engine,
                 address,
-                self._connection,
+                self._create_connection,
                 connector,
                 timers,
                 sockets,
@@ -56,18 +56,20 @@
         timers.after(self._ping_interval_us, self._ping_busy_engines)
         timers.after(SWEEP_US, self._sweep)
 
-    def _connection(self, pool: Pool[MysqlConnection]) -> MysqlConnection:
+    def _create_connection(self, pool: Pool[MysqlConnection]) -> MysqlConnection:
         return MysqlConnection(pool, self._mysql_config)  # type: ignore[arg-type]
 
     def endpoints_changed(self, _kind: ListKind, hosts: list[Endpoint]) -> None:
-        """Update which engines exist; their addresses come from the configuration."""
+        """Mark the pools of removed engines as removed, and unmark those of the other engines in ``hosts``.
+        The addresses come from the configuration."""
         for host in hosts:
             pool = self._pools.get(host.entry.engine)
             if pool is not None:
                 pool.set_address(pool.address, host.entry.state is EngineState.GONE)
 
     def start(self, attempt: Attempt) -> Exchange | None:
-        """Start an attempt; it ends with ``MOOT`` if its engine has no MySQL address."""
+        """Start an attempt and return its exchange. If the engine has no MySQL address, the attempt ends with
+        ``MOOT`` and there is no exchange."""
         pool = self._pools.get(attempt.engine)
         if pool is None:
             log("engine", "the engine has no MySQL address", engine=attempt.engine)
@@ -78,8 +80,8 @@
         return exchange
 
     def query_outcome(self, query: OutcomeQuery, until_us: int) -> None:
-        """End an attempt of an earlier incarnation. Its effect can't be found out: the outcome is always
-        ``RESET``."""
+        """Terminate an attempt of an earlier incarnation. Its effect cannot be determined: the outcome is
+        always ``RESET``."""
         pool = self._pools.get(query.engine)
         if pool is None:
             query.finish(Outcome.RESET)
