--- a/slipbay/backends/mysql_connection.py
+++ b/slipbay/backends/mysql_connection.py
@@ -32,14 +32,15 @@
         self._handle_packet: Callable[[int, bytes], None] = self._handle_greeting
         self._challenge = b""
         self._reader: AnswerReader | None = None
-        self._done: Callable[[], None] | None = None
-        self._interrupted: Callable[[], None] | None = None
+        self._on_done: Callable[[], None] | None = None
+        self._on_interrupted: Callable[[], None] | None = None
         self._answer_bytes = 0  # bytes of the answer so far
-        self.thread = 0  # the server's number for this connection
+        self.thread = 0  # MySQL's thread id of this connection, for KILL
+        # By SQL text: the statement id and its description; the least recently used statement is first
         self.statements: OrderedDict[bytes, tuple[int, mysql.Prepared]] = OrderedDict()
 
     def received(self, data: bytes) -> None:
-        """Parse received bytes; a packet that does not belong to an answer ends the connection."""
+        """Parse received bytes; a malformed, unexpected or too large packet closes the connection."""
         try:
             for sequence, payload in self._packets.feed(data):
                 self._handle_packet(sequence, payload)
@@ -102,8 +103,10 @@
             case mysql.MORE_DATA if payload[1:2] == bytes([mysql.FAST_AUTH_OK]):
                 pass  # OK follows
             case mysql.MORE_DATA:
-                # The engine requests the plain password, which is not sent over an unencrypted connection.
-                raise mysql.MalformedPacketError("the engine has not cached the password's digest yet")
+                # An engine that has not cached the digest of the password requests the plain password.
+                raise mysql.MalformedPacketError(
+                    "the engine has not cached the password's digest; the password is not sent unencrypted"
+                )
             case mysql.ERR:
                 self._login_failed(payload)
             case _:
@@ -128,8 +131,8 @@
     ) -> None:
         """Send commands of which only the last one has an answer."""
         self._reader = reader
-        self._done = done
-        self._interrupted = interrupted
+        self._on_done = done
+        self._on_interrupted = interrupted
         self._answer_bytes = 0
         self.deadline_us = deadline_us
         self.write(b"".join(mysql.packets([payload], 0)[0] for payload in payloads))
@@ -141,22 +144,22 @@
         if self._answer_bytes > MAX_RESULT_BYTES:
             raise mysql.PacketTooLargeError
         if self._reader.feed(payload):
-            done = self._done
+            done = self._on_done
             self._reader = None
-            self._done = None
-            self._interrupted = None
+            self._on_done = None
+            self._on_interrupted = None
             if done is not None:
                 done()
 
     def abandon(self) -> None:
         """Close the connection without a notification to the command."""
-        self._interrupted = None
+        self._on_interrupted = None
         self.abort()
 
     def ended(self) -> None:
         """Notify the current command of the end of the connection."""
-        interrupted = self._interrupted
-        self._interrupted = None
+        interrupted = self._on_interrupted
+        self._on_interrupted = None
         super().ended()
         if interrupted is not None:
             interrupted()
