--- a/slipbay/idempotency/ledger.py
+++ b/slipbay/idempotency/ledger.py
@@ -1,9 +1,9 @@
 """The ledger of all idempotency keys of a router: decides how a request under a key is handled.
 
-When a request is accepted, its key is *pending*. This state is held in memory only: no attempt was sent, so
-losing it does no harm. An *intent* is made durable before the first byte of an attempt is sent. Once an
-attempt may have run, the key is kept until the retention period after the request's end has passed. If all
-attempts are proved not to have run, the key is freed.
+When a request is accepted, its key becomes *pending*. A pending key is only in memory; it may be lost,
+because no attempt has been sent yet. An *intent* is made durable before the first byte of an attempt is sent. If an
+attempt may have run, a key that the client gave is kept until ``retention_us`` after the end of the request.
+If no attempt has run, the key is freed.
 
 Times are whole microseconds of the Unix clock; the ledger's own time never goes backwards. The ledger does no
 I/O and reads no clock: methods that change durable state return the changes for the store.
@@ -28,17 +28,17 @@
     encode_record,
 )
 
-MAX_EXPIRED_AT_ONCE = 256  # keys per sweep; expiring many keys at once would block the event loop
+MAX_EXPIRED_AT_ONCE = 256  # per sweep; expiring many keys in one sweep would block the event loop
 
 
 class KeyDecision(Enum):
     """How a request under a key is handled."""
 
-    NEW = "new"  # it may run
+    NEW = "new"  # the request may run
     ATTACH = "attach"  # a request with the same key is running: wait for its end
-    REPLAY = "again"  # it was served: return the stored answer
-    ANSWER_NOT_STORED = "answer gone"  # it was served, but its answer was too long or could not be written
-    MAY_HAVE_RUN = "may have run"  # it failed and is never run again
+    REPLAY = "again"  # the earlier request was served: return the stored answer
+    ANSWER_NOT_STORED = "answer gone"  # served, but the answer was too long or was not written
+    MAY_HAVE_RUN = "may have run"  # the earlier request ended without an answer; it is not run again
     CONFLICT = "conflict"  # the key belongs to another statement or tenant
     NO_ROOM = "no room"  # the ledger holds the maximum number of keys
 
@@ -48,7 +48,9 @@
     """Limits on the stored keys and answers, from the configuration."""
 
     retention_us: int = 24 * 3600 * 1_000_000  # time for which a key is kept after its request's end
-    max_answer_bytes: int = 64 * 1024  # longer answers are not stored for a repeat
+    max_answer_bytes: int = (
+        64 * 1024
+    )  # longer answers are not stored, so a repeated request cannot receive them
     max_keys: int = 1_000_000
 
 
@@ -62,7 +64,7 @@
         self._now = 0
 
     def advance_clock(self, now: int) -> int:
-        """Advance the ledger's time to ``now`` and return it; it stands still if the clock was set back."""
+        """Advance the ledger's time to ``now`` (us) and return it; an earlier ``now`` does not change it."""
         self._now = max(self._now, now)
         return self._now
 
@@ -108,7 +110,7 @@
         return allowed
 
     def mark_not_run(self, record: KeyRecord, attempt: int) -> None:
-        """Record that an attempt has not run: it was proved not to have run, or it was never sent."""
+        """Record that an attempt did not run: its outcome shows that, or it was not sent."""
         if (
             record.phase is KeyPhase.RUNNING
             and record.intent is not None
@@ -119,7 +121,11 @@
     def record_served(
         self, record: KeyRecord, answer: bytes, client_notified: bool, now: int
     ) -> list[Change]:
-        """Record that the request was served, even if its client was notified before that it may have run."""
+        """Record that the request was served.
+
+        This also replaces an earlier record that the request may have run. The key is freed if the client did
+        not give it.
+        """
         if not self._end(record, KeyOutcome.SERVED, client_notified, now):
             return []
         if not record.has_client_key:
@@ -131,7 +137,10 @@
         return [(ANSWER + record.key, answer), encode_record(record)]
 
     def record_failed(self, record: KeyRecord, client_notified: bool, now: int) -> list[Change]:
-        """Record the end without an answer. The key is kept if an attempt may have run, else it is freed."""
+        """Record the end without an answer.
+
+        The key is kept if the client gave it and an attempt may have been sent; otherwise it is freed.
+        """
         if record.phase is KeyPhase.ENDED:
             return []
         if not record.may_have_been_sent or not record.has_client_key:
