--- a/slipbay/membership/reconnect.py
+++ b/slipbay/membership/reconnect.py
@@ -1,4 +1,4 @@
-"""Pings of dead members, so that the sides of a healed partition find each other again."""
+"""Sends pings to dead or unknown members, so that a healed partition is detected on both sides."""
 
 from __future__ import annotations
 
@@ -8,13 +8,16 @@
 from slipbay.membership.outbox import Outbox
 from slipbay.membership.timing import SECOND
 
-INITIAL_SILENCE_US = 10 * SECOND  # assumed time between the last message of a dead member and the start
-JITTER_PERCENT = 50, 150  # bounds of the random factor of the interval
+INITIAL_SILENCE_US = 10 * SECOND  # assumed age of the latest message of a dead member at this router's start
+JITTER_PERCENT = 50, 150  # lower bound and (excluded) upper bound of the random factor of the interval
 
 
 class Reconnector:
-    """Pings random dead members, and often while messages of dead members arrive: then a partition has
-    healed."""
+    """Pings a random dead or unknown member at intervals.
+
+    The intervals are short while messages of dead members arrive, because these show that a
+    partition has healed.
+    """
 
     def __init__(self, environment: Environment, table: MemberTable, outbox: Outbox) -> None:
         self._table = table
@@ -29,10 +32,10 @@
         self._last_message_us = now_us
 
     def step(self, now_us: int) -> None:
-        """Ping one dead member. Called when ``due_us`` is reached."""
+        """Ping one dead or unknown member, if there is one. Called when ``due_us`` is reached."""
         self.due_us = now_us + self._interval_us(now_us)
         table = self._table
-        if len(table.alive) + 1 == table.size:
+        if len(table.alive) + 1 == table.size:  # all peers and the local router
             return
         candidates = [
             number for number in range(table.size) if number in table.dead or number not in table.members
