--- a/slipbay/simhost/host.py
+++ b/slipbay/simhost/host.py
@@ -16,7 +16,7 @@
 
 
 class SimulatorHost:
-    """The running instances, and the engine lists that the simulator has registered."""
+    """The running router instances, and the reader, which holds the registered engine lists."""
 
     def __init__(self) -> None:
         self._controllers: dict[int, Controller] = {}
@@ -25,7 +25,7 @@
     def answer(self, now_us: int, count: int, payload: bytes) -> ReplyWriter:
         """Pass the events of a batch to their instances; returns the reply with their actions.
 
-        Raises ``MalformedInputError``.
+        Raises ``MalformedInputError`` if the input violates the protocol.
         """
         reply = ReplyWriter()
         pending: dict[int, list[Event]] = {}
@@ -42,7 +42,7 @@
         for instance, events in pending.items():
             controller = self._controllers.get(instance)
             if controller is None:
-                raise MalformedInputError(f"events for instance {instance}, which has not started")
+                raise MalformedInputError(f"events for instance {instance}, which is not running")
             run_instance(instance, controller, now_us, events, reply)
         return reply
 
@@ -53,7 +53,7 @@
     """Run one instance; an exception in its policy is reported as an internal error of the instance."""
     try:
         actions = controller.handle(now_us, events)
-    except Exception as problem:  # the protocol requires the text of any failure
+    except Exception as problem:  # the protocol requires that every exception is reported
         reply.add_error(instance, f"{type(problem).__name__}: {problem}")
     else:
         reply.add(instance, actions)
@@ -72,9 +72,9 @@
     host = SimulatorHost()
     while first := source.read(1):
         header = first + read_exactly(source, BATCH_HEADER.size - 1, "the header of a batch")
-        length, count, now_us, turn = BATCH_HEADER.unpack(header)
+        length, count, now_us, batch_number = BATCH_HEADER.unpack(header)
         payload = read_exactly(source, length, "a batch")
-        sink.write(host.answer(now_us, count, payload).frame(turn))
+        sink.write(host.answer(now_us, count, payload).frame(batch_number))
         sink.flush()
 
 
