--- a/slipbay/idempotency/ledger.py
+++ b/slipbay/idempotency/ledger.py
@@ -1,9 +1,9 @@
 """The ledger of all idempotency keys of a router: decides how a request under a key is handled.
 
 When a request is accepted, its key becomes *pending*. A pending key is only in memory; it may be lost,
-because no attempt has been sent yet. An *intent* is made durable before the first byte of an attempt is sent. If an
-attempt may have run, a key that the client gave is kept until ``retention_us`` after the end of the request.
-If no attempt has run, the key is freed.
+because no attempt has been sent yet. An *intent* is made durable before the first byte of an attempt is sent.
+If an attempt may have run, a key that the client gave is kept until ``retention_us`` after the end of the
+request. If no attempt has run, the key is freed.
 
 Times are whole microseconds of the Unix clock; the ledger's own time never goes backwards. The ledger does no
 I/O and reads no clock: methods that change durable state return the changes for the store.
