--- a/slipbay/scatter_gather/estimate_gossip.py
+++ b/slipbay/scatter_gather/estimate_gossip.py
@@ -1,17 +1,25 @@
-"""Exchange of latency estimates between routers, and the snapshot that a router leaves for its next
+"""Exchange of latency estimates between routers, and the snapshot that a router stores for its next
 incarnation.
 
 A report holds what its sender observed *locally*, decayed to the time at which it is sent. A receiver keeps
-the newest report of each sender and condition in place of the previous one. So no observation counts twice,
-however often or late a report is received, and no report is forwarded. ``ClassLatency`` bounds the weight of
-reports: all of them weigh at most as much as the local observations and a small constant, and those of one
-sender at most a quarter of that.
-
-Encoding, little-endian. ``REPORT``: type and version (u8), class (u16), condition (u8), number of the report
-(u32), weight of completed and of censored observations (f32), first bucket and number of buckets (u8); then
-for each bucket a byte for the completed ones, then for each a byte for the censored ones, as a fraction of
-the largest; then, up to the end, engines: digest (u32), shift in steps (i8), probability in 255ths (u8).
-``REQUEST``: type and version; a starting router requests reports with it.
+the newest report of each sender and condition in place of the previous one. So an observation is counted
+once, even if its report is received late or several times. No report is forwarded. ``ClassLatency`` bounds
+the weight of reports: their total weight is at most W, the weight of the local observations plus a constant;
+the weight of the reports of one sender is at most W / 4.
+
+Encoding, little-endian. A ``REQUEST`` is the type (u8) and the version (u8); a starting router requests
+reports with it. A ``REPORT`` has these fields:
+
+- type, version (u8 each)
+- class (u16): lower 16 bits of the digest of its name
+- condition of the engines (u8)
+- number of the report (u32)
+- total weight of the completed observations, then of the censored observations (f32 each)
+- first bucket, number of buckets (u8 each)
+- weight of completed observations in each bucket (u8 each), in 255ths of the largest of these weights
+- weight of censored observations in each bucket (u8 each), in 255ths of the largest of these weights
+- up to the end, for each engine: digest (u32), shift in steps of ``SHIFT_STEP`` buckets (i8), probability
+  that the engine has this shift in 255ths (u8)
 """
 
 from __future__ import annotations
@@ -39,12 +47,12 @@
 START = Struct("<BB")
 HEAD = Struct("<HBIffBB")
 ENGINE = Struct("<IbB")
-REPORT_INTERVAL_US = 8 * SECOND  # one body in each: 30 bytes/s
+REPORT_INTERVAL_US = 8 * SECOND  # one report per interval: 30 bytes/s
 RESPONSE_INTERVAL_US = 2 * SECOND  # minimum time between two responses to requests
 REQUESTED_PEERS = 2  # peers that a starting router requests reports from
-MAX_ENCODED_BUCKETS = 72  # in a body; longer times count in the last bucket
-MAX_OBSERVATIONS = 1e6
-RECENT_US = 20 * SECOND  # engines observed within this time are reported
+MAX_ENCODED_BUCKETS = 72  # buckets per report; the last one also holds the weight of all later buckets
+MAX_OBSERVATIONS = 1e6  # a report with a larger total weight (completed or censored) is invalid
+RECENT_US = 20 * SECOND  # an engine whose estimate was updated within this time is reported
 MAX_SNAPSHOT_AGE_US = 60 * SECOND
 
 
@@ -58,7 +66,7 @@
 class LatencyReport(NamedTuple):
     """Estimates for one class and engine condition, and for some engines."""
 
-    service_class: int  # the lower 16 bits of its digest
+    service_class: int  # lower 16 bits of the digest of the class name
     condition: EngineCondition
     number: int
     completed: list[float]
@@ -84,13 +92,14 @@
         last + 1 - first,
     )
     for weights in (report.completed, report.censored):
+        # the last encoded bucket holds the sum of the rest
         row = [*weights[first:last], sum(weights[last:])]
         largest = max(row) or 1.0
         body += bytes(round(255 * weight / largest) for weight in row)
     capacity = (MAX_BODY_BYTES - len(body)) // ENGINE.size
     return body + b"".join(
-        ENGINE.pack(digest, shift // SHIFT_STEP, round(255 * chance))
-        for digest, shift, chance in report.engines[:capacity]
+        ENGINE.pack(digest, shift // SHIFT_STEP, round(255 * probability))
+        for digest, shift, probability in report.engines[:capacity]
     )
 
 
@@ -110,8 +119,8 @@
         ):
             return None
         engines = [
-            (digest, steps * SHIFT_STEP, chance / 255)
-            for digest, steps, chance in ENGINE.iter_unpack(rest[2 * size :])
+            (digest, steps * SHIFT_STEP, probability / 255)
+            for digest, steps, probability in ENGINE.iter_unpack(rest[2 * size :])
             if steps * SHIFT_STEP in SHIFTS
         ]
         return LatencyReport(
@@ -132,7 +141,7 @@
 
 
 class EstimateGossip:
-    """Sends and receives reports; a party of the peer channel (``slipbay.peer_channel.interfaces.Party``)."""
+    """Sends and receives reports; a user of the peer channel (``slipbay.peer_channel.interfaces.Party``)."""
 
     def __init__(
         self, local_number: int, router_count: int, classes: Sequence[str], model: LatencyModel, now: int
@@ -144,13 +153,14 @@
         for name in classes:
             model.class_latency(now, name)
         self._next_us = now + REPORT_INTERVAL_US * (local_number + 1) // max(1, router_count)
-        self._peer_offset = 0  # of the last router that a report was sent to
-        self._number = 0  # of the last report
-        self._turn = 0  # index of the body that was sent last
+        self._peer_offset = 0  # offset from the local number of the router to which the last report was sent
+        self._number = 0  # number of the last encoded report
+        self._last_body_index = 0  # index in ``bodies`` of the report that was sent last
         self._responded_us = now - RESPONSE_INTERVAL_US
         # Incarnation and number of the newest report by sender, class and condition
         self._newest: dict[tuple[int, int, EngineCondition], tuple[int, int]] = {}
         self._has_requested = False
+        # Keys of the status: reports sent, received and used, outdated, and malformed
         self.counts = {"told": 0, "heard": 0, "old": 0, "unread": 0}
 
     def next_tick(self) -> int:
@@ -158,7 +168,7 @@
         return self._next_us
 
     def tick(self, now: int) -> list[Send]:
-        """Return the messages that are due: reports, and at first also requests."""
+        """Return the messages that are due: reports, and in the first call that sends also requests."""
         if now < self._next_us:
             return []
         self._next_us = max(now + REPORT_INTERVAL_US // 2, self._next_us + REPORT_INTERVAL_US)
@@ -175,7 +185,7 @@
         return sends + self._next_report(now, (self._local_number + self._peer_offset) % self._router_count)
 
     def receive(self, now: int, sender: int, incarnation: int, body: bytes) -> list[Send]:
-        """Process a message and return the messages that answer it."""
+        """Process a message and return the messages to send in response."""
         if body == REQUEST_BODY:
             if now - self._responded_us < RESPONSE_INTERVAL_US:
                 return []
@@ -189,13 +199,13 @@
         return []
 
     def _next_report(self, now: int, receiver: int) -> list[Send]:
-        """Return a message with the next class and condition in turn."""
+        """Return a message with the next class and condition, in cyclic order."""
         bodies = self.bodies(now)
         if not bodies:
             return []
-        self._turn = (self._turn + 1) % len(bodies)
+        self._last_body_index = (self._last_body_index + 1) % len(bodies)
         self.counts["told"] += 1
-        return [(receiver, bodies[self._turn])]
+        return [(receiver, bodies[self._last_body_index])]
 
     def bodies(self, now: int) -> list[bytes]:
         """Encode all local observations, a body for each class and condition; a snapshot has the same
@@ -280,6 +290,6 @@
                 (sum(report.completed) + sum(report.censored)) * scale,
             ),
         )
-        for digest, shift, chance in report.engines:
-            model.add_hint(now, digest, shift, factor * chance)
+        for digest, shift, probability in report.engines:
+            model.add_hint(now, digest, shift, factor * probability)
         return True
