--- a/slipbay/config/mysql.py
+++ b/slipbay/config/mysql.py
@@ -26,7 +26,7 @@
     return operator_file(path, lambda keys: _MysqlReader(config, keys, path.parent).read())
 
 
-def _choice(keys: Keys, key: str, names: tuple[str, ...]) -> int:
+def _index_of_value(keys: Keys, key: str, names: tuple[str, ...]) -> int:
     """Return the index of a key's value in ``names``."""
     name = keys.text(key)
     if name not in names:
@@ -64,10 +64,10 @@
             max_packet_bytes=int(keys.number("max_packet_bytes", MIN_PACKET_BYTES, DEFAULT_PACKET_BYTES)),
             idle_us=int(keys.number("idle_s", 1, DEFAULT_IDLE_S) * 1_000_000),
             hint=keys.text("hint", "slipbay"),
-            read_class=_choice(self._classes, "read", self._config.classes),
+            read_class=_index_of_value(self._classes, "read", self._config.classes),
             write_class=write_class,
             prepare_class=prepare_class,
-            rules=tuple(self._rule(number, item) for number, item in enumerate(rules)),
+            rules=tuple(self._rule(index, item) for index, item in enumerate(rules)),
             deadlines_us=self._deadlines_us(),
             estimates=tuple(map(self._estimate, self._config.classes)),
             users={name: self._user(users.part(name)) for name in users.data},
@@ -80,16 +80,16 @@
         )
 
     def _class_for_prepare(self) -> int:
-        number = _choice(self._classes, "prepare", self._config.classes)
-        if self._config.settings.classes[number].effect is not Effect.SAFE:
+        class_index = _index_of_value(self._classes, "prepare", self._config.classes)
+        if self._config.settings.classes[class_index].effect is not Effect.SAFE:
             raise ConfigError("want a class that is safe to repeat", "classes.prepare")
-        return number
+        return class_index
 
     def _class_for_writes(self) -> int:
-        number = _choice(self._classes, "write", self._config.classes)
-        if self._config.settings.classes[number].effect is not Effect.UNSAFE:
+        class_index = _index_of_value(self._classes, "write", self._config.classes)
+        if self._config.settings.classes[class_index].effect is not Effect.UNSAFE:
             raise ConfigError("want a class whose effect is unsafe", "classes.write")
-        return number
+        return class_index
 
     def _check_class_names(self) -> None:
         for table in (self._deadlines, self._estimates):
@@ -107,16 +107,18 @@
         cost_ms = keys.number("cpu_ms", 0) if "cpu_ms" in keys.data else None
         return Estimate(None if cost_ms is None else int(cost_ms * 1000), keys.number("ram_mb", 0, 0.0))
 
-    def _rule(self, number: int, item: object) -> ClassRule:
-        keys = Keys(item, f"classes.rules[{number}]")
+    def _rule(self, index: int, item: object) -> ClassRule:
+        keys = Keys(item, f"classes.rules[{index}]")
         try:
             pattern = re.compile(keys.text("pattern"), re.IGNORECASE | re.DOTALL)
         except (re.error, OverflowError, RecursionError) as problem:
             raise ConfigError(str(problem), keys.name("pattern")) from None
-        return ClassRule(pattern, _choice(keys, "class", self._config.classes))
+        return ClassRule(pattern, _index_of_value(keys, "class", self._config.classes))
 
     def _user(self, keys: Keys) -> User:
-        return User(_choice(keys, "tenant", self._config.tenants), self._secret(keys, "password_file"))
+        return User(
+            _index_of_value(keys, "tenant", self._config.tenants), self._secret(keys, "password_file")
+        )
 
     def _secret(self, keys: Keys, key: str) -> bytes:
         """Return the first line of the file that a key names: the configuration itself holds no passwords."""
@@ -137,5 +139,8 @@
             self._folder / keys.text("certificate"),
             self._folder / keys.text("key"),
             self._folder / keys.text("bundle"),
-            {spiffe_id: _choice(tenants, spiffe_id, self._config.tenants) for spiffe_id in tenants.data},
+            {
+                spiffe_id: _index_of_value(tenants, spiffe_id, self._config.tenants)
+                for spiffe_id in tenants.data
+            },
         )
