--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -78,6 +78,46 @@
     assert all(any(name.startswith(prefix) for prefix in prefixes) for name in written)
 
 
+PAGES = [
+    "README.md",
+    "CONTRIBUTING.md",
+    *sorted(f"docs/{page.name}" for page in (ROOT / "docs").glob("*.md")),
+]
+PLACEHOLDERS = ("PART", "SCRIPT")
+"""Words that stand in a page for any name."""
+
+
+def files_named(page: str) -> set[str]:
+    """Source, configuration and text files in the code spans of a page, except for the operators' own."""
+    spans = " ".join(re.findall(r"`([^`\n]+)`", page))
+    named = re.findall(r"(?<![\w./*-])[\w./-]+\.(?:py|toml|md)(?![\w*])", spans)
+    return {name for name in named if not name.startswith("..") and not any(x in name for x in PLACEHOLDERS)}
+
+
+def repository_files() -> set[str]:
+    folders = ("slipbay", "tests", "benchmarks", "deploy", "experiments", "docs", "journal/incidents")
+    files = {path.relative_to(ROOT) for folder in folders for path in (ROOT / folder).rglob("*")}
+    return {f"/{path.as_posix()}" for path in {*files, *(path.relative_to(ROOT) for path in ROOT.glob("*"))}}
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_files_that_a_page_names_are_there(page: str) -> None:
+    present = repository_files()
+    missing = {
+        name
+        for name in files_named((ROOT / page).read_text())
+        if not any(path.endswith(f"/{name}") for path in present)
+    }
+    assert missing == set()
+
+
+def test_a_page_that_names_a_missing_module_is_found() -> None:
+    assert files_named("`mux.py` and `python tests/channel_play.py --seed 1`, `../given/day.json`") == {
+        "mux.py",
+        "tests/channel_play.py",
+    }
+
+
 @pytest.mark.parametrize("page", ["README.md", "CONTRIBUTING.md", "docs/architecture.md"])
 def test_modules_that_a_page_names_are_there(page: str) -> None:
     named = set(re.findall(r"`([\w/]+(?:\.py|/))`", (ROOT / page).read_text()))
