--- a/deploy/sites/lay.py
+++ b/deploy/sites/lay.py
@@ -1,17 +1,17 @@
-"""Lay a variant of a deployment: a kit's site file with what a change file alters, and the files beside it.
+"""Generates a variant of a deployment from a kit's site file and a change file.
 
     python deploy/sites/lay.py ../given/kit/sites/sapporo-main.toml deploy/sites/VARIANT.changes.toml
 
-writes ``deploy/sites/laid/VARIANT/VARIANT.toml``, whose name is the variant's, and copies the site's side
-files there. A change file holds nothing but the variant's own values:
+writes ``deploy/sites/laid/VARIANT/VARIANT.toml``, sets the site's name to VARIANT, and copies the site's side
+files to that folder. A change file contains only the values that differ in the variant:
 
-- a table changes the site's table of that name, key by key, at any depth;
+- a table changes the keys of the site's table of that name, at any depth;
 - an array of tables (``[[class]]``) replaces the site's whole array;
-- a table in the place of an array of tables (``[tier]`` for ``[[tier]]``) changes each of the array's tables;
-- a key that the site does not have is an error, unless ``new_keys`` at the top of the change file names it by
-  its dotted path (``new_keys = ["fam.page"]``).
+- a table where the site has an array of tables (``[tier]`` for ``[[tier]]``) changes each table of the array;
+- a key that the site does not have is an error, unless ``new_keys`` at the top of the change file lists its
+  dotted path (``new_keys = ["fam.page"]``).
 
-Needs the standard library alone.
+The script needs only the standard library.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 from typing import Any
 
 CHANGES_SUFFIX = ".changes.toml"
-LAID = Path(__file__).parent / "laid"  # ignored by git: it holds what is the kit's
+VARIANTS_FOLDER = Path(__file__).parent / "laid"  # ignored by git, because it holds files of the kit
 WIRE_FILE = "wire.json"
-SIDE_FILES = ("real.json", "unlock.txt", "design.json")  # copied where they are beside the site
+SIDE_FILES = ("real.json", "unlock.txt", "design.json")  # copied if they are in the site's folder
 BARE_KEY = re.compile(r"[A-Za-z0-9_-]+")
 
 Table = Mapping[str, Any]
@@ -39,7 +39,10 @@
 
 @dataclass(eq=False)
 class SiteError(Exception):
-    """Why a variant can't be laid: the file at fault, the key by its dotted path ("" for the whole file)."""
+    """A variant cannot be generated.
+
+    ``key`` is the dotted path of the faulty key in ``file``, or "" for the whole file.
+    """
 
     file: Path
     key: str
@@ -51,11 +54,11 @@
 
 @dataclass(frozen=True)
 class Changes:
-    """A change file as read."""
+    """The contents of a change file."""
 
     file: Path
     table: Table
-    new_keys: frozenset[str]  # dotted paths that the site need not have
+    new_keys: frozenset[str]  # dotted paths of keys that the site may lack
 
     @property
     def variant(self) -> str:
@@ -63,30 +66,30 @@
         return self.file.name.removesuffix(CHANGES_SUFFIX)
 
     def error(self, path: str, reason: str) -> SiteError:
-        """What is wrong with the key at ``path``."""
+        """Return an error about the key at ``path``."""
         return SiteError(self.file, path, reason)
 
 
-def lay(base: Path, changes_file: Path, laid: Path = LAID) -> Path:
-    """Write the variant and its side files into a folder of its own under ``laid``; return the site file."""
+def write_variant(base: Path, changes_file: Path, variants_folder: Path = VARIANTS_FOLDER) -> Path:
+    """Write the variant and its side files to a folder of its own; return its site file."""
     changes = read_changes(changes_file)
-    site = merged(read_toml(base), changes) | {"name": changes.variant, "wire": WIRE_FILE}
+    site = apply_changes(read_toml(base), changes) | {"name": changes.variant, "wire": WIRE_FILE}
     wire = _wire_of(base)
-    folder = laid / changes.variant
+    folder = variants_folder / changes.variant
     folder.mkdir(parents=True, exist_ok=True)
     shutil.copyfile(wire, folder / WIRE_FILE)
     for name in SIDE_FILES:
         if (base.parent / name).is_file():
             shutil.copyfile(base.parent / name, folder / name)
         else:
-            (folder / name).unlink(missing_ok=True)  # of a variant laid on another site before
+            (folder / name).unlink(missing_ok=True)  # left from an earlier run with another site
     written = folder / f"{changes.variant}.toml"
     written.write_text(to_toml(site), encoding="utf-8")
     return written
 
 
 def read_toml(file: Path) -> dict[str, Any]:
-    """The file's table."""
+    """Return the table of a TOML file."""
     try:
         return tomllib.loads(file.read_text(encoding="utf-8"))
     except OSError as error:
@@ -96,24 +99,24 @@
 
 
 def read_changes(file: Path) -> Changes:
-    """The change file, with ``new_keys`` taken out of its table."""
+    """Read a change file and remove ``new_keys`` from its table."""
     if not file.name.endswith(CHANGES_SUFFIX):
-        raise SiteError(file, "", f"a change file's name ends in {CHANGES_SUFFIX}")
+        raise SiteError(file, "", f"the name of a change file must end in {CHANGES_SUFFIX}")
     table = read_toml(file)
     new_keys = table.pop("new_keys", [])
     if not isinstance(new_keys, list) or not all(isinstance(path, str) for path in new_keys):
         raise SiteError(file, "new_keys", "is not a list of dotted paths")
     changes = Changes(file, table, frozenset(new_keys))
-    for own in ("name", "wire"):
-        if own in table:
+    for key in ("name", "wire"):
+        if key in table:
             raise changes.error(
-                own, "is set by the script: the file's name, and the wire file beside the site"
+                key, "is set by the script, from the change file's name and the site's wire file"
             )
     return changes
 
 
 def _wire_of(base: Path) -> Path:
-    """The wire file that the site names, which may lie in another folder."""
+    """Return the wire file that the site names; it may be in another folder."""
     named = read_toml(base).get("wire")
     if not isinstance(named, str):
         raise SiteError(base, "wire", "names no file")
@@ -122,21 +125,21 @@
     return base.parent / named
 
 
-def merged(base: Table, changes: Changes) -> dict[str, Any]:
-    """The site with the changes made; see the module's text for the rules."""
+def apply_changes(base: Table, changes: Changes) -> dict[str, Any]:
+    """Return the site with the changes applied; the module's docstring has the rules."""
     return _change_table(base, changes.table, changes, "")
 
 
 def _change_table(base: Table, change: Table, changes: Changes, path: str) -> dict[str, Any]:
     result = dict(base)
     for key, value in change.items():
-        here = f"{path}.{key}" if path else key
+        key_path = f"{path}.{key}" if path else key
         if key in base:
-            result[key] = _change_value(base[key], value, changes, here)
-        elif here in changes.new_keys:
+            result[key] = _change_value(base[key], value, changes, key_path)
+        elif key_path in changes.new_keys:
             result[key] = value
         else:
-            raise changes.error(here, "the site has no such key, and new_keys does not name it")
+            raise changes.error(key_path, "the site has no such key, and new_keys does not name it")
     return result
 
 
@@ -158,7 +161,7 @@
 
 
 def _check_keys(base: Tables, replacement: Tables, changes: Changes, path: str) -> None:
-    """Every key of the replacement must be in some table of the array that it replaces."""
+    """Reject keys of the replacement that no table of the replaced array has."""
     known = {key: value for table in base for key, value in table.items()}
     for table in replacement:
         _change_table(known, table, changes, path)
@@ -169,17 +172,20 @@
 
 
 def to_toml(table: Table) -> str:
-    """The table as TOML: plain values and arrays of them, tables, and arrays of tables."""
+    """Format a table as TOML.
+
+    It may contain plain values, arrays of them, tables and arrays of tables.
+    """
     return "\n".join(_table_lines(table, ())).strip("\n") + "\n"
 
 
 def _table_lines(table: Table, path: tuple[str, ...]) -> Iterator[str]:
-    """Plain values come first: below a header, they would belong to that header's table."""
-    below = {key: value for key, value in table.items() if isinstance(value, dict) or _is_tables(value)}
+    """Yield plain values first: after a header they would belong to the table of that header."""
+    nested = {key: value for key, value in table.items() if isinstance(value, dict) or _is_tables(value)}
     for key, value in table.items():
-        if key not in below:
+        if key not in nested:
             yield f"{_key(key)} = {_value(value)}"
-    for key, value in below.items():
+    for key, value in nested.items():
         inner = (*path, key)
         header = ".".join(map(_key, inner))
         tables, title = ([value], f"[{header}]") if isinstance(value, dict) else (value, f"[[{header}]]")
@@ -202,22 +208,27 @@
         return _string(value)
     if isinstance(value, list):
         return f"[{', '.join(map(_value, value))}]"
-    raise TypeError(f"site files hold no {type(value).__name__} here: {value!r}")
+    raise TypeError(f"a site file cannot hold a {type(value).__name__} here: {value!r}")
 
 
 def _string(text: str) -> str:
-    """JSON's escapes are TOML's too, but for the one control character that JSON leaves as it is."""
+    """Format a TOML string.
+
+    The escapes of JSON are valid in TOML; DEL, which JSON leaves as it is, needs one too.
+    """
     return json.dumps(text, ensure_ascii=False).replace("\x7f", "\\u007f")
 
 
 def main() -> None:
-    """Lay the variant that the command line names, and print where it is."""
-    parser = argparse.ArgumentParser(description="Lay a variant of a kit's site; see the top of this file.")
+    """Generate the variant that the command line names, and print its path."""
+    parser = argparse.ArgumentParser(
+        description="Generate a variant of a kit's site; the top of this file has the rules."
+    )
     parser.add_argument("site", type=Path, help="the kit's site file")
-    parser.add_argument("changes", type=Path, help=f"what the variant changes: VARIANT{CHANGES_SUFFIX}")
+    parser.add_argument("changes", type=Path, help=f"the change file, VARIANT{CHANGES_SUFFIX}")
     arguments = parser.parse_args()
     try:
-        print(lay(arguments.site, arguments.changes))
+        print(write_variant(arguments.site, arguments.changes))
     except SiteError as error:
         sys.exit(str(error))
 
